--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,6 +12,7 @@
 
 var testCapacity = admission.Capacity{Slots: 2, Connections: 3, MilliCPU: 4000, MemoryBytes: 100, Accelerators: 1}
 
+// reasonOf returns the reason of a refusal, or the empty reason for any other error and for nil.
 func reasonOf(err error) admission.Reason {
 	var refusal *admission.Refusal
 	if errors.As(err, &refusal) {
@@ -20,10 +21,11 @@
 	return ""
 }
 
+// TestTaskBounds requests resources from a gate that already runs one task.
 func TestTaskBounds(t *testing.T) {
 	tests := map[string]struct {
-		asked admission.Resources
-		want  admission.Reason
+		requested admission.Resources
+		want      admission.Reason
 	}{
 		"fits":             {admission.Resources{MilliCPU: 3000, MemoryBytes: 90, Accelerators: 1}, ""},
 		"fits exactly":     {admission.Resources{MilliCPU: 3500, MemoryBytes: 95, Accelerators: 1}, ""},
@@ -39,13 +41,14 @@
 			if err := gate.AdmitTask("first", admission.Resources{MilliCPU: 500, MemoryBytes: 5}); err != nil {
 				t.Fatal(err)
 			}
-			if got := reasonOf(gate.AdmitTask("second", test.asked)); got != test.want {
-				t.Errorf("got %q", got)
+			if got := reasonOf(gate.AdmitTask("second", test.requested)); got != test.want {
+				t.Errorf("refused with reason %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
+// TestSlots checks that requests beyond the number of slots are refused, and that releasing a slot twice frees it once.
 func TestSlots(t *testing.T) {
 	gate := admission.NewGate(testCapacity)
 	var release func()
@@ -56,15 +59,16 @@
 		}
 	}
 	if _, err := gate.AdmitRequest(); reasonOf(err) != admission.NoSlot {
-		t.Errorf("got %v", err)
+		t.Errorf("request beyond the last slot: got error %v, want %q", err, admission.NoSlot)
 	}
 	release()
 	release()
 	if used := gate.Usage().Slots; used != 1 {
-		t.Errorf("%d slots are used after one was released twice", used)
+		t.Errorf("%d slots in use after one of two was released twice, want 1", used)
 	}
 }
 
+// TestLeaving checks that a leaving gate refuses new work and reports idle only after the last request has ended.
 func TestLeaving(t *testing.T) {
 	gate := admission.NewGate(testCapacity)
 	release, err := gate.AdmitRequest()
@@ -74,22 +78,22 @@
 	idle := gate.Idle()
 	gate.Leave()
 	if _, err := gate.AdmitRequest(); reasonOf(err) != admission.Leaving {
-		t.Errorf("got %v", err)
+		t.Errorf("request at a leaving gate: got error %v, want %q", err, admission.Leaving)
 	}
 	if err := gate.AdmitTask("a", admission.Resources{}); reasonOf(err) != admission.Leaving {
-		t.Errorf("got %v", err)
+		t.Errorf("task at a leaving gate: got error %v, want %q", err, admission.Leaving)
 	}
 	select {
 	case <-idle:
-		t.Error("idle with a request in flight")
+		t.Error("gate is idle while a request is in flight")
 	default:
 	}
 	release()
 	<-idle
 }
 
-// TestUsageStaysWithinCapacity draws admissions and releases: the sum never exceeds
-// the bounds, and nothing is given back twice.
+// TestUsageStaysWithinCapacity checks after each of a random sequence of admissions and releases that usage
+// neither exceeds the capacity nor becomes negative, also when something is released twice.
 func TestUsageStaysWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gate := admission.NewGate(testCapacity)
@@ -119,13 +123,14 @@
 	})
 }
 
+// checkUsage fails the test if a used amount is negative or exceeds testCapacity.
 func checkUsage(t *rapid.T, usage admission.Usage) {
 	used := usage.Resources
 	if usage.Slots < 0 || usage.Slots > testCapacity.Slots ||
 		used.MilliCPU < 0 || used.MilliCPU > testCapacity.MilliCPU ||
 		used.MemoryBytes < 0 || used.MemoryBytes > testCapacity.MemoryBytes ||
 		used.Accelerators < 0 || used.Accelerators > testCapacity.Accelerators {
-		t.Fatalf("used %+v", usage)
+		t.Fatalf("usage %+v is outside of capacity %+v", usage, testCapacity)
 	}
 }
 
@@ -135,5 +140,5 @@
 	fmt.Println(gate.AdmitTask("transcription-2", admission.Resources{MilliCPU: 2000}))
 	// Output:
 	// <nil>
-	// not enough processors: asked for 2000m, free 1000m
+	// not enough processors: requested 2000m, free 1000m
 }
--- a/admission/demand.go
+++ b/admission/demand.go
@@ -1,9 +1,10 @@
 package admission
 
-// mebibyte is the unit of memory in messages.
+// mebibyte is the unit of memory amounts in messages.
 const mebibyte = 1 << 20
 
-// demand is what a task asks for, as its job or a message tells it.
+// demand is implemented by the messages that describe what a task requests: the task's
+// specification and the demand that an order contains.
 type demand interface {
 	GetMilliCpu() int64
 	GetMemoryMb() int64
@@ -11,20 +12,21 @@
 	GetFills() bool
 }
 
-// ReservedBy returns what a task holds of a worker while it runs. One that fills takes what
-// others leave of the processors and holds none.
-func ReservedBy(asked demand) Resources {
-	held := NewResources(asked.GetMilliCpu(), asked.GetMemoryMb(), asked.GetAccelerators())
-	if asked.GetFills() {
-		held.MilliCPU = 0
+// ReservedBy returns the resources that are reserved for a task on its worker while it
+// runs. A fill task reserves no processors: it runs on processor time that other tasks
+// leave unused.
+func ReservedBy(requested demand) Resources {
+	reserved := NewResources(requested.GetMilliCpu(), requested.GetMemoryMb(), requested.GetAccelerators())
+	if requested.GetFills() {
+		reserved.MilliCPU = 0
 	}
-	return held
+	return reserved
 }
 
-// NewResources returns resources whose memory is told in mebibytes.
+// NewResources returns resources with the memory given in mebibytes, as in messages.
 func NewResources(milliCPU, memoryMB, accelerators int64) Resources {
 	return Resources{MilliCPU: milliCPU, MemoryBytes: memoryMB * mebibyte, Accelerators: accelerators}
 }
 
-// MemoryMB returns the memory in mebibytes, as messages tell it.
-func (free Resources) MemoryMB() int64 { return free.MemoryBytes / mebibyte }
+// MemoryMB returns the memory in mebibytes, rounded towards zero.
+func (available Resources) MemoryMB() int64 { return available.MemoryBytes / mebibyte }
