--- a/admission/admission.go
+++ b/admission/admission.go
@@ -29,7 +29,7 @@
 // Reason identifies the limit or condition that caused a refusal.
 type Reason string
 
-// Reasons for a refusal. Their texts appear in logs.
+// Reasons for a refusal. Their texts appear in logs and are sent to callers.
 const (
 	NoSlot        Reason = "no free slot"
 	NoConnection  Reason = "no free connection"
@@ -41,7 +41,7 @@
 	// Duplicate means that the gate already counts a task with the same ID.
 	Duplicate Reason = "already admitted"
 	// Invalid means that a requested amount is negative.
-	Invalid Reason = "negative amount"
+	Invalid Reason = "not a size"
 )
 
 // Refusal is the error returned for work that was not admitted.
@@ -96,11 +96,11 @@
 	case "":
 		return nil
 	case NoProcessor:
-		return &Refusal{reason: reason, detail: fmt.Sprintf("requested %dm, free %dm", requested.MilliCPU, available.MilliCPU)}
+		return &Refusal{reason: reason, detail: fmt.Sprintf("asked for %dm, free %dm", requested.MilliCPU, available.MilliCPU)}
 	case NoMemory:
-		return &Refusal{reason: reason, detail: fmt.Sprintf("requested %d bytes, free %d", requested.MemoryBytes, available.MemoryBytes)}
+		return &Refusal{reason: reason, detail: fmt.Sprintf("asked for %d bytes, free %d", requested.MemoryBytes, available.MemoryBytes)}
 	case NoAccelerator:
-		return &Refusal{reason: reason, detail: fmt.Sprintf("requested %d, free %d", requested.Accelerators, available.Accelerators)}
+		return &Refusal{reason: reason, detail: fmt.Sprintf("asked for %d, free %d", requested.Accelerators, available.Accelerators)}
 	}
 	return &Refusal{reason: reason}
 }
@@ -183,7 +183,7 @@
 		return nil, &Refusal{reason: Leaving}
 	}
 	if gate.usedSlots >= gate.capacity.Slots {
-		return nil, &Refusal{reason: NoSlot, detail: fmt.Sprintf("all %d are in use", gate.capacity.Slots)}
+		return nil, &Refusal{reason: NoSlot, detail: fmt.Sprintf("all %d are taken", gate.capacity.Slots)}
 	}
 	gate.usedSlots++
 	return sync.OnceFunc(func() { gate.releaseSlot() }), nil
@@ -204,7 +204,7 @@
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
 	if gate.openConnections >= gate.capacity.Connections {
-		return nil, &Refusal{reason: NoConnection, detail: fmt.Sprintf("all %d are in use", gate.capacity.Connections)}
+		return nil, &Refusal{reason: NoConnection, detail: fmt.Sprintf("all %d are taken", gate.capacity.Connections)}
 	}
 	gate.openConnections++
 	return sync.OnceFunc(func() {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -42,7 +42,7 @@
 				t.Fatal(err)
 			}
 			if got := reasonOf(gate.AdmitTask("second", test.requested)); got != test.want {
-				t.Errorf("refused with reason %q, want %q", got, test.want)
+				t.Errorf("unexpected reason %q", got)
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 		}
 	}
 	if _, err := gate.AdmitRequest(); reasonOf(err) != admission.NoSlot {
-		t.Errorf("request beyond the last slot: got error %v, want %q", err, admission.NoSlot)
+		t.Errorf("request beyond the last slot: got error %v, want reason NoSlot", err)
 	}
 	release()
 	release()
@@ -78,10 +78,10 @@
 	idle := gate.Idle()
 	gate.Leave()
 	if _, err := gate.AdmitRequest(); reasonOf(err) != admission.Leaving {
-		t.Errorf("request at a leaving gate: got error %v, want %q", err, admission.Leaving)
+		t.Errorf("request at a leaving gate: got error %v, want reason Leaving", err)
 	}
 	if err := gate.AdmitTask("a", admission.Resources{}); reasonOf(err) != admission.Leaving {
-		t.Errorf("task at a leaving gate: got error %v, want %q", err, admission.Leaving)
+		t.Errorf("task at a leaving gate: got error %v, want reason Leaving", err)
 	}
 	select {
 	case <-idle:
@@ -130,7 +130,7 @@
 		used.MilliCPU < 0 || used.MilliCPU > testCapacity.MilliCPU ||
 		used.MemoryBytes < 0 || used.MemoryBytes > testCapacity.MemoryBytes ||
 		used.Accelerators < 0 || used.Accelerators > testCapacity.Accelerators {
-		t.Fatalf("usage %+v is outside of capacity %+v", usage, testCapacity)
+		t.Fatalf("usage %+v is negative or exceeds the capacity", usage)
 	}
 }
 
@@ -140,5 +140,5 @@
 	fmt.Println(gate.AdmitTask("transcription-2", admission.Resources{MilliCPU: 2000}))
 	// Output:
 	// <nil>
-	// not enough processors: requested 2000m, free 1000m
+	// not enough processors: asked for 2000m, free 1000m
 }
