--- a/candidacy/candidacy.go
+++ b/candidacy/candidacy.go
@@ -1,24 +1,31 @@
-// Package candidacy decides which entries offer themselves as owners of shards.
+// Package candidacy decides which entries are candidates for owning shards.
 //
-// An entry that may own a shard keeps a connection to every agent, so that it can go on at once
-// where another one has been lost. If all did, a fleet would have as many connections as entries times agents,
-// although no more entries than shards own any. And owners that are many choose the same places without having
-// spoken: the fewer there are, the fewer starts are refused. So there are as many candidates as bear the work, and where
-// that is one for each shard, a second for each.
+// A candidate keeps a connection to every agent, so that it can schedule immediately when it takes over the
+// shards of an owner that has failed. If every entry were a candidate, a fleet would have entries × agents
+// connections, although there can't be more owners than shards. Owners also choose workers independently of
+// each other, so the more owners there are, the more of them choose the same worker and the more starts are
+// refused. Therefore there are only as many candidates as the work requires. If each shard requires an owner
+// of its own, there is a second candidate for each shard.
 //
-// Entries apply for seats, which the store deals, and takes from those that are silent. Strong entries, whose machine
-// bears the work of several shards, always apply; weak ones do while the strong are too few, and leave when they
-// are not needed. Of the entries with a seat the first by rank are candidates, strong ones before weak ones. Where many are
-// lost at once the others don't wait for a seat or a rank, the strong ones first.
+// # Seats
+//
+// The candidates are chosen from the entries that hold seats. Seats are partitions that the store distributes
+// evenly among the entries that request them, and that it takes from entries that have stopped renewing.
+// Strong entries, whose machines have the processors for several shards, always request seats. Weak entries
+// request them only while there are too few strong ones, and withdraw when they are redundant. Of the entries
+// that hold seats, the first by rank are candidates; strong entries rank before weak ones.
+//
+// Seats are reassigned too slowly for a failure of many entries at once. If owners are too few for a while,
+// further entries become candidates regardless of seat and rank, strong ones first.
 //
 // # Usage
 //
-//	seat := candidacy.New(candidacy.Options{Self: candidacy.Entry{Name: "edge-1", Strong: true}, Shards: 16})
-//	if seat.LooksAtOwners(now) { seat.NoteOwners(owners, now) }
-//	if seat.LooksAtHolders(now) { seat.NoteHolders(holders, now) }
-//	if seat.CountsAgents() { seat.NoteAgents(count) }
-//	if seat.Applies() { seat.NoteDealt(seats) }
-//	candidate := seat.Stands(shards, now)
+//	c := candidacy.New(candidacy.Options{Self: candidacy.Entry{Name: "edge-1", Strong: true}, Shards: 16})
+//	if c.NeedsOwners(now) { c.ObserveOwners(owners, now) }
+//	if c.NeedsSeatHolders(now) { c.ObserveSeatHolders(holders, now) }
+//	if c.NeedsAgentCount() { c.SetAgentCount(count) }
+//	if c.WantsSeat() { c.SetHeldSeats(seats) }
+//	isCandidate := c.Decide(ownedShards, now)
 package candidacy
 
 import (
@@ -29,52 +36,59 @@
 )
 
 const (
-	// minStrongCores is what a strong machine has of a core at least.
+	// minStrongCores is the number of processor cores from which on a machine counts as strong.
 	minStrongCores = 0.4
-	// coresPerAgent is what the owners of all shards together take of a core for each agent, at the busiest.
+	// coresPerAgent is the processor time that the owners of all shards need in total for each agent at peak
+	// load.
 	coresPerAgent = 0.008
-	// minOwners is how many owners there are at least, since one is lost now and then; minStrongCandidates is
-	// how many strong candidates there are where there are as many.
-	minOwners           = 2
+	// minOwners is the least number of owners, so that one may fail.
+	minOwners = 2
+	// minStrongCandidates is the least number of strong candidates, if that many strong entries hold seats.
 	minStrongCandidates = 3
-	// strongOwnersInterval and weakOwnersInterval are how often an entry that is no candidate looks at who owns shards.
+	// strongOwnersInterval and weakOwnersInterval are how often an entry that is not a candidate checks which
+	// entries own shards.
 	strongOwnersInterval = time.Second
 	weakOwnersInterval   = 1500 * time.Millisecond
-	// seatHoldersInterval is how often an entry that has applied looks at who holds the seats.
+	// seatHoldersInterval is how often an entry that requests a seat checks which entries hold seats.
 	seatHoldersInterval = 5 * time.Second
-	// strongTakeoverDelay and weakTakeoverDelay are for how long owners are too few until an entry offers
-	// itself whatever its seat. An owner that is lost is missed for 1.5 s, and when all start the first to
-	// come owns all for a moment. Weak ones come one by one, within weakTakeoverJitter.
+	// strongTakeoverDelay and weakTakeoverDelay are how long there must have been too few owners before an
+	// entry becomes a candidate regardless of its seats. The store takes 1.5 s to remove a failed owner, and
+	// when all entries start together, the first one owns all shards for a moment. The delay of weak entries
+	// is extended by up to weakTakeoverJitter, so that they take over one after another.
 	strongTakeoverDelay = time.Second
 	weakTakeoverDelay   = 2500 * time.Millisecond
 	weakTakeoverJitter  = 2500 * time.Millisecond
-	// noOwnerTakeoverDelay and noOwnerTakeoverJitter are the same for a weak entry while nobody owns a shard: jobs stand still.
+	// noOwnerTakeoverDelay and noOwnerTakeoverJitter replace weakTakeoverDelay and weakTakeoverJitter while
+	// no shard has an owner. They are shorter because no job makes progress then.
 	noOwnerTakeoverDelay  = time.Second
 	noOwnerTakeoverJitter = 1500 * time.Millisecond
-	// candidateHoldTime is how long a candidate stays one that is not wanted any more: seats may be dealt anew at
-	// any moment, and an entry that has just connected to all agents is soon wanted again.
+	// candidateHoldTime is how long an entry remains a candidate after it was last needed. Seats may be
+	// reassigned at any time, and an entry that has just connected to all agents is often needed again soon.
 	candidateHoldTime = 10 * time.Second
-	// withdrawDelay and withdrawJitter are how long a weak entry stays at least and at most once it is no longer
-	// needed. They leave one by one, so that each sees whether it still is.
+	// withdrawDelay is how long a weak entry must have been redundant before it withdraws. The delay is
+	// extended by up to withdrawJitter, so that weak entries withdraw one after another and each can check
+	// whether it is still redundant.
 	withdrawDelay  = 20 * time.Second
 	withdrawJitter = 20 * time.Second
 )
 
-// IsStrong reports whether a machine with so many cores bears the work of several shards. Zero stands for one that does not say.
+// IsStrong reports whether a machine with this number of processor cores can run the work of several shards.
+// Zero means that the number is unknown, and counts as strong.
 func IsStrong(cores float64) bool { return cores == 0 || cores >= minStrongCores }
 
-// SeatCount is how many seats there are for so many shards.
+// SeatCount returns the number of seats for a number of shards.
 func SeatCount(shards int) int { return 2 * shards }
 
-// Entry is one that may own shards.
+// Entry is an entry process that may own shards.
 type Entry struct {
-	// Name tells the entry from others.
+	// Name identifies the entry.
 	Name string
-	// Strong is set for an entry whose machine bears the work of several shards.
+	// Strong is set if the machine of the entry can run the work of several shards; see IsStrong.
 	Strong bool
 }
 
-// compare orders entries: strong ones first, else in the same way everywhere.
+// compare orders entries by rank: strong entries before weak ones, and otherwise by the hash of the name, so
+// that all entries agree on the order. It returns -1 if the entry ranks before other, else 1.
 func (entry Entry) compare(other Entry) int {
 	if entry.Strong != other.Strong {
 		if entry.Strong {
@@ -89,176 +103,185 @@
 	return 1
 }
 
-// Options sets up a Candidacy.
+// Options configures a Candidacy.
 type Options struct {
-	// Self is the entry that decides.
+	// Self is the entry whose candidacy is decided.
 	Self Entry
-	// Shards is how many shards there are.
+	// Shards is the total number of shards.
 	Shards int
 }
 
-// Candidacy is what one entry does about its seat. It decides by what it is told, and asks nobody.
+// Candidacy decides whether one entry requests seats and whether it is a candidate. It makes no calls to
+// other processes: the code that uses it supplies the observations that the Needs methods ask for. It is not
+// safe for concurrent use.
 type Candidacy struct {
 	options   Options
 	wantsSeat bool
-	// heldSeats is how many the entry holds.
+	// heldSeats is the number of seats that the entry holds.
 	heldSeats int
-	// isSelected is set unless enough others with a seat come before the entry.
+	// isSelected is set unless the seat holders that rank before the entry suffice; see ObserveSeatHolders.
 	isSelected bool
-	// isCandidate is what was last decided.
+	// isCandidate is the result of the last Decide.
 	isCandidate bool
-	// agentCount is how many there are, 0 while that is not known.
+	// agentCount is the number of agents, 0 while unknown.
 	agentCount int
-	// ownersObservedAt and holdersAt are when the owners and the holders of seats were last noted, zero if they never were.
+	// ownersObservedAt and holdersObservedAt are the times of the last observations, zero before the first.
 	ownersObservedAt  time.Time
 	holdersObservedAt time.Time
-	// shortageSince is since when owners have been too few, zero while they are enough.
+	// shortageSince is the time since when there have been too few owners, zero while there are enough.
 	shortageSince time.Time
-	// lastNeededAt is when the entry was last wanted as a candidate.
+	// lastNeededAt is when the entry was last needed as a candidate.
 	lastNeededAt time.Time
-	// withdrawAt is when a weak entry leaves, zero while it is needed.
+	// withdrawAt is when a weak entry will withdraw, zero while it is not redundant.
 	withdrawAt time.Time
 }
 
-// New returns the candidacy of an entry that holds nothing yet.
+// New returns the candidacy of an entry that holds no seats.
 func New(options Options) *Candidacy {
 	return &Candidacy{options: options, wantsSeat: options.Self.Strong, isSelected: true}
 }
 
-// shardsPerStrong is how many shards a strong entry bears: as many as it has shares of a core for, by how many agents there are.
-func (seat *Candidacy) shardsPerStrong() int {
-	if seat.agentCount == 0 {
+// shardsPerStrong returns how many shards a strong entry has the processors for, given the number of agents.
+// It is at least 1, and 1 while the number of agents is unknown.
+func (candidacy *Candidacy) shardsPerStrong() int {
+	if candidacy.agentCount == 0 {
 		return 1
 	}
-	return max(int(minStrongCores*float64(seat.options.Shards)/(coresPerAgent*float64(seat.agentCount))), 1)
+	return max(int(minStrongCores*float64(candidacy.options.Shards)/(coresPerAgent*float64(candidacy.agentCount))), 1)
 }
 
-// areSufficient reports whether entries bear the work of all shards. A weak one bears one.
-func (seat *Candidacy) areSufficient(entries []Entry) bool {
+// areSufficient reports whether the entries can run the work of all shards. A weak entry can run that of one
+// shard.
+func (candidacy *Candidacy) areSufficient(entries []Entry) bool {
 	shards := 0
 	for _, entry := range entries {
 		if entry.Strong {
-			shards += seat.shardsPerStrong()
+			shards += candidacy.shardsPerStrong()
 			continue
 		}
 		shards++
 	}
-	return len(entries) >= minOwners && shards >= seat.options.Shards
+	return len(entries) >= minOwners && shards >= candidacy.options.Shards
 }
 
-// NeedsOwners reports whether the entry needs to know which entries own shards.
-func (seat *Candidacy) NeedsOwners(now time.Time) bool {
-	every := weakOwnersInterval
-	if seat.options.Self.Strong {
-		every = strongOwnersInterval
+// NeedsOwners reports whether ObserveOwners is due.
+func (candidacy *Candidacy) NeedsOwners(now time.Time) bool {
+	interval := weakOwnersInterval
+	if candidacy.options.Self.Strong {
+		interval = strongOwnersInterval
 	}
-	return !seat.isCandidate && (seat.ownersObservedAt.IsZero() || now.Sub(seat.ownersObservedAt) >= every)
+	return !candidacy.isCandidate && (candidacy.ownersObservedAt.IsZero() || now.Sub(candidacy.ownersObservedAt) >= interval)
 }
 
-// ObserveOwners takes in which entries own shards.
-func (seat *Candidacy) ObserveOwners(owners []Entry, now time.Time) {
-	seat.ownersObservedAt = now
-	if seat.areSufficient(owners) {
-		seat.shortageSince = time.Time{}
+// ObserveOwners records which entries own shards at present. If there have been too few for long enough, the
+// entry requests a seat and is needed as a candidate.
+func (candidacy *Candidacy) ObserveOwners(owners []Entry, now time.Time) {
+	candidacy.ownersObservedAt = now
+	if candidacy.areSufficient(owners) {
+		candidacy.shortageSince = time.Time{}
 		return
 	}
-	if seat.shortageSince.IsZero() {
-		seat.shortageSince = now
+	if candidacy.shortageSince.IsZero() {
+		candidacy.shortageSince = now
 	}
-	if now.Sub(seat.shortageSince) >= seat.takeoverDelay(owners) {
-		seat.wantsSeat = true
-		seat.lastNeededAt = now
+	if now.Sub(candidacy.shortageSince) >= candidacy.takeoverDelay(owners) {
+		candidacy.wantsSeat = true
+		candidacy.lastNeededAt = now
 	}
 }
 
-// takeoverDelay is for how long the entry leaves it to others where owners are too few.
-func (seat *Candidacy) takeoverDelay(owners []Entry) time.Duration {
+// takeoverDelay returns how long the entry leaves a shortage of owners to other entries.
+func (candidacy *Candidacy) takeoverDelay(owners []Entry) time.Duration {
 	switch {
-	case seat.options.Self.Strong:
+	case candidacy.options.Self.Strong:
 		return strongTakeoverDelay
 	case len(owners) == 0:
-		return noOwnerTakeoverDelay + seat.jitter(noOwnerTakeoverJitter)
+		return noOwnerTakeoverDelay + candidacy.jitter(noOwnerTakeoverJitter)
 	}
-	return weakTakeoverDelay + seat.jitter(weakTakeoverJitter)
+	return weakTakeoverDelay + candidacy.jitter(weakTakeoverJitter)
 }
 
-// jitter returns a part of a length that differs from entry to entry.
-func (seat *Candidacy) jitter(length time.Duration) time.Duration {
-	return time.Duration(xxhash.Sum64String(seat.options.Self.Name) % uint64(length))
+// jitter returns a duration below limit that depends only on the name of the entry.
+func (candidacy *Candidacy) jitter(limit time.Duration) time.Duration {
+	return time.Duration(xxhash.Sum64String(candidacy.options.Self.Name) % uint64(limit))
 }
 
-// NeedsAgentCount reports whether the entry needs to know how many agents there are: it hangs on that whether owners are too few, and
-// how many candidates there are to be.
-func (seat *Candidacy) NeedsAgentCount() bool {
-	return seat.agentCount == 0 || seat.isCandidate || !seat.shortageSince.IsZero()
+// NeedsAgentCount reports whether SetAgentCount is due. The number of agents determines whether owners are
+// too few and how many candidates are required.
+func (candidacy *Candidacy) NeedsAgentCount() bool {
+	return candidacy.agentCount == 0 || candidacy.isCandidate || !candidacy.shortageSince.IsZero()
 }
 
-// SetAgentCount takes in how many agents there are.
-func (seat *Candidacy) SetAgentCount(count int) { seat.agentCount = count }
+// SetAgentCount records the number of agents.
+func (candidacy *Candidacy) SetAgentCount(count int) { candidacy.agentCount = count }
 
-// NeedsSeatHolders reports whether the entry needs to know who holds the seats. A weak one that has just started does: it may have
-// come back before it was missed.
-func (seat *Candidacy) NeedsSeatHolders(now time.Time) bool {
-	if seat.holdersObservedAt.IsZero() {
-		return !seat.options.Self.Strong || seat.heldSeats > 0
+// NeedsSeatHolders reports whether ObserveSeatHolders is due. A weak entry needs the observation right after
+// its start: if it restarted before the store noticed its absence, it still holds its seats.
+func (candidacy *Candidacy) NeedsSeatHolders(now time.Time) bool {
+	if candidacy.holdersObservedAt.IsZero() {
+		return !candidacy.options.Self.Strong || candidacy.heldSeats > 0
 	}
-	return seat.wantsSeat && now.Sub(seat.holdersObservedAt) >= seatHoldersInterval
+	return candidacy.wantsSeat && now.Sub(candidacy.holdersObservedAt) >= seatHoldersInterval
 }
 
-// ObserveSeatHolders takes in which entries hold seats.
-func (seat *Candidacy) ObserveSeatHolders(holders []Entry, now time.Time) {
-	first := seat.holdersObservedAt.IsZero()
-	seat.holdersObservedAt = now
+// ObserveSeatHolders records which entries hold seats at present. It decides whether the entry is among the
+// first by rank, and whether a weak entry reclaims the seats that it held before a restart or withdraws.
+func (candidacy *Candidacy) ObserveSeatHolders(holders []Entry, now time.Time) {
+	isFirst := candidacy.holdersObservedAt.IsZero()
+	candidacy.holdersObservedAt = now
 	before := slices.DeleteFunc(slices.Clone(holders), func(holder Entry) bool {
-		return holder == seat.options.Self || holder.compare(seat.options.Self) > 0
+		return holder == candidacy.options.Self || holder.compare(candidacy.options.Self) > 0
 	})
-	// Where a strong entry bears no more than one shard, each shard has an owner and one that takes its place.
-	seat.isSelected = seat.shardsPerStrong() == 1 || !seat.areSufficient(before) || seat.options.Self.Strong && len(before) < minStrongCandidates
+	// If a strong entry can run only one shard, all seat holders are candidates: an owner and a spare for
+	// each shard.
+	candidacy.isSelected = candidacy.shardsPerStrong() == 1 || !candidacy.areSufficient(before) || candidacy.options.Self.Strong && len(before) < minStrongCandidates
 	switch {
-	case seat.options.Self.Strong:
-	case !seat.wantsSeat:
-		seat.wantsSeat = first && slices.Contains(holders, seat.options.Self)
+	case candidacy.options.Self.Strong:
+	case !candidacy.wantsSeat:
+		candidacy.wantsSeat = isFirst && slices.Contains(holders, candidacy.options.Self)
 	default:
-		seat.updateWithdrawal(holders, now)
+		candidacy.updateWithdrawal(holders, now)
 	}
 }
 
-// updateWithdrawal has a weak entry leave that others do without.
-func (seat *Candidacy) updateWithdrawal(holders []Entry, now time.Time) {
-	if !seat.isRedundant(holders) {
-		seat.withdrawAt = time.Time{}
+// updateWithdrawal makes a weak entry give up its seats once it has been redundant for long enough.
+func (candidacy *Candidacy) updateWithdrawal(holders []Entry, now time.Time) {
+	if !candidacy.isRedundant(holders) {
+		candidacy.withdrawAt = time.Time{}
 		return
 	}
-	if seat.withdrawAt.IsZero() {
-		seat.withdrawAt = now.Add(withdrawDelay + seat.jitter(withdrawJitter))
+	if candidacy.withdrawAt.IsZero() {
+		candidacy.withdrawAt = now.Add(withdrawDelay + candidacy.jitter(withdrawJitter))
 	}
-	if !now.Before(seat.withdrawAt) {
-		seat.wantsSeat, seat.heldSeats, seat.withdrawAt = false, 0, time.Time{}
+	if !now.Before(candidacy.withdrawAt) {
+		candidacy.wantsSeat, candidacy.heldSeats, candidacy.withdrawAt = false, 0, time.Time{}
 	}
 }
 
-// isRedundant reports whether others do without this weak entry: others have the seats, or strong ones are enough. Where all seats
-// are held, strong ones may wait for the seat of this one.
-func (seat *Candidacy) isRedundant(holders []Entry) bool {
-	if seat.heldSeats == 0 {
-		return seat.areSufficient(holders)
+// isRedundant reports whether the other entries suffice without this weak one. An entry without seats is
+// redundant if the seat holders suffice. An entry with seats is redundant if the strong seat holders suffice,
+// or if all seats are held and some of them by strong entries, since further strong entries may be waiting
+// for a seat.
+func (candidacy *Candidacy) isRedundant(holders []Entry) bool {
+	if candidacy.heldSeats == 0 {
+		return candidacy.areSufficient(holders)
 	}
 	strong := slices.DeleteFunc(slices.Clone(holders), func(holder Entry) bool { return !holder.Strong })
-	return seat.areSufficient(strong) || len(strong) > 0 && len(holders) >= SeatCount(seat.options.Shards)
+	return candidacy.areSufficient(strong) || len(strong) > 0 && len(holders) >= SeatCount(candidacy.options.Shards)
 }
 
-// WantsSeat reports whether the entry is to ask the store for a seat.
-func (seat *Candidacy) WantsSeat() bool { return seat.wantsSeat }
+// WantsSeat reports whether the entry should request or keep seats at the store.
+func (candidacy *Candidacy) WantsSeat() bool { return candidacy.wantsSeat }
 
-// SetHeldSeats takes in how many seats the store has dealt the entry.
-func (seat *Candidacy) SetHeldSeats(seats int) { seat.heldSeats = seats }
+// SetHeldSeats records how many seats the store has assigned to the entry.
+func (candidacy *Candidacy) SetHeldSeats(seats int) { candidacy.heldSeats = seats }
 
-// Decide reports whether an entry that owns so many shards is a candidate. Where each shard has candidates of its own, one that
-// owns a shard stays, whatever becomes of its seat.
-func (seat *Candidacy) Decide(shards int, now time.Time) bool {
-	if seat.heldSeats > 0 && seat.isSelected || shards > 0 && seat.shardsPerStrong() == 1 {
-		seat.lastNeededAt = now
+// Decide reports whether the entry is a candidate from now on, given how many shards it owns. If a strong
+// entry can run only one shard, an entry that owns shards remains a candidate even after losing its seats.
+func (candidacy *Candidacy) Decide(ownedShards int, now time.Time) bool {
+	if candidacy.heldSeats > 0 && candidacy.isSelected || ownedShards > 0 && candidacy.shardsPerStrong() == 1 {
+		candidacy.lastNeededAt = now
 	}
-	seat.isCandidate = seat.wantsSeat && !seat.lastNeededAt.IsZero() && now.Sub(seat.lastNeededAt) < candidateHoldTime
-	return seat.isCandidate
+	candidacy.isCandidate = candidacy.wantsSeat && !candidacy.lastNeededAt.IsZero() && now.Sub(candidacy.lastNeededAt) < candidateHoldTime
+	return candidacy.isCandidate
 }
--- a/candidacy/main_test.go
+++ b/candidacy/main_test.go
@@ -7,12 +7,14 @@
 	"testing"
 )
 
-// seed has the draws of properties be the same in each run; -rapid.seed on the command line goes before it.
+// seed makes the property tests draw the same values in each run, unless -rapid.seed is given on the command
+// line.
 const seed = "20261203"
 
+// TestMain sets the seed of the property tests before flags are parsed.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", seed); err != nil {
-		fmt.Fprintln(os.Stderr, "seed the properties:", err)
+		fmt.Fprintln(os.Stderr, "set rapid.seed:", err)
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
