--- a/interference/evidence.go
+++ b/interference/evidence.go
@@ -6,105 +6,107 @@
 )
 
 const (
-	// maxReadings bounds what a weight is said to rest on, so that one that
-	// changes is learned anew within as many readings.
+	// maxReadings limits the number of readings that an estimate is based on, so that a weight that changes
+	// is learned again within the same number of readings.
 	maxReadings = 60.0
-	// remoteShare is the share of what others rest on that is taken in each time
-	// they are heard of, about once in 1.5 s.
+	// remoteShare is the share of the readings of other workers that is counted each time their estimate is
+	// merged, which happens about every 1.5 s.
 	remoteShare = 0.1
-	// firstRemoteShare is the same for the first time, so that a process that has just
-	// started goes by what is known at once.
+	// firstRemoteShare replaces remoteShare the first time, so that a process that has just started uses the
+	// estimate of other workers immediately.
 	firstRemoteShare = 0.6
 )
 
-// Estimate is a weight with the number of readings that it rests on, counted in
-// readings beside one core.
+// Estimate is an estimate of a weight and the number of readings that it is based on. The number is converted
+// to readings beside a fill task that uses one core.
 type Estimate struct {
 	Weight   float64
 	Readings int
 }
 
-// Differs reports whether an estimate differs from another one by a weight, or by a share of
-// the readings that the other rests on.
-func (known Estimate) Differs(other Estimate, weight, readings float64) bool {
-	return math.Abs(known.Weight-other.Weight) >= weight ||
-		math.Abs(float64(known.Readings-other.Readings)) >= readings*float64(max(other.Readings, 1))
+// Differs reports whether the weights of two estimates differ by at least minWeight, or their numbers of
+// readings by at least the fraction minReadings of the number of other.
+func (estimate Estimate) Differs(other Estimate, minWeight, minReadings float64) bool {
+	return math.Abs(estimate.Weight-other.Weight) >= minWeight ||
+		math.Abs(float64(estimate.Readings-other.Readings)) >= minReadings*float64(max(other.Readings, 1))
 }
 
-// evidence is what this worker's own readings have taught of a pair, apart from what
-// other workers' have: only what was read here is told on.
+// evidence is what the readings of this worker contribute to the estimate for a pair of images. It is kept
+// apart from the contribution of other workers, because a worker reports only its own readings.
 type evidence struct {
-	// weightSum adds up the weights that readings spoke for, count how many they were.
+	// weightSum is the sum of the weights that the readings suggest, and readingCount the number of readings.
 	weightSum, readingCount float64
-	// hasRemote is set once others' estimate has been heard.
+	// hasRemote is set once an estimate of other workers has been merged.
 	hasRemote bool
-	// lastSeenAt is when the pair was last read here, or heard of from others.
+	// lastSeenAt is when the pair last occurred in a reading or in an estimate of other workers.
 	lastSeenAt time.Time
 }
 
-// weight returns the weight that the evidence speaks for.
-func (own *evidence) weight() float64 {
-	if own.readingCount == 0 {
+// weight returns the mean of the weights that the readings suggest.
+func (e *evidence) weight() float64 {
+	if e.readingCount == 0 {
 		return priorWeight
 	}
-	return clampWeight(own.weightSum / own.readingCount)
+	return clampWeight(e.weightSum / e.readingCount)
 }
 
-// add takes in that a reading moved a weight and lowered its variance: as many
-// readings beside one core as lower it so far, of the weight that moves it so far.
-func (own *evidence) add(before, after gaussian) {
+// add records how a reading changed the estimate of the weight. The change is expressed as a number of
+// readings beside one core that would have reduced the variance as much, and as the weight that these
+// readings must have suggested to move the mean as far.
+func (e *evidence) add(before, after gaussian) {
 	count := priorWeightVariance * (1/after.variance - 1/before.variance)
 	if count <= 0 {
 		return
 	}
-	spokenFor := before.mean + (after.mean-before.mean)*priorWeightVariance/(after.variance*count)
-	own.weightSum += count * min(max(spokenFor, -maxWeight), maxWeight)
-	own.readingCount += count
-	if own.readingCount > maxReadings {
-		own.weightSum *= maxReadings / own.readingCount
-		own.readingCount = maxReadings
+	suggested := before.mean + (after.mean-before.mean)*priorWeightVariance/(after.variance*count)
+	e.weightSum += count * min(max(suggested, -maxWeight), maxWeight)
+	e.readingCount += count
+	if e.readingCount > maxReadings {
+		e.weightSum *= maxReadings / e.readingCount
+		e.readingCount = maxReadings
 	}
 }
 
-// LocalEstimate returns what this worker's own readings have taught of a pair.
+// LocalEstimate returns the estimate for a pair that the readings of this worker suggest.
 func (model *Model) LocalEstimate(pair Pair) Estimate {
-	state, known := model.images[pair.Serving]
-	if !known || state.evidence[pair.Fill] == nil {
+	state, found := model.images[pair.Serving]
+	if !found || state.evidence[pair.Fill] == nil {
 		return Estimate{}
 	}
 	return state.evidence[pair.Fill].estimate()
 }
 
-// estimate returns what the evidence speaks for.
-func (own *evidence) estimate() Estimate {
-	return Estimate{Weight: own.weight(), Readings: int(own.readingCount)}
+// estimate returns the estimate that the readings suggest.
+func (e *evidence) estimate() Estimate {
+	return Estimate{Weight: e.weight(), Readings: int(e.readingCount)}
 }
 
-// LocalEstimates returns what this worker's own readings have taught.
+// LocalEstimates returns the estimates that the readings of this worker suggest. It includes pairs that are
+// known only from other workers, with 0 readings.
 func (model *Model) LocalEstimates() map[Pair]Estimate {
-	learned := map[Pair]Estimate{}
+	estimates := map[Pair]Estimate{}
 	for serving, state := range model.images {
-		for fill, own := range state.evidence {
-			learned[Pair{serving, fill}] = own.estimate()
+		for fill, evidence := range state.evidence {
+			estimates[Pair{serving, fill}] = evidence.estimate()
 		}
 	}
-	return learned
+	return estimates
 }
 
-// MergeRemoteEstimate takes in what the models of other workers have learned.
-func (model *Model) MergeRemoteEstimate(pair Pair, learned Estimate, now time.Time) {
-	if learned.Readings <= 0 {
+// MergeRemoteEstimate updates the model with an estimate that is based on the readings of other workers.
+func (model *Model) MergeRemoteEstimate(pair Pair, remote Estimate, now time.Time) {
+	if remote.Readings <= 0 {
 		return
 	}
 	state := model.imageStateOf(pair.Serving)
 	state.trackFill(pair.Fill, now)
 	weight := state.filter.estimate(weightOf(pair.Fill)).mean
 	share := remoteShare
-	if own := state.evidence[pair.Fill]; !own.hasRemote {
-		own.hasRemote = true
+	if evidence := state.evidence[pair.Fill]; !evidence.hasRemote {
+		evidence.hasRemote = true
 		share = firstRemoteShare
 	}
-	counts := min(float64(learned.Readings), maxReadings) * share
-	state.filter.update([]term{{weightOf(pair.Fill), 1}}, clampWeight(learned.Weight)-weight, priorWeightVariance/counts)
+	count := min(float64(remote.Readings), maxReadings) * share
+	state.filter.update([]term{{weightOf(pair.Fill), 1}}, clampWeight(remote.Weight)-weight, priorWeightVariance/count)
 	state.clamp()
 }
--- a/interference/filter.go
+++ b/interference/filter.go
@@ -1,151 +1,152 @@
 package interference
 
-// variable names one of the values that a filter estimates.
+// variable identifies one of the state variables of a filter.
 type variable struct {
 	kind variableKind
-	name string
+	name string // of the task or the image, depending on the kind
 }
 
+// variableKind is the kind of a state variable.
 type variableKind int
 
 const (
-	levelVariable  variableKind = iota // headroom that the named task has by itself
-	slopeVariable                      // change of that level a second
-	weightVariable                     // headroom that a core of the named filling image takes
+	levelVariable  variableKind = iota // headroom of the named serving task without any fill tasks
+	slopeVariable                      // change of that level per second
+	weightVariable                     // headroom taken by each core of the named fill image
 )
 
 func levelOf(task string) variable  { return variable{levelVariable, task} }
 func slopeOf(task string) variable  { return variable{slopeVariable, task} }
 func weightOf(fill string) variable { return variable{weightVariable, fill} }
 
-// term is a part of a sum, with its factor.
+// term is a variable and its coefficient in a linear combination.
 type term struct {
 	variable    variable
 	coefficient float64
 }
 
-// gaussian is what is known of a part: it is about the mean, off by the square root of
-// the variance.
+// gaussian is a normal distribution.
 type gaussian struct{ mean, variance float64 }
 
-// filter is a Kalman filter: it estimates values of which only sums are read. It
-// keeps how errors go together, so that a sum which stays the same while one of its
-// parts is known to change teaches nothing about the others.
+// filter is a Kalman filter. It estimates variables of which only linear combinations can be measured.
+// Because of the covariances, a measurement that doesn't change although one variable is known to have
+// changed does not affect the estimates of the other variables.
 type filter struct {
 	variables []variable
 	mean      []float64
-	// covariance holds the covariance of each two parts.
+	// covariance is the covariance matrix. Its rows and columns are in the order of variables.
 	covariance [][]float64
 }
 
-// indexOf returns the position of a part, or -1.
-func (known *filter) indexOf(wanted variable) int {
-	for position, has := range known.variables {
-		if has == wanted {
-			return position
+// indexOf returns the index of a variable, or -1 if the filter doesn't contain it.
+func (f *filter) indexOf(wanted variable) int {
+	for index, variable := range f.variables {
+		if variable == wanted {
+			return index
 		}
 	}
 	return -1
 }
 
-// estimate returns the estimate of a part, which must be known.
-func (known *filter) estimate(wanted variable) gaussian {
-	position := known.indexOf(wanted)
-	return gaussian{known.mean[position], known.covariance[position][position]}
+// estimate returns the estimate of a variable, which must be in the filter.
+func (f *filter) estimate(variable variable) gaussian {
+	index := f.indexOf(variable)
+	return gaussian{f.mean[index], f.covariance[index][index]}
 }
 
-// add begins to estimate a part.
-func (known *filter) add(wanted variable, first gaussian) {
-	known.variables = append(known.variables, wanted)
-	known.mean = append(known.mean, first.mean)
-	for position := range known.covariance {
-		known.covariance[position] = append(known.covariance[position], 0)
+// add adds a variable that is not correlated with the others.
+func (f *filter) add(variable variable, initial gaussian) {
+	f.variables = append(f.variables, variable)
+	f.mean = append(f.mean, initial.mean)
+	for index := range f.covariance {
+		f.covariance[index] = append(f.covariance[index], 0)
 	}
-	row := make([]float64, len(known.variables))
-	row[len(row)-1] = first.variance
-	known.covariance = append(known.covariance, row)
+	row := make([]float64, len(f.variables))
+	row[len(row)-1] = initial.variance
+	f.covariance = append(f.covariance, row)
 }
 
-// remove ends the estimate of a part.
-func (known *filter) remove(unwanted variable) {
-	gone := known.indexOf(unwanted)
-	if gone < 0 {
+// remove removes a variable if the filter contains it.
+func (f *filter) remove(variable variable) {
+	removed := f.indexOf(variable)
+	if removed < 0 {
 		return
 	}
-	known.variables = append(known.variables[:gone], known.variables[gone+1:]...)
-	known.mean = append(known.mean[:gone], known.mean[gone+1:]...)
-	known.covariance = append(known.covariance[:gone], known.covariance[gone+1:]...)
-	for position, row := range known.covariance {
-		known.covariance[position] = append(row[:gone], row[gone+1:]...)
+	f.variables = append(f.variables[:removed], f.variables[removed+1:]...)
+	f.mean = append(f.mean[:removed], f.mean[removed+1:]...)
+	f.covariance = append(f.covariance[:removed], f.covariance[removed+1:]...)
+	for index, row := range f.covariance {
+		f.covariance[index] = append(row[:removed], row[removed+1:]...)
 	}
 }
 
-// addScaled adds factor times one part to another, as time does to a level with a
-// slope.
-func (known *filter) addScaled(to, from variable, factor float64) {
-	target, source := known.indexOf(to), known.indexOf(from)
-	known.mean[target] += factor * known.mean[source]
-	for other := range known.variables {
-		known.covariance[target][other] += factor * known.covariance[source][other]
+// addScaled adds factor times one variable to another one. With the elapsed time as factor, it extrapolates a
+// level by its slope.
+func (f *filter) addScaled(to, from variable, factor float64) {
+	target, source := f.indexOf(to), f.indexOf(from)
+	f.mean[target] += factor * f.mean[source]
+	for other := range f.variables {
+		f.covariance[target][other] += factor * f.covariance[source][other]
 	}
-	for other := range known.variables {
-		known.covariance[other][target] += factor * known.covariance[other][source]
+	for other := range f.variables {
+		f.covariance[other][target] += factor * f.covariance[other][source]
 	}
 }
 
-// scale moves a part towards zero, keeping a share of it.
-func (known *filter) scale(wanted variable, share float64) {
-	target := known.indexOf(wanted)
-	known.mean[target] *= share
-	for other := range known.variables {
-		known.covariance[target][other] *= share
+// scale multiplies a variable by factor.
+func (f *filter) scale(variable variable, factor float64) {
+	target := f.indexOf(variable)
+	f.mean[target] *= factor
+	for other := range f.variables {
+		f.covariance[target][other] *= factor
 	}
-	for other := range known.variables {
-		known.covariance[other][target] *= share
+	for other := range f.variables {
+		f.covariance[other][target] *= factor
 	}
 }
 
-// addVariance adds to the variance of a part, up to a most.
-func (known *filter) addVariance(wanted variable, variance, most float64) {
-	position := known.indexOf(wanted)
-	before := known.covariance[position][position]
-	known.covariance[position][position] = max(before, min(before+variance, most))
+// addVariance increases the variance of a variable up to limit. A variance that already exceeds limit stays
+// as it is.
+func (f *filter) addVariance(variable variable, variance, limit float64) {
+	index := f.indexOf(variable)
+	before := f.covariance[index][index]
+	f.covariance[index][index] = max(before, min(before+variance, limit))
 }
 
-// predict returns what a sum is expected to be.
-func (known *filter) predict(sum []term) float64 {
+// predict returns the expected value of a linear combination.
+func (f *filter) predict(terms []term) float64 {
 	expected := 0.0
-	for _, of := range sum {
-		expected += of.coefficient * known.mean[known.indexOf(of.variable)]
+	for _, term := range terms {
+		expected += term.coefficient * f.mean[f.indexOf(term.variable)]
 	}
 	return expected
 }
 
-// update takes in that a sum was read as surprise higher than expected, where the
-// reading itself has the variance noise.
-func (known *filter) update(sum []term, surprise, noise float64) {
-	shared := known.covarianceWith(sum)
-	total := noise
-	for _, of := range sum {
-		total += of.coefficient * shared[known.indexOf(of.variable)]
+// update updates the estimates with a measurement of a linear combination. The innovation is the difference
+// between the measurement and the result of predict, and noiseVariance the variance of the measurement error.
+func (f *filter) update(terms []term, innovation, noiseVariance float64) {
+	covariance := f.covarianceWith(terms)
+	innovationVariance := noiseVariance
+	for _, term := range terms {
+		innovationVariance += term.coefficient * covariance[f.indexOf(term.variable)]
 	}
-	for row := range shared {
-		gain := shared[row] / total
-		known.mean[row] += gain * surprise
-		for column := range shared {
-			known.covariance[row][column] -= gain * shared[column]
+	for row := range covariance {
+		gain := covariance[row] / innovationVariance
+		f.mean[row] += gain * innovation
+		for column := range covariance {
+			f.covariance[row][column] -= gain * covariance[column]
 		}
 	}
 }
 
-// covarianceWith returns the covariance of each part with a sum.
-func (known *filter) covarianceWith(sum []term) []float64 {
-	shared := make([]float64, len(known.variables))
-	for _, of := range sum {
-		position := known.indexOf(of.variable)
-		for other := range shared {
-			shared[other] += of.coefficient * known.covariance[other][position]
+// covarianceWith returns the covariance of each variable with a linear combination.
+func (f *filter) covarianceWith(terms []term) []float64 {
+	covariance := make([]float64, len(f.variables))
+	for _, term := range terms {
+		index := f.indexOf(term.variable)
+		for other := range covariance {
+			covariance[other] += term.coefficient * f.covariance[other][index]
 		}
 	}
-	return shared
+	return covariance
 }
--- a/interference/image.go
+++ b/interference/image.go
@@ -6,58 +6,55 @@
 )
 
 const (
-	// priorWeight is what a pair that was never seen together is given, and
-	// priorWeightDeviation by how much it may be off. Of the pairs that were measured,
-	// four in five take less than 0.1 of headroom a core, the others 0.3 to 0.8.
+	// priorWeight is the initial estimate for a pair of images without readings, and priorWeightDeviation its
+	// standard deviation. Of the measured pairs, four in five have a weight below 0.1, the others 0.3 to 0.8.
 	priorWeight          = 0.12
 	priorWeightDeviation = 0.25
 	priorWeightVariance  = priorWeightDeviation * priorWeightDeviation
-	// weightDrift is the variance that a weight gains each second: disturbance
-	// shifts while tasks run.
+	// weightDrift is the variance that a weight gains each second, since interference shifts while tasks run.
 	weightDrift = 0.0005
-	// maxWeight bounds what one outlier can teach.
+	// maxWeight limits the effect of a single outlier.
 	maxWeight = 2.0
-	// noiseWeight is below what the readings of pairs that don't disturb teach: no
-	// fill is slowed or turned away for less.
+	// noiseWeight is the weight that noise in the readings may suggest for a pair without any interference.
+	// No fill task is throttled or turned away because of a smaller weight.
 	noiseWeight = 0.12
 
-	// priorLevel and priorLevelVariance are what is expected of a task that was not
-	// read before: measured levels are 1.5 to 3.4.
+	// priorLevel and priorLevelVariance are the initial estimate for a task without readings. Measured levels
+	// are 1.5 to 3.4.
 	priorLevel         = 2.3
 	priorLevelVariance = 0.5
-	// minLevel and maxLevel bound a level: a task that misses its target by
-	// itself, and one without any load.
+	// minLevel and maxLevel bound the level: a task that misses its target without any fill tasks is at the
+	// lower bound, a task without load at the upper one.
 	minLevel = 0.5
 	maxLevel = 5.0
-	// levelDrift and slopeDrift are the variances that a level and its slope gain
-	// each second, and slopeRetention is what is left of a slope after one: a load that
-	// swings by half within 10 s changes the slope by 0.35 a second at most.
+	// levelDrift and slopeDrift are the variances that a level and its slope gain each second, and
+	// slopeRetention is the fraction of a slope that remains after one second. A load that changes by half
+	// within 10 s changes the slope by at most 0.35 per second.
 	levelDrift     = 0.01
 	slopeDrift     = 0.06
 	slopeRetention = 0.85
 )
 
-// imageState is what is known of the tasks of one serving image.
+// imageState is the state of the model for one serving image.
 type imageState struct {
 	filter filter
-	// evidence holds the evidence for each filling image.
+	// evidence is the evidence from local readings, by fill image.
 	evidence map[string]*evidence
-	// advancedAt is the time that the estimates hold for.
+	// advancedAt is the time to which the estimates apply.
 	advancedAt time.Time
 }
 
-// imageStateOf returns what is known of a serving image.
+// imageStateOf returns the state for a serving image and creates it if necessary.
 func (model *Model) imageStateOf(image string) *imageState {
-	state, known := model.images[image]
-	if !known {
+	state, found := model.images[image]
+	if !found {
 		state = &imageState{evidence: map[string]*evidence{}}
 		model.images[image] = state
 	}
 	return state
 }
 
-// trackFill begins to estimate the weight of a filling image that is new, and notes
-// that it has been heard of.
+// trackFill adds a fill image to the filter unless it is there already, and records that it was seen.
 func (state *imageState) trackFill(fill string, now time.Time) {
 	if state.evidence[fill] == nil {
 		state.evidence[fill] = &evidence{}
@@ -66,16 +63,17 @@
 	state.evidence[fill].lastSeenAt = now
 }
 
-// forgetAfter is how long a pair is remembered that is not heard of. A filter's work
-// grows with the square of the images that it knows, so none is kept for ever; work
-// that comes once an hour finds what was learned of it.
+// forgetAfter is how long a pair of images is kept after it was last seen. The cost of a filter update grows
+// with the square of the number of fill images, so pairs can't be kept forever. The time is long enough to
+// keep the estimates for batch work that runs once an hour.
 const forgetAfter = 2 * time.Hour
 
-// forgetStalePairs ends the estimates of pairs that have not been heard of for long.
+// forgetStalePairs removes pairs that have not been seen for forgetAfter, and serving images without any
+// estimates.
 func (model *Model) forgetStalePairs(now time.Time) {
 	for _, state := range model.images {
-		for fill, own := range state.evidence {
-			if now.Sub(own.lastSeenAt) > forgetAfter {
+		for fill, evidence := range state.evidence {
+			if now.Sub(evidence.lastSeenAt) > forgetAfter {
 				delete(state.evidence, fill)
 				state.filter.remove(weightOf(fill))
 			}
@@ -88,37 +86,37 @@
 	}
 }
 
-// advance carries the estimates on to now.
+// advance is the prediction step of the filter: it extrapolates the estimates to now.
 func (state *imageState) advance(now time.Time) {
 	if state.advancedAt.IsZero() {
 		state.advancedAt = now
 	}
-	passed := now.Sub(state.advancedAt).Seconds()
-	if passed <= 0 {
+	elapsed := now.Sub(state.advancedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
 	state.advancedAt = now
-	for _, known := range state.filter.variables {
-		switch known.kind {
+	for _, variable := range state.filter.variables {
+		switch variable.kind {
 		case levelVariable:
-			state.filter.addScaled(known, slopeOf(known.name), passed)
-			state.filter.addVariance(known, levelDrift*passed, math.Inf(1))
+			state.filter.addScaled(variable, slopeOf(variable.name), elapsed)
+			state.filter.addVariance(variable, levelDrift*elapsed, math.Inf(1))
 		case slopeVariable:
-			state.filter.scale(known, math.Pow(slopeRetention, passed))
-			state.filter.addVariance(known, slopeDrift*passed, math.Inf(1))
+			state.filter.scale(variable, math.Pow(slopeRetention, elapsed))
+			state.filter.addVariance(variable, slopeDrift*elapsed, math.Inf(1))
 		case weightVariable:
-			state.filter.addVariance(known, weightDrift*passed, priorWeightVariance)
+			state.filter.addVariance(variable, weightDrift*elapsed, priorWeightVariance)
 		}
 	}
 	state.clamp()
 }
 
-// clamp keeps estimates within what can be; a weight may be below zero by as much as
-// noise teaches.
+// clamp limits the estimates to possible values. A weight may become negative, but only by as much as noise
+// in the readings may suggest.
 func (state *imageState) clamp() {
-	for position, known := range state.filter.variables {
+	for position, variable := range state.filter.variables {
 		mean := &state.filter.mean[position]
-		switch known.kind {
+		switch variable.kind {
 		case levelVariable:
 			*mean = min(max(*mean, minLevel), maxLevel)
 		case weightVariable:
@@ -127,36 +125,37 @@
 	}
 }
 
-// update takes in a reading of a sum and keeps what it taught of weights.
-func (state *imageState) update(sum []term, surprise, noise float64) {
+// update updates the filter with a local reading; see filter.update. It records as evidence how the reading
+// changed the weights.
+func (state *imageState) update(terms []term, innovation, noiseVariance float64) {
 	before := state.weights()
-	state.filter.update(sum, surprise, noise)
-	for fill, own := range state.evidence {
-		own.add(before[fill], state.filter.estimate(weightOf(fill)))
+	state.filter.update(terms, innovation, noiseVariance)
+	for fill, evidence := range state.evidence {
+		evidence.add(before[fill], state.filter.estimate(weightOf(fill)))
 	}
 	state.clamp()
 }
 
-// weights returns the estimates of all weights, by filling image.
+// weights returns the estimates of all weights by fill image.
 func (state *imageState) weights() map[string]gaussian {
-	known := make(map[string]gaussian, len(state.evidence))
+	weights := make(map[string]gaussian, len(state.evidence))
 	for fill := range state.evidence {
-		known[fill] = state.filter.estimate(weightOf(fill))
+		weights[fill] = state.filter.estimate(weightOf(fill))
 	}
-	return known
+	return weights
 }
 
-// weight returns the headroom that a core of a filling image takes.
+// weight returns how much headroom each core of a fill image takes from a task of a serving image.
 func (model *Model) weight(serving, fill string) float64 {
-	state, known := model.images[serving]
-	if !known || state.evidence[fill] == nil {
+	state, found := model.images[serving]
+	if !found || state.evidence[fill] == nil {
 		return priorWeight
 	}
 	return clampWeight(state.filter.estimate(weightOf(fill)).mean)
 }
 
-// significantWeight returns the weight that decisions go by: one that is within what
-// noise teaches counts as none.
+// significantWeight is like weight, but returns 0 for a weight that may be due to noise. It is the basis of
+// decisions against individual tasks.
 func (model *Model) significantWeight(serving, fill string) float64 {
 	weight := model.weight(serving, fill)
 	if weight < noiseWeight {
@@ -165,5 +164,5 @@
 	return weight
 }
 
-// clampWeight keeps a weight within what can be.
+// clampWeight limits a weight to possible values.
 func clampWeight(weight float64) float64 { return min(max(weight, 0), maxWeight) }
--- a/interference/interference.go
+++ b/interference/interference.go
@@ -1,44 +1,49 @@
-// Package interference estimates how much tasks that fill a worker disturb the
-// tasks that serve there, and how fast each may go so that the serving ones keep
-// their target tails.
+// Package interference estimates how much the fill tasks on a worker slow down its serving tasks, and decides
+// how fast each fill task may run so that the serving tasks keep their latency targets.
 //
-// # The model
+// A serving task handles requests and has a target for its tail latency. A fill task is a batch task that
+// runs on the processor time that other tasks leave unused. Both kinds share caches, memory bandwidth and
+// processors, so a fill task may increase the tail latency of a serving task.
 //
-// A serving task behaves like a queue: its tail is in proportion to 1/(1-u) where u
-// is how far it is utilised. What it has left, its headroom, is its target divided
-// by its tail: in proportion to 1-u, 1 at the target, above 1 below it. Load and
-// disturbance add up in u, so the headroom is a level of the task's own, which
-// follows its load, less a weight for each pair of images times the cores that the
-// filling tasks of that image use. The logarithm of the tail, which an earlier model
-// took for the sum, explains less of the readings, and by it every task beside a
-// queue that overflows seems to disturb.
+// # Model
 //
-// Levels and weights are learned together, by a Kalman filter for each serving image:
-// levels move by themselves and weights hardly, so that a load that rises is not taken
-// for the doing of what happens to run.
+// A serving task is modelled as a queue with utilisation u, whose tail latency is proportional to 1/(1-u).
+// The headroom of the task is its target divided by its tail latency. It is proportional to 1-u, 1 at the
+// target and greater than 1 below the target. Load and interference add up in u. Therefore the headroom is
+// the sum of a level, which belongs to the task and follows its load, and of a negative contribution of each
+// fill image: the processor cores that its tasks use, times a weight for the pair of serving image and fill
+// image.
 //
-// A filter is moved on by the time that has passed, then takes in a reading. Only the
-// weights that a worker's own readings speak for are told to others, so that none comes
-// back as if it had been read twice.
+// A model that adds up contributions to the logarithm of the tail latency explains less of the readings. It
+// also attributes interference to every fill task that runs beside an overloaded serving task.
+//
+// Levels and weights are estimated together by a Kalman filter for each serving image. The filter lets levels
+// change by themselves and weights hardly at all, so that an increase in load is not attributed to the fill
+// tasks that happen to run at the time.
+//
+// For each reading, the filter is first advanced by the elapsed time and then updated. Workers exchange their
+// estimates of weights, but each of them reports only what its own readings contribute. Otherwise a reading
+// could come back from other workers and be counted twice.
 //
 // # Decisions
 //
-// Filling tasks are slowed, those that disturb the most for each core first, until the
-// level a moment ahead bears them. If a target is missed all the same, what is done
-// goes by how long it has been: first suspects are held back, then they hardly work,
-// then nothing that fills does. Places are judged by the level ahead.
+// Fill tasks are throttled, starting with those of the greatest weight, until the level expected a moment
+// ahead leaves enough headroom. If a target is missed nevertheless, the reaction depends on how long the miss
+// lasts: first, fill tasks that may be the cause are throttled, then they are reduced to the minimum pace,
+// and finally all fill tasks are. The tolerance for further fill tasks is derived from the level expected
+// while a new task would run.
 //
 // # Usage
 //
 //	model := interference.New(4 * time.Second)
 //	model.Observe(servings, fills, now)
 //	paces := model.Paces(servings, fills)
-//	room := model.Tolerance(servings, fills, image)
+//	tolerated := model.Tolerance(servings, fills, image)
 //
-// Cores are whole cores as a float, tails and targets are in milliseconds, paces
-// are shares from 0 to 1, weights are headroom for each core. Nothing fails: what is not
-// known is expected to be like what was measured on other pairs. Figures and ways that
-// were weighed: docs/MEASUREMENTS.md, "Rounds on interference".
+// Processor usage is in cores, tail latencies and targets are in milliseconds, paces are fractions of full
+// speed from 0 to 1, and weights are headroom for each core. No function returns an error: unknown pairs of
+// images are assumed to behave like the pairs that have been measured. Measurements and alternatives that
+// were considered are in docs/MEASUREMENTS.md, "Rounds on interference".
 package interference
 
 import (
@@ -47,57 +52,57 @@
 	"time"
 )
 
-// Pair names a serving and a filling image.
+// Pair is a serving image and a fill image.
 type Pair struct{ Serving, Fill string }
 
-// ServingTask is a task that serves, with its newest reading.
+// ServingTask is a serving task with its latest reading.
 type ServingTask struct {
 	Task, Image      string
 	TailMs, TargetMs float64
 }
 
-// headroom returns the target divided by the tail.
+// headroom returns the target divided by the tail latency.
 func (serving ServingTask) headroom() float64 { return serving.TargetMs / serving.TailMs }
 
-// hasReading reports whether the worker has told a tail of the task yet.
+// hasReading reports whether the worker has reported a tail latency for the task.
 func (serving ServingTask) hasReading() bool { return serving.TailMs > 0 && serving.TargetMs > 0 }
 
-// FillTask is a task that fills: the cores that it uses at full pace and those that it
-// used by its newest reading. A movable one goes on elsewhere from where it is
-// stopped.
+// FillTask is a fill task with its latest reading.
 type FillTask struct {
-	Task, Image      string
+	Task, Image string
+	// Cores is what the task uses at full pace, UsedCores what it used according to the latest reading.
 	Cores, UsedCores float64
-	Movable          bool
-	// HasSlack is set for one whose job has time to spare.
+	// Movable is set if the task can be stopped and can continue on another worker from where it was stopped.
+	Movable bool
+	// HasSlack is set if the job of the task would still be in time if the task ran slower, or will be late
+	// in any case. Such tasks are throttled before others.
 	HasSlack bool
 }
 
-// Model learns from the readings of one worker.
+// Model learns from the readings of one worker. It is not safe for concurrent use.
 type Model struct {
-	maxMiss      time.Duration // how long a target may be missed on end
-	images       map[string]*imageState
-	servingTasks map[string]*servingState
-	// presentFills holds the filling tasks of the last reading.
+	maxMiss      time.Duration            // how long a target may be missed without interruption
+	images       map[string]*imageState   // by serving image
+	servingTasks map[string]*servingState // by task
+	// presentFills is the set of fill tasks in the latest reading.
 	presentFills map[string]bool
 }
 
-// New returns a model that has learned nothing. A target may be missed for the
-// allowed time on end.
-func New(allowed time.Duration) *Model {
+// New returns a model without any readings. Targets may be missed for up to maxMiss without interruption.
+func New(maxMiss time.Duration) *Model {
 	return &Model{
-		maxMiss: allowed,
+		maxMiss: maxMiss,
 		images:  map[string]*imageState{}, servingTasks: map[string]*servingState{}, presentFills: map[string]bool{},
 	}
 }
 
-// FillImages returns the filling images that the model knows.
+// FillImages returns the fill images for which the model has an estimate, sorted.
 func (model *Model) FillImages() []string {
-	known := map[string]bool{}
+	images := map[string]bool{}
 	for _, state := range model.images {
 		for fill := range state.evidence {
-			known[fill] = true
+			images[fill] = true
 		}
 	}
-	return slices.Sorted(maps.Keys(known))
+	return slices.Sorted(maps.Keys(images))
 }
--- a/interference/learning.go
+++ b/interference/learning.go
@@ -7,44 +7,46 @@
 )
 
 const (
-	// readingDeviation is by how much a reading is off without any cause that is
-	// known, and fillChangeDeviation what is added when filling tasks came or went
-	// within the time that it looks back over.
+	// readingDeviation is the standard deviation of a headroom that was read, without any known cause.
+	// fillChangeDeviation is added if fill tasks have started or ended within the time that the reading
+	// covers.
 	readingDeviation    = 0.15
 	fillChangeDeviation = 0.3
-	// roundingDeviation is that of a tail told in whole milliseconds, in them.
+	// roundingDeviation is the standard deviation, in milliseconds, that results from rounding tail latencies
+	// to whole milliseconds.
 	roundingDeviation = 0.29
-	// minReadingInterval keeps readings apart that look back over much the same half second.
+	// minReadingInterval is the least time between two readings. Each reading covers half a second, so
+	// readings that follow more closely would contain mostly the same requests.
 	minReadingInterval = 300 * time.Millisecond
-	// saturationThreshold is the headroom below which a reading says little more than that the
-	// queue overflows: it is read as overflown, and by how much it may be off is
+	// saturationThreshold is the headroom below which a reading shows only that the serving task is
+	// saturated, but not by how much. Such a reading counts as saturatedHeadroom with the standard deviation
 	// saturatedDeviation.
 	saturationThreshold = 0.25
 	saturatedHeadroom   = -0.3
 	saturatedDeviation  = 0.7
 )
 
-// Observe learns from one reading of a worker.
+// Observe updates the model with a reading of all tasks on the worker.
 func (model *Model) Observe(servings []ServingTask, fills []FillTask, now time.Time) {
-	here := map[string]bool{}
+	present := map[string]bool{}
 	used := usedCoresByImage(fills)
 	changed := model.updatePresentFills(fills)
 	for _, serving := range servings {
-		here[serving.Task] = true
+		present[serving.Task] = true
 		if serving.hasReading() {
 			model.observeTask(serving, used, changed, now)
 			model.servingTasks[serving.Task].updateMiss(serving, model.maxMiss, now)
 		}
 	}
-	model.forgetEndedTasks(here)
+	model.forgetEndedTasks(present)
 	model.forgetStalePairs(now)
 }
 
-// forgetEndedTasks ends the estimates of serving tasks that are not here any more. What
-// their image's tasks taught of weights stays.
-func (model *Model) forgetEndedTasks(here map[string]bool) {
+// forgetEndedTasks removes the levels of serving tasks that are no longer present. The weights that were
+// learned from them remain.
+func (model *Model) forgetEndedTasks(present map[string]bool) {
 	for task, state := range model.servingTasks {
-		if !here[task] {
+		if !present[task] {
 			delete(model.servingTasks, task)
 			state.image.filter.remove(levelOf(task))
 			state.image.filter.remove(slopeOf(task))
@@ -52,8 +54,8 @@
 	}
 }
 
-// updatePresentFills takes note of which filling tasks there are and reports whether any
-// came or went.
+// updatePresentFills replaces the set of fill tasks and reports whether any have started or ended since the
+// reading before.
 func (model *Model) updatePresentFills(fills []FillTask) bool {
 	present := make(map[string]bool, len(fills))
 	changed := len(fills) != len(model.presentFills)
@@ -65,7 +67,7 @@
 	return changed
 }
 
-// usedCoresByImage sums what the tasks of each image use.
+// usedCoresByImage returns how many cores the fill tasks of each image use in total.
 func usedCoresByImage(fills []FillTask) map[string]float64 {
 	used := map[string]float64{}
 	for _, fill := range fills {
@@ -74,38 +76,39 @@
 	return used
 }
 
-// observeTask learns from a reading of one serving task.
+// observeTask updates the filter with the reading of one serving task. The cores used by fill tasks are given
+// by fill image, and changed is set if fill tasks have started or ended since the reading before.
 func (model *Model) observeTask(serving ServingTask, used map[string]float64, changed bool, now time.Time) {
-	state, known := model.servingTasks[serving.Task]
-	if !known {
+	state, found := model.servingTasks[serving.Task]
+	if !found {
 		state = model.addServingTask(serving)
 	} else if now.Sub(state.readAt) < minReadingInterval {
 		return
 	}
 	state.readAt = now
 	state.image.advance(now)
-	sum := state.headroomTerms(used, now)
+	terms := state.headroomTerms(used, now)
 	headroom := serving.headroom()
 	rising := headroom > state.lastHeadroom
 	state.lastHeadroom = headroom
-	expected := state.image.filter.predict(sum)
+	expected := state.image.filter.predict(terms)
 	if serving.isSaturated() {
 		if expected < saturationThreshold {
 			return
 		}
 		headroom = saturatedHeadroom
 	}
-	surprise := headroom - expected
-	// A queue takes a while to build up and to drain, and a reading looks back
-	// over half a second: a headroom that already rises accuses what has gone by,
-	// one that still falls excuses nothing.
-	if surprise < 0 && rising {
+	innovation := headroom - expected
+	// A queue takes a while to build up and to drain, and a reading covers half a second. If the headroom is
+	// below the expected value but rising again, the cause is already over and must not be attributed to the
+	// fill tasks that run now. If it is below the expected value and still falling, the reading counts.
+	if innovation < 0 && rising {
 		return
 	}
-	state.image.update(sum, surprise, readingVariance(serving, changed))
+	state.image.update(terms, innovation, readingVariance(serving, changed))
 }
 
-// addServingTask begins to estimate the level of a serving task.
+// addServingTask adds the level and the slope of a serving task to the filter of its image.
 func (model *Model) addServingTask(serving ServingTask) *servingState {
 	image := model.imageStateOf(serving.Image)
 	image.filter.add(levelOf(serving.Task), gaussian{priorLevel, priorLevelVariance})
@@ -115,22 +118,22 @@
 	return state
 }
 
-// headroomTerms returns the sum that a reading of the task shows beside cores that
-// filling images use.
+// headroomTerms returns the headroom of the task as a linear combination of its level and of the weights of
+// the fill images, given how many cores the tasks of each fill image use.
 func (state *servingState) headroomTerms(used map[string]float64, now time.Time) []term {
-	sum := []term{{levelOf(state.task), 1}}
-	// In a fixed order, so that the same readings always teach the same.
+	terms := []term{{levelOf(state.task), 1}}
+	// The order is fixed so that the same readings always lead to the same estimates.
 	for _, image := range slices.Sorted(maps.Keys(used)) {
 		state.image.trackFill(image, now)
-		sum = append(sum, term{weightOf(image), -used[image]})
+		terms = append(terms, term{weightOf(image), -used[image]})
 	}
-	return sum
+	return terms
 }
 
-// isSaturated reports whether a reading says little more than that the queue does.
+// isSaturated reports whether the tail latency is so long that it shows only that the task is saturated.
 func (serving ServingTask) isSaturated() bool { return serving.headroom() < saturationThreshold }
 
-// readingVariance returns the square of by how much a reading may be off.
+// readingVariance returns the variance of the measurement error of a headroom.
 func readingVariance(serving ServingTask, changed bool) float64 {
 	rounding := roundingDeviation * serving.headroom() / serving.TailMs
 	variance := readingDeviation*readingDeviation + rounding*rounding
--- a/interference/tolerance.go
+++ b/interference/tolerance.go
@@ -5,82 +5,82 @@
 	"time"
 )
 
-// placementHorizon is how far ahead a level that falls is followed: a task that is placed now
-// runs for about two seconds. From 2 to 3 s make no difference that 48 days show; at 2 s
-// and at 3 s serving tasks of the package's own test miss their targets more often.
+// placementHorizon is how far ahead a falling level is extrapolated to decide about a new fill task, which
+// runs for about two seconds. In measurements over 48 days, values from 2 s to 3 s make no difference. With 2
+// s and with 3 s, serving tasks miss their targets more often in TestSimulatedWorkerKeepsTargets.
 const placementHorizon = 2500 * time.Millisecond
 
-// Tolerance returns how many more cores of an image the serving tasks bear, as Bearing
-// tells it.
+// Tolerance returns how many more cores of a fill image the serving tasks tolerate; see
+// SpareHeadroom.Tolerance.
 func (model *Model) Tolerance(servings []ServingTask, fills []FillTask, image string) float64 {
 	return model.SpareHeadroom(servings, fills).Tolerance(image)
 }
 
-// SpareHeadroom is what each of some serving tasks has to spare, for questions about many
+// SpareHeadroom is the headroom that serving tasks have to spare. It answers questions about any number of
 // images.
 type SpareHeadroom struct {
 	model    *Model
 	servings []ServingTask
-	spare    []float64 // headroom to spare, by serving task
+	spare    []float64 // headroom to spare, by index in servings
 }
 
-// SpareHeadroom works out what serving tasks have to spare beside filling tasks at full pace, at
-// the lowest level that they are expected to have within placementHorizon.
+// SpareHeadroom returns the headroom that the serving tasks have to spare if the fill tasks run at full pace,
+// at the lowest level expected within placementHorizon.
 //
-// Performance: a worker tells the tolerances of all images that it knows each time its
-// room changes.
+// It is separate from Tolerance for efficiency: a worker reports the tolerances for all images that it knows
+// whenever its free resources change.
 func (model *Model) SpareHeadroom(servings []ServingTask, fills []FillTask) SpareHeadroom {
-	borne := SpareHeadroom{model: model}
+	headroom := SpareHeadroom{model: model}
 	for _, serving := range servings {
 		if serving.TargetMs <= 0 {
 			continue
 		}
-		borne.servings = append(borne.servings, serving)
-		borne.spare = append(borne.spare, model.spareHeadroomOf(serving, fills))
+		headroom.servings = append(headroom.servings, serving)
+		headroom.spare = append(headroom.spare, model.spareHeadroomOf(serving, fills))
 	}
-	return borne
+	return headroom
 }
 
-// Tolerance returns how many more cores of an image the serving tasks bear. Below zero it
-// tells how much a core would take from a task that bears none, so that the least harmful
-// of several workers can be told.
-func (borne SpareHeadroom) Tolerance(image string) float64 {
+// Tolerance returns how many more cores of a fill image the serving tasks tolerate, infinity if there is no
+// limit. If a serving task tolerates none, the result is negative: it is then the headroom that each core
+// would take from that task, so that the worker that would be affected least can be selected.
+func (headroom SpareHeadroom) Tolerance(image string) float64 {
 	least := math.Inf(1)
-	for index, serving := range borne.servings {
-		weight := borne.model.significantWeight(serving.Image, image)
-		if borne.model.isThrottledAfterMiss(serving, image) {
+	for index, serving := range headroom.servings {
+		weight := headroom.model.significantWeight(serving.Image, image)
+		if headroom.model.isThrottledAfterMiss(serving, image) {
 			least = min(least, -max(weight, noiseWeight))
 			continue
 		}
 		if weight == 0 {
 			continue
 		}
-		if left := borne.spare[index]; left <= 0 {
+		if spare := headroom.spare[index]; spare <= 0 {
 			least = min(least, -weight)
 		} else {
-			least = min(least, left/weight)
+			least = min(least, spare/weight)
 		}
 	}
 	return least
 }
 
-// spareHeadroomOf returns the headroom that a serving task has to spare in the time ahead,
-// beside filling tasks at full pace.
+// spareHeadroomOf returns the headroom that a serving task has to spare within placementHorizon if the fill
+// tasks run at full pace.
 func (model *Model) spareHeadroomOf(serving ServingTask, fills []FillTask) float64 {
-	left := model.forecastLevel(serving) - headroomAtTarget - headroomReserve
+	spare := model.forecastLevel(serving) - headroomAtTarget - headroomReserve
 	for _, fill := range fills {
-		left -= model.weight(serving.Image, fill.Image) * fill.Cores
+		spare -= model.weight(serving.Image, fill.Image) * fill.Cores
 	}
-	return left
+	return spare
 }
 
-// forecastLevel returns the lowest level that a serving task is expected to have while a task
-// that is placed now runs. A load swings by half within seconds: judged by the lowest
-// level lately, no worker ever bore a task that disturbs much, and a tenth less of the
-// batch work was in time (on 48 days, 0.75 instead of 0.83).
+// forecastLevel returns the lowest level that is expected for a serving task within placementHorizon. It
+// extrapolates the current level because load changes by half within seconds. With the lowest level of the
+// recent past instead, no worker would ever tolerate fill tasks of a great weight, and a tenth less of the
+// batch work would be in time: in measurements over 48 days, 0.75 instead of 0.83.
 func (model *Model) forecastLevel(serving ServingTask) float64 {
-	state, known := model.servingTasks[serving.Task]
-	if !known {
+	state, found := model.servingTasks[serving.Task]
+	if !found {
 		return priorLevel
 	}
 	level, slope := state.level()
