--- a/interference/bench_test.go
+++ b/interference/bench_test.go
@@ -8,8 +8,8 @@
 	"ambertiller.example/ambertiller/interference"
 )
 
-// BenchmarkObserve is one reading of a worker with five serving tasks of one image,
-// with the paces that follow, beside filling tasks of so many images.
+// BenchmarkObserve measures a reading, and the paces derived from it, of a worker with five serving tasks of
+// the same image and with fill tasks of a varying number of images.
 func BenchmarkObserve(b *testing.B) {
 	for _, images := range []int{9, 18, 36} {
 		b.Run(fmt.Sprintf("images=%d", images), func(b *testing.B) {
--- a/interference/miss_test.go
+++ b/interference/miss_test.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// lightFillCount is how many filling tasks there are in TestMissEndsWithinLimit, and
-	// lightUtilisation what each core of them adds to how far the queue is utilised: too
-	// little for any of them to be blamed.
+	// lightFillCount is the number of fill tasks in TestMissEndsWithinLimit, and lightUtilisation how much
+	// each core adds to the utilisation of the queue, which is too little for the model to suspect any of the
+	// tasks.
 	lightFillCount   = 12
 	lightUtilisation = 0.012
-	// maxMissTime is how long a target may be missed on end, less than the four seconds
-	// that are allowed by the time that an order takes.
+	// maxMissTime is how long the target may be missed without interruption: the limit of 4 s that is passed
+	// to the model, less the time that an order to the worker takes.
 	maxMissTime = 3700 * time.Millisecond
 )
 
-// TestMissEndsWithinLimit: many fills that each disturb too little to be blamed are held
-// back soon enough for the queue to drain before its target has been missed for too
-// long. The case that forced it is a miss that was only slight, so that nothing seemed
-// to have to sink, and went on for four seconds.
+// TestMissEndsWithinLimit checks that a miss ends in time if it is caused by many fill tasks, each of which
+// takes too little headroom to be suspected. They must be throttled early enough for the queue to drain. It
+// guards against slight misses going on for four seconds: the tail latency hardly exceeds the target then, so
+// the recovery time that is calculated from their ratio is almost 0.
 func TestMissEndsWithinLimit(t *testing.T) {
 	for seed := range uint64(20) {
-		draws := rand.New(rand.NewPCG(seed, 3))
+		random := rand.New(rand.NewPCG(seed, 3))
 		model := interference.New(4 * time.Second)
-		served := &queue{image: "counter"}
+		queue := &queue{image: "counter"}
 		var fills []interference.FillTask
 		paces := map[string]float64{}
 		for index := range lightFillCount {
@@ -37,31 +37,31 @@
 			paces[task] = 1
 		}
 		missed, longest := time.Duration(0), time.Duration(0)
-		for at := 1; at <= 600; at++ {
-			wanted := 0.5 + 0.02*draws.Float64()
+		for ticks := 1; ticks <= 600; ticks++ {
+			demanded := 0.5 + 0.02*random.Float64()
 			for _, fill := range fills {
-				wanted += lightUtilisation * fill.Cores * paces[fill.Task]
+				demanded += lightUtilisation * fill.Cores * paces[fill.Task]
 			}
-			served.advance(wanted)
+			queue.advance(demanded)
 			missed += tick
-			if served.tailsMs[len(served.tailsMs)-1] <= targetTailMs {
+			if queue.tailsMs[len(queue.tailsMs)-1] <= targetTailMs {
 				missed = 0
 			}
 			longest = max(longest, missed)
-			if at%readingTicks > 0 {
+			if ticks%readingTicks > 0 {
 				continue
 			}
 			for index := range fills {
 				fills[index].UsedCores = fillCores * paces[fills[index].Task]
 			}
-			servings := []interference.ServingTask{{Task: "s", Image: "counter", TailMs: served.drawReading(draws), TargetMs: targetTailMs}}
-			model.Observe(servings, fills, startTime.Add(time.Duration(at)*tick))
+			servings := []interference.ServingTask{{Task: "s", Image: "counter", TailMs: queue.drawReading(random), TargetMs: targetTailMs}}
+			model.Observe(servings, fills, startTime.Add(time.Duration(ticks)*tick))
 			for task, pace := range model.Paces(servings, fills) {
 				paces[task] = min(pace, paces[task]+maxPaceRaise)
 			}
 		}
 		if longest > maxMissTime {
-			t.Errorf("seed %d: the target was missed for %v on end", seed, longest)
+			t.Errorf("seed %d: target missed for %v without interruption", seed, longest)
 		}
 	}
 }
--- a/interference/simulation_test.go
+++ b/interference/simulation_test.go
@@ -12,195 +12,193 @@
 
 const (
 	tick               = 50 * time.Millisecond
-	readingTicks       = 8  // ticks between two readings
-	readingWindowTicks = 10 // ticks that a reading looks back over
+	readingTicks       = 8  // ticks from one reading to the next
+	readingWindowTicks = 10 // ticks that a reading covers
 	baseTailMs         = 10.0
 	targetTailMs       = 45.0
 	fillCores          = 2.0
 	maxFills           = 5
-	// The load swings about its mean with this period.
+	// The load oscillates around meanLoad by loadSwing in each direction.
 	meanLoad   = 0.43
 	loadSwing  = 0.21
 	loadPeriod = 14 * time.Second
-	// queueStep is how far a queue gets in a tick towards what it is utilised.
+	// queueStep is the fraction by which a queue approaches its new utilisation in a tick.
 	queueStep = 0.2
-	// maxPaceRaise is how much a pace rises at most from reading to reading.
+	// maxPaceRaise is the most by which a pace is raised from one reading to the next.
 	maxPaceRaise = 0.3
 )
 
-// queue is a serving task whose tail grows like that of a queue, with a load that
-// swings.
+// queue simulates a serving task whose tail latency depends on its utilisation like that of a queue.
 type queue struct {
 	image       string
-	phase       float64
+	phase       float64 // of the load, in radians
 	utilisation float64
 	tailsMs     []float64 // one for each tick
 }
 
-// advance lets one tick pass in which so much of the queue is wanted.
-func (served *queue) advance(wanted float64) {
+// advance simulates a tick in which load and fill tasks together demand a utilisation.
+func (queue *queue) advance(demanded float64) {
 	// A queue takes a while to build up and to drain.
-	served.utilisation += (min(wanted, 0.985) - served.utilisation) * queueStep
-	served.tailsMs = append(served.tailsMs, baseTailMs/(1-served.utilisation))
+	queue.utilisation += (min(demanded, 0.985) - queue.utilisation) * queueStep
+	queue.tailsMs = append(queue.tailsMs, baseTailMs/(1-queue.utilisation))
 }
 
-// drawReading returns the tail that a reading shows, off by up to three in a hundred and
-// drawReading in whole milliseconds.
-func (served *queue) drawReading(draws *rand.Rand) float64 {
-	window := served.tailsMs[max(0, len(served.tailsMs)-readingWindowTicks):]
+// drawReading returns the tail latency that a reading shows, with an error of up to 3% and rounded to whole
+// milliseconds.
+func (queue *queue) drawReading(random *rand.Rand) float64 {
+	window := queue.tailsMs[max(0, len(queue.tailsMs)-readingWindowTicks):]
 	sum := 0.0
 	for _, tail := range window {
 		sum += tail
 	}
-	return math.Round(sum / float64(len(window)) * (0.97 + 0.06*draws.Float64()))
+	return math.Round(sum / float64(len(window)) * (0.97 + 0.06*random.Float64()))
 }
 
-// totals counts how often serving tasks were over their target, and how much of their
-// full pace fills worked at.
+// totals counts how often serving tasks missed their targets, and how fast fill tasks ran.
 type totals struct {
 	misses, readings   int
-	paceSum, fillTicks float64
+	paceSum, fillTicks float64 // the mean pace is paceSum/fillTicks
 }
 
-// simulation is one worker with two kinds of serving tasks and four kinds of fills, of
-// which "loud" disturbs "counter" and "heavy" disturbs "tank".
+// simulation is a worker with serving tasks of two images and fill tasks of five images. Fill image "loud"
+// interferes with serving image "counter", and "heavy" with "tank".
 type simulation struct {
 	random   *rand.Rand
 	model    *interference.Model
 	queues   []*queue
-	servings []interference.ServingTask // as last read
+	servings []interference.ServingTask // in the latest reading
 	fills    []interference.FillTask
-	endTicks map[string]int // the tick at which each fill ends
+	endTicks map[string]int // tick at which each fill task ends
 	paces    map[string]float64
-	started  int // fills that were wanted so far
+	started  int // fill tasks so far, including those that were not tolerated
 	ticks    int
 	totals   totals
 }
 
-// addedUtilisation holds what a core of a fill adds to how far a queue is utilised, where it
-// adds anything.
+// addedUtilisation is how much each core of a fill image adds to the utilisation of a queue. Other pairs add
+// nothing.
 var addedUtilisation = map[interference.Pair]float64{
 	{Serving: "counter", Fill: "loud"}: 0.15,
 	{Serving: "tank", Fill: "heavy"}:   0.11,
 }
 
+// newSimulation returns a worker with three serving tasks and no fill tasks.
 func newSimulation(seed uint64) *simulation {
-	made := &simulation{
+	worker := &simulation{
 		random: rand.New(rand.NewPCG(seed, 7)), model: interference.New(4 * time.Second),
 		endTicks: map[string]int{}, paces: map[string]float64{},
 	}
 	for index, image := range []string{"counter", "counter", "tank"} {
-		made.queues = append(made.queues, &queue{image: image, phase: float64(index/2) * 2})
+		worker.queues = append(worker.queues, &queue{image: image, phase: float64(index/2) * 2})
 	}
-	return made
+	return worker
 }
 
-// advance lets one tick pass.
-func (made *simulation) advance() {
-	made.ticks++
-	made.endFills()
-	made.startFills()
-	for _, served := range made.queues {
-		served.advance(made.demandedUtilisation(served))
+// advance simulates one tick.
+func (worker *simulation) advance() {
+	worker.ticks++
+	worker.endFills()
+	worker.startFills()
+	for _, queue := range worker.queues {
+		queue.advance(worker.demandedUtilisation(queue))
 	}
-	if made.ticks%readingTicks == 0 {
-		made.observe()
-		made.applyPaces()
+	if worker.ticks%readingTicks == 0 {
+		worker.observe()
+		worker.applyPaces()
 	}
 }
 
-// demandedUtilisation returns how much of a queue its load and the fills beside it take.
-func (made *simulation) demandedUtilisation(served *queue) float64 {
-	seconds := (time.Duration(made.ticks) * tick).Seconds()
-	wanted := meanLoad + loadSwing*math.Sin(2*math.Pi*seconds/loadPeriod.Seconds()+served.phase)
-	for _, fill := range made.fills {
-		wanted += addedUtilisation[interference.Pair{Serving: served.image, Fill: fill.Image}] * fill.Cores * made.paces[fill.Task]
+// demandedUtilisation returns the utilisation of a queue that results from its load and from the fill tasks.
+func (worker *simulation) demandedUtilisation(queue *queue) float64 {
+	seconds := (time.Duration(worker.ticks) * tick).Seconds()
+	demanded := meanLoad + loadSwing*math.Sin(2*math.Pi*seconds/loadPeriod.Seconds()+queue.phase)
+	for _, fill := range worker.fills {
+		demanded += addedUtilisation[interference.Pair{Serving: queue.image, Fill: fill.Image}] * fill.Cores * worker.paces[fill.Task]
 	}
-	return wanted
+	return demanded
 }
 
-// endFills counts what fills have worked and ends those whose time is over.
-func (made *simulation) endFills() {
-	var left []interference.FillTask
-	for _, fill := range made.fills {
-		made.totals.paceSum += made.paces[fill.Task]
-		made.totals.fillTicks++
-		if made.endTicks[fill.Task] > made.ticks {
-			left = append(left, fill)
+// endFills adds the paces of the fill tasks to the totals and removes the tasks that have ended.
+func (worker *simulation) endFills() {
+	var remaining []interference.FillTask
+	for _, fill := range worker.fills {
+		worker.totals.paceSum += worker.paces[fill.Task]
+		worker.totals.fillTicks++
+		if worker.endTicks[fill.Task] > worker.ticks {
+			remaining = append(remaining, fill)
 		}
 	}
-	made.fills = left
+	worker.fills = remaining
 }
 
-// startFills begins one fill that never ends, before the first reading, and then now
-// and then one that the model says is borne.
-func (made *simulation) startFills() {
-	if made.ticks == 1 {
-		made.fills = append(made.fills, interference.FillTask{Task: "always", Image: "constant", Cores: fillCores})
-		made.endTicks["always"] = math.MaxInt
-		made.paces["always"] = 1
+// startFills starts a fill task that never ends in the first tick, before the first reading. In random later
+// ticks it draws a fill image and starts a task of it if the model tolerates it.
+func (worker *simulation) startFills() {
+	if worker.ticks == 1 {
+		worker.fills = append(worker.fills, interference.FillTask{Task: "always", Image: "constant", Cores: fillCores})
+		worker.endTicks["always"] = math.MaxInt
+		worker.paces["always"] = 1
 	}
-	if len(made.fills) >= maxFills || made.random.IntN(6) > 0 {
+	if len(worker.fills) >= maxFills || worker.random.IntN(6) > 0 {
 		return
 	}
-	made.started++
-	task := fmt.Sprint(made.started)
-	image := []string{"loud", "heavy", "calm", "mild"}[made.random.IntN(4)]
-	if made.model.Tolerance(made.servings, made.fills, image) < fillCores {
+	worker.started++
+	task := fmt.Sprint(worker.started)
+	image := []string{"loud", "heavy", "calm", "mild"}[worker.random.IntN(4)]
+	if worker.model.Tolerance(worker.servings, worker.fills, image) < fillCores {
 		return
 	}
-	made.fills = append(made.fills, interference.FillTask{Task: task, Image: image, Cores: fillCores, Movable: true})
-	made.endTicks[task] = made.ticks + 40 + made.random.IntN(60)
-	made.paces[task] = made.model.Paces(made.servings, made.fills)[task]
+	worker.fills = append(worker.fills, interference.FillTask{Task: task, Image: image, Cores: fillCores, Movable: true})
+	worker.endTicks[task] = worker.ticks + 40 + worker.random.IntN(60)
+	worker.paces[task] = worker.model.Paces(worker.servings, worker.fills)[task]
 }
 
-// observe gives the model a reading.
-func (made *simulation) observe() {
-	for index := range made.fills {
-		made.fills[index].UsedCores = fillCores * made.paces[made.fills[index].Task]
+// observe passes a reading to the model and counts misses.
+func (worker *simulation) observe() {
+	for index := range worker.fills {
+		worker.fills[index].UsedCores = fillCores * worker.paces[worker.fills[index].Task]
 	}
-	made.servings = nil
-	for index, served := range made.queues {
-		tail := served.drawReading(made.random)
-		made.servings = append(made.servings, interference.ServingTask{Task: fmt.Sprint("s", index), Image: served.image, TailMs: tail, TargetMs: targetTailMs})
-		made.totals.readings++
-		if tail > targetTailMs {
-			made.totals.misses++
+	worker.servings = nil
+	for index, queue := range worker.queues {
+		tailMs := queue.drawReading(worker.random)
+		worker.servings = append(worker.servings, interference.ServingTask{Task: fmt.Sprint("s", index), Image: queue.image, TailMs: tailMs, TargetMs: targetTailMs})
+		worker.totals.readings++
+		if tailMs > targetTailMs {
+			worker.totals.misses++
 		}
 	}
-	made.model.Observe(made.servings, made.fills, startTime.Add(time.Duration(made.ticks)*tick))
+	worker.model.Observe(worker.servings, worker.fills, startTime.Add(time.Duration(worker.ticks)*tick))
 }
 
-// applyPaces brings fills to the paces that the model says, and ends the one that it wants
-// moved.
-func (made *simulation) applyPaces() {
-	paces := made.model.Paces(made.servings, made.fills)
+// applyPaces applies the paces of the model, raising each by at most maxPaceRaise, and ends the fill task
+// that the model would evict.
+func (worker *simulation) applyPaces() {
+	paces := worker.model.Paces(worker.servings, worker.fills)
 	for task, pace := range paces {
-		made.paces[task] = min(pace, made.paces[task]+maxPaceRaise)
+		worker.paces[task] = min(pace, worker.paces[task]+maxPaceRaise)
 	}
-	if worst, found := made.model.EvictionCandidate(made.servings, made.fills, made.model.Paces(made.servings, made.fills)); found {
-		made.endTicks[worst] = made.ticks
+	if candidate, found := worker.model.EvictionCandidate(worker.servings, worker.fills, worker.model.Paces(worker.servings, worker.fills)); found {
+		worker.endTicks[candidate] = worker.ticks
 	}
 }
 
-// TestSimulatedWorkerKeepsTargets: over two minutes, of which the first half minute
-// is for learning, serving tasks are hardly ever over their target, and fills that
-// disturb nothing go on.
+// TestSimulatedWorkerKeepsTargets simulates two minutes, of which the first half minute is for learning.
+// Serving tasks must hardly ever miss their targets, and fill tasks must run at almost full pace on average.
 func TestSimulatedWorkerKeepsTargets(t *testing.T) {
 	for seed := range uint64(10) {
-		made := newSimulation(seed)
+		worker := newSimulation(seed)
 		for range 600 {
-			made.advance()
+			worker.advance()
 		}
-		made.totals = totals{}
+		worker.totals = totals{}
 		for range 1800 {
-			made.advance()
+			worker.advance()
 		}
-		over := float64(made.totals.misses) / float64(made.totals.readings)
-		worked := made.totals.paceSum / made.totals.fillTicks
-		t.Logf("seed %d: over target %.3f of the time, fills worked at %.3f", seed, over, worked)
-		if over > 0.03 || worked < 0.85 {
-			t.Errorf("seed %d: over target %.3f of the time, fills worked at %.3f", seed, over, worked)
+		missRatio := float64(worker.totals.misses) / float64(worker.totals.readings)
+		meanPace := worker.totals.paceSum / worker.totals.fillTicks
+		t.Logf("seed %d: targets missed in %.3f of the readings, mean pace of fill tasks %.3f", seed, missRatio, meanPace)
+		if missRatio > 0.03 || meanPace < 0.85 {
+			t.Errorf("seed %d: targets missed in %.3f of the readings, want at most 0.03; mean pace of fill tasks %.3f, want at least 0.85", seed, missRatio, meanPace)
 		}
 	}
 }
--- a/interference/slack_test.go
+++ b/interference/slack_test.go
@@ -7,12 +7,12 @@
 	"ambertiller.example/ambertiller/interference"
 )
 
-// TestTasksWithSlackAreThrottledFirst: beside a serving task that has a little to spare, a task whose
-// job has time goes slower than one whose job has none.
+// TestTasksWithSlackAreThrottledFirst checks that beside a serving task with little headroom to spare, a fill
+// task whose job has slack runs slower than one whose job has none.
 func TestTasksWithSlackAreThrottledFirst(t *testing.T) {
-	pace := func(relaxed bool) float64 {
+	pace := func(hasSlack bool) float64 {
 		model := newTrainedModel(2)
-		fills := []interference.FillTask{{Task: "f", Image: "loud", Cores: 2, HasSlack: relaxed}}
+		fills := []interference.FillTask{{Task: "f", Image: "loud", Cores: 2, HasSlack: hasSlack}}
 		var servings []interference.ServingTask
 		for reading := range 8 {
 			headroom := 1.9 - trueWeights["loud"]*fills[0].UsedCores
@@ -22,7 +22,7 @@
 		}
 		return model.Paces(servings, fills)["f"]
 	}
-	if relaxed, tight := pace(true), pace(false); relaxed > tight-0.2 || tight < 0.9 {
-		t.Errorf("with time to spare at a pace of %.2f, without at %.2f", relaxed, tight)
+	if withSlack, withoutSlack := pace(true), pace(false); withSlack > withoutSlack-0.2 || withoutSlack < 0.9 {
+		t.Errorf("pace %.2f with slack, %.2f without; want at least 0.9 without slack, and at least 0.2 less with slack", withSlack, withoutSlack)
 	}
 }
--- a/interference/tolerance.go
+++ b/interference/tolerance.go
@@ -16,8 +16,8 @@
 	return model.SpareHeadroom(servings, fills).Tolerance(image)
 }
 
-// SpareHeadroom is the headroom that serving tasks have to spare. It answers questions about any number of
-// images.
+// SpareHeadroom is the headroom that serving tasks have to spare. Its method Tolerance can be called for any
+// number of images.
 type SpareHeadroom struct {
 	model    *Model
 	servings []ServingTask
