--- a/interference/interference.go
+++ b/interference/interference.go
@@ -2,17 +2,21 @@
 // how fast each fill task may run so that the serving tasks keep their latency targets.
 //
 // A serving task handles requests and has a target for its tail latency. A fill task is a batch task that
-// runs on the processor time that other tasks leave unused. Both kinds share caches, memory bandwidth and
-// processors, so a fill task may increase the tail latency of a serving task.
+// runs on the processor time that other tasks leave unused. Both share the hardware of the worker, so a fill
+// task may increase the tail latency of a serving task. A reading is what the worker reports about its tasks:
+// the tail latencies of the serving tasks and the processor usage of the fill tasks.
 //
 // # Model
 //
 // A serving task is modelled as a queue with utilisation u, whose tail latency is proportional to 1/(1-u).
 // The headroom of the task is its target divided by its tail latency. It is proportional to 1-u, 1 at the
-// target and greater than 1 below the target. Load and interference add up in u. Therefore the headroom is
-// the sum of a level, which belongs to the task and follows its load, and of a negative contribution of each
-// fill image: the processor cores that its tasks use, times a weight for the pair of serving image and fill
-// image.
+// target and greater than 1 below the target. Load and interference add up in u, so the headroom is a linear
+// combination:
+//
+//	headroom = level - sum over fill images(weight * cores)
+//
+// The level belongs to the serving task and follows its load. The weight is the headroom that each core takes
+// away; it depends on the serving image and the fill image. Cores is what the tasks of the fill image use.
 //
 // A model that adds up contributions to the logarithm of the tail latency explains less of the readings. It
 // also attributes interference to every fill task that runs beside an overloaded serving task.
@@ -52,10 +56,10 @@
 	"time"
 )
 
-// Pair is a serving image and a fill image.
+// Pair is a serving image and a fill image, for which a weight is estimated.
 type Pair struct{ Serving, Fill string }
 
-// ServingTask is a serving task with its latest reading.
+// ServingTask is a serving task with its latest reading. TailMs is 0 before the first one.
 type ServingTask struct {
 	Task, Image      string
 	TailMs, TargetMs float64
