--- a/agent/evacuation.go
+++ b/agent/evacuation.go
@@ -12,41 +12,44 @@
 )
 
 const (
-	// maxStartTime is how long an order takes at most from its agent's decision until the
-	// worker has begun with it: as long as the call may take, and the wake-ups before it.
+	// maxStartTime bounds the time from the agent's decision on a start order until the worker has started
+	// the run: the timeout of the call, plus scheduling delays before it.
 	maxStartTime = callTimeout + 200*time.Millisecond
-	// evacuationsRetryDelay keeps reads of the operators' records apart that failed.
+	// evacuationsRetryDelay is the pause after a failed read of the operators' records.
 	evacuationsRetryDelay = 200 * time.Millisecond
 )
 
-// handleEvacuations takes in what an owner knows of evacuations.
-func (agent *Agent) handleEvacuations(told *wire.Evacuations, now time.Time) {
-	if told == nil {
+// handleEvacuations updates the known evacuations from an owner's message, which may carry none. The
+// message dates them on the agent's clock.
+func (agent *Agent) handleEvacuations(message *wire.Evacuations, now time.Time) {
+	if message == nil {
 		return
 	}
-	asOf := agent.startedAt.Add(time.Duration(told.GetAsOfNanos()))
+	asOf := agent.startedAt.Add(time.Duration(message.GetAsOfNanos()))
 	if asOf.After(now) {
-		asOf = now // The clocks differ by more than owners reckon with.
+		asOf = now // The clocks drift apart by more than owners allow for.
 	}
-	agent.applyEvacuations(operator.NewEvacuations(told.GetVersion(), told.GetFailureDomains()), asOf)
+	agent.applyEvacuations(operator.NewEvacuations(message.GetVersion(), message.GetFailureDomains()), asOf)
 }
 
-func (agent *Agent) applyEvacuations(told operator.Evacuations, asOf time.Time) {
+// applyEvacuations updates the known evacuations, and logs when the worker's failure domain is evacuated or
+// no longer is.
+func (agent *Agent) applyEvacuations(evacuations operator.Evacuations, asOf time.Time) {
 	before := agent.evacuationState.Evacuations()
-	agent.evacuationState.Note(told, asOf)
+	agent.evacuationState.Note(evacuations, asOf)
 	after := agent.evacuationState.Evacuations()
-	own := agent.failureDomain()
-	if before.Has(own) == after.Has(own) {
+	domain := agent.failureDomain()
+	if before.Has(domain) == after.Has(domain) {
 		return
 	}
 	code := event.DomainGivenBack
-	if after.Has(own) {
+	if after.Has(domain) {
 		code = event.DomainEvacuated
 	}
-	agent.log(code, slog.String("failure_domain", own), slog.Int64("version", after.Version()))
+	agent.log(code, slog.String("failure_domain", domain), slog.Int64("version", after.Version()))
 }
 
-// failureDomain returns where the worker stands.
+// failureDomain returns the worker's failure domain, or the agent's where the worker reports none.
 func (agent *Agent) failureDomain() string {
 	if agent.worker != nil && agent.worker.heartbeat.FailureDomain != "" {
 		return agent.worker.heartbeat.FailureDomain
@@ -54,14 +57,14 @@
 	return agent.options.FailureDomain
 }
 
-// checkFailureDomain says whether a task may be started in the worker's failure domain. What is
-// known must be so fresh that the start takes effect before an evacuation holds that was
-// asked for right after.
+// checkFailureDomain returns whether a task may be started in the worker's failure domain. The known
+// evacuations must be recent enough: were an evacuation requested right after they were read, the start
+// would still take effect within the evacuation deadline.
 func (agent *Agent) checkFailureDomain(now time.Time) operator.Verdict {
 	return agent.evacuationState.Judge(agent.failureDomain(), now, agent.options.EvacuationDeadline-maxStartTime)
 }
 
-// requestEvacuations has FollowOperator read what operators wrote.
+// requestEvacuations makes FollowOperator read the operators' records.
 func (agent *Agent) requestEvacuations() {
 	select {
 	case agent.evacuationsWanted <- struct{}{}:
@@ -69,8 +72,9 @@
 	}
 }
 
-// FollowOperator reads what operators wrote whenever an order came from an owner that does
-// not tell it, as one of an earlier build does not. It returns when ctx ends.
+// FollowOperator reads the operators' records from the store whenever a start order arrives without
+// evacuations while the known ones are outdated: owners of earlier builds send none. It returns when ctx
+// ends.
 func (agent *Agent) FollowOperator(ctx context.Context, store *platform.Store) {
 	for {
 		select {
@@ -78,12 +82,12 @@
 			return
 		case <-agent.evacuationsWanted:
 		}
-		news, err := operator.NewReader(store, agent.options.Clock).Read(ctx)
+		update, err := operator.NewReader(store, agent.options.Clock).Read(ctx)
 		if err != nil {
 			agent.options.Events.Log(ctx, event.StoreLost, slog.Any("error", err))
 			agent.sleep(ctx, evacuationsRetryDelay)
 			continue
 		}
-		agent.eventLoop.Post(func(time.Time) { agent.applyEvacuations(news.Evacuations, news.AsOf) })
+		agent.eventLoop.Post(func(time.Time) { agent.applyEvacuations(update.Evacuations, update.AsOf) })
 	}
 }
