--- a/agent/evict.go
+++ b/agent/evict.go
@@ -9,58 +9,59 @@
 )
 
 const (
-	// evictionInterval keeps evictions from a worker apart, so that what one brought
-	// shows before the next.
+	// evictionInterval is the minimum time between two evictions on a worker, so that the effect of one is
+	// measured before the next.
 	evictionInterval = 300 * time.Millisecond
-	// minRunTimeBeforeEviction is how long a run is left where it is at least: it has begun
-	// to save its progress by then.
+	// minRunTimeBeforeEviction protects a new run from eviction until it has begun to save its progress.
 	minRunTimeBeforeEviction = 600 * time.Millisecond
-	// maxRestartPercent is up to which progress, in percent, a run that saves none is
-	// moved at once where it disturbs: it begins again from the start.
+	// maxRestartPercent is the progress up to which a run without checkpoints may be evicted for its
+	// interference: it has to restart from the beginning.
 	maxRestartPercent = 25
-	// maxSlowedTime is how long a run stays slowed before it is moved whatever it
-	// disturbs, and slowedPercent the pace that counts as such. Runs that saved nothing
-	// would stay at a twentieth of their pace for up to 40 s, and their jobs would wait.
-	// Either of these moves makes up for the other.
+	// maxSlowedTime is how long a run may stay slowed before it is evicted, whether or not it interferes.
+	// Without this limit, runs without checkpoints stayed at 5% of their pace for up to 40 s while their
+	// jobs waited. Evictions for interference and evictions of slowed runs can each make up for a lack of
+	// the other; without both, batch jobs miss their objectives.
 	maxSlowedTime = 1500 * time.Millisecond
+	// slowedPercent is the pace below which a run counts as slowed.
 	slowedPercent = 60
-	// maxSlowedRestartPercent is up to which progress such a run is moved that saves none.
+	// maxSlowedRestartPercent is the progress up to which a slowed run without checkpoints may be evicted.
 	maxSlowedRestartPercent = 70
 )
 
-// evictOne stops the run that disturbs most, so that its owner finds a worker that
-// bears it, or else the one that has been slowed for the longest. Without any moves batch work is late.
+// evictOne evicts at most one filling run, which its owner then starts on a worker that tolerates it: the
+// movable run that interferes the most with serving runs, or else the one that has been slowed for the
+// longest.
 func (agent *Agent) evictOne(state *workerState, servings []interference.ServingTask, fills []interference.FillTask, paces map[string]float64, now time.Time) {
 	if now.Sub(agent.pacer.lastEvictionAt) < evictionInterval {
 		return
 	}
-	for index := range fills {
-		run := state.runs[fills[index].Task]
-		fills[index].Movable = run.isEvictable(now) && run.losesLittleProgress(maxRestartPercent) && agent.benefitsFromMove(run, paces[run.task])
+	for i := range fills {
+		run := state.runs[fills[i].Task]
+		fills[i].Movable = run.isEvictable(now) && run.losesLittleProgress(maxRestartPercent) && agent.benefitsFromMove(run, paces[run.task])
 	}
-	if worst, found := agent.pacer.model.EvictionCandidate(servings, fills, paces); found {
-		agent.evict(state, state.runs[worst], now)
+	if task, found := agent.pacer.model.EvictionCandidate(servings, fills, paces); found {
+		agent.evict(state, state.runs[task], now)
 		return
 	}
-	if stuck := state.longestSlowed(now); stuck != nil && agent.benefitsFromMove(stuck, paces[stuck.task]) {
-		agent.evict(state, stuck, now)
+	if run := state.longestSlowed(now); run != nil && agent.benefitsFromMove(run, paces[run.task]) {
+		agent.evict(state, run, now)
 	}
 }
 
-// isEvictable reports whether a run may be moved for the sake of serving ones, or of its
-// own.
+// isEvictable reports whether the run may be evicted, either because it interferes with serving runs or
+// because it is slowed.
 func (run *runState) isEvictable(now time.Time) bool {
 	return run.demand.GetMovable() && run.phase == phaseRunning && now.Sub(run.confirmedAt) >= minRunTimeBeforeEviction
 }
 
-// losesLittleProgress reports whether a run goes on from a checkpoint when it is stopped, or has
-// not got beyond a progress in percent.
-func (run *runState) losesLittleProgress(most int32) bool {
-	return run.demand.GetSaves() || run.progressPercent <= most
+// losesLittleProgress reports whether the run resumes from a checkpoint after a stop, or has made no more
+// than maxPercent of progress.
+func (run *runState) losesLittleProgress(maxPercent int32) bool {
+	return run.demand.GetSaves() || run.progressPercent <= maxPercent
 }
 
-// longestSlowed returns the run that has been slowed for the longest, and for too long;
-// nil if there is none.
+// longestSlowed returns the evictable run that has been slowed for the longest, and for at least
+// maxSlowedTime, or nil if there is none.
 func (state *workerState) longestSlowed(now time.Time) *runState {
 	var longest *runState
 	for _, run := range state.runs {
@@ -74,6 +75,7 @@
 	return longest
 }
 
+// evict stops a run; its owner starts it again elsewhere.
 func (agent *Agent) evict(state *workerState, run *runState, now time.Time) {
 	agent.pacer.lastEvictionAt = now
 	agent.metrics.evictions.Add(agent.ctx, 1)
