--- a/agent/learned.go
+++ b/agent/learned.go
@@ -10,114 +10,117 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// unlimitedTolerance stands for a worker whose serving tasks bear any amount,
-// in thousandths of a core.
+// unlimitedTolerance is the tolerance, in thousandths of a core, of a worker whose serving runs tolerate any
+// amount of filling work.
 const unlimitedTolerance = int64(math.MaxInt32)
 
-// addTolerances tells how many more cores of each image the serving runs bear.
+// addTolerances adds to the status the images of the serving runs, and how many more thousandths of a core
+// of filling work they tolerate: of each filling image that the model knows, and of any other image.
 func (agent *Agent) addTolerances(state *workerState, status *wire.WorkerStatus, now time.Time) {
 	servings, fills := state.interferenceTasks(now)
 	for _, serving := range servings {
 		status.ServingImages = append(status.ServingImages, serving.Image)
 	}
 	slices.Sort(status.ServingImages)
-	borne := agent.pacer.model.SpareHeadroom(servings, fills)
-	tolerated := func(image string) int64 {
-		cores := borne.Tolerance(image)
+	spare := agent.pacer.model.SpareHeadroom(servings, fills)
+	tolerance := func(image string) int64 {
+		cores := spare.Tolerance(image)
 		if math.IsInf(cores, 1) {
 			return unlimitedTolerance
 		}
 		return int64(cores / state.modelCoresPerMilliCPU())
 	}
-	status.ToleratedMilliCpu = tolerated("")
+	status.ToleratedMilliCpu = tolerance("")
 	for _, image := range agent.pacer.model.FillImages() {
-		status.Tolerances = append(status.Tolerances, &wire.Tolerance{Image: image, MilliCpu: tolerated(image)})
+		status.Tolerances = append(status.Tolerances, &wire.Tolerance{Image: image, MilliCpu: tolerance(image)})
 	}
 }
 
-// localEstimates lists what this worker's readings have taught.
-func (paced *pacer) localEstimates() []*job.Interference {
-	var told []*job.Interference
-	for pair, known := range paced.model.LocalEstimates() {
-		if known.Readings > 0 {
-			told = append(told, job.NewInterference(pair, known))
+// localEstimates lists the interference estimates that are based on this worker's own readings.
+func (p *pacer) localEstimates() []*job.Interference {
+	var listed []*job.Interference
+	for pair, estimate := range p.model.LocalEstimates() {
+		if estimate.Readings > 0 {
+			listed = append(listed, job.NewInterference(pair, estimate))
 		}
 	}
-	return told
+	return listed
 }
 
-// learnedWeightDelta and learnedReadingsRatio are by how much a weight, and the share by which what it
-// rests on, has to differ to be told anew. A weight of 0.02 is a sixth of what readings of
-// pairs that don't disturb teach.
+// An estimate is sent again once its weight differs by learnedWeightDelta from the last one sent, or the
+// number of readings behind it by learnedReadingsRatio. A weight of 0.02 is a sixth of what readings yield
+// for pairs that do not interfere.
 const (
 	learnedWeightDelta   = 0.02
 	learnedReadingsRatio = 0.2
 )
 
-// changedEstimates returns the pairs of which the owner has not been told what the readings
-// have taught by now, and notes them as told. An owner that takes no changes is told all.
-func (owner *session) changedEstimates(learned []*job.Interference) []*job.Interference {
-	if !owner.acceptsChanges {
+// changedEstimates returns the estimates that differ enough from those that the session has sent, and records
+// them as sent. It returns all of them for an owner that does not accept changes.
+func (s *session) changedEstimates(learned []*job.Interference) []*job.Interference {
+	if !s.acceptsChanges {
 		return learned
 	}
-	if owner.sentEstimates == nil {
-		owner.sentEstimates = map[interference.Pair]interference.Estimate{}
+	if s.sentEstimates == nil {
+		s.sentEstimates = map[interference.Pair]interference.Estimate{}
 	}
-	var anew []*job.Interference
-	for _, known := range learned {
-		pair, now := known.Pair(), known.Estimate()
-		if before, found := owner.sentEstimates[pair]; found && !now.Differs(before, learnedWeightDelta, learnedReadingsRatio) {
+	var changed []*job.Interference
+	for _, record := range learned {
+		pair, estimate := record.Pair(), record.Estimate()
+		if sent, found := s.sentEstimates[pair]; found && !estimate.Differs(sent, learnedWeightDelta, learnedReadingsRatio) {
 			continue
 		}
-		owner.sentEstimates[pair] = now
-		anew = append(anew, known)
+		s.sentEstimates[pair] = estimate
+		changed = append(changed, record)
 	}
-	return anew
+	return changed
 }
 
-// mergeInterval is how often what was kept of others is taken in again, so that the weights
-// that other workers read pull on those read here as steadily as their readings come.
+// mergeInterval is how often the estimates of all workers are merged into the model again. Owners send them
+// only when they change; repeated merging gives other workers' readings a steady influence, as if they still
+// arrived one by one.
 const mergeInterval = 1500 * time.Millisecond
 
-// setLearnedByAll takes in what the readings of all workers together have taught of some pairs, and
-// keeps it.
-func (paced *pacer) setLearnedByAll(told []*job.Interference, now time.Time) {
-	for _, known := range told {
-		pair := known.Pair()
-		paced.learnedByAll[pair] = known.Estimate()
-		paced.mergePair(pair, paced.model.LocalEstimate(pair), now)
+// setLearnedByAll stores estimates that are based on the readings of all workers, this one included, and
+// merges them into the model. They replace those known of the same pairs.
+func (p *pacer) setLearnedByAll(learned []*job.Interference, now time.Time) {
+	for _, record := range learned {
+		pair := record.Pair()
+		p.learnedByAll[pair] = record.Estimate()
+		p.mergePair(pair, p.model.LocalEstimate(pair), now)
 	}
 }
 
-// mergeLearnedByAll takes what was kept in once more, if that is due.
-func (paced *pacer) mergeLearnedByAll(now time.Time) {
-	if now.Sub(paced.mergedAt) < mergeInterval {
+// mergeLearnedByAll merges the stored estimates of all workers into the model again, once per mergeInterval.
+func (p *pacer) mergeLearnedByAll(now time.Time) {
+	if now.Sub(p.mergedAt) < mergeInterval {
 		return
 	}
-	paced.mergedAt = now
-	for pair := range paced.learnedByAll {
-		paced.mergePair(pair, paced.model.LocalEstimate(pair), now)
+	p.mergedAt = now
+	for pair := range p.learnedByAll {
+		p.mergePair(pair, p.model.LocalEstimate(pair), now)
 	}
 }
 
-// mergePair takes in what all workers but this one have taught of a pair.
-func (paced *pacer) mergePair(pair interference.Pair, own interference.Estimate, now time.Time) {
-	all := paced.learnedByAll[pair]
+// mergePair merges the estimate of all other workers for a pair into the model: the estimate of all workers
+// less this worker's own share.
+func (p *pacer) mergePair(pair interference.Pair, own interference.Estimate, now time.Time) {
+	all := p.learnedByAll[pair]
 	others := all.Readings - own.Readings
 	if others <= 0 {
 		return
 	}
 	weight := (all.Weight*float64(all.Readings) - own.Weight*float64(own.Readings)) / float64(others)
-	paced.model.MergeRemoteEstimate(pair, interference.Estimate{Weight: weight, Readings: others}, now)
+	p.model.MergeRemoteEstimate(pair, interference.Estimate{Weight: weight, Readings: others}, now)
 }
 
-// mergeLearned takes in what other workers' readings have taught, by the word of an owner that tells
-// all of it each time: what was kept of one that tells changes holds no longer.
-func (paced *pacer) mergeLearned(told []*job.Interference, now time.Time) {
-	if len(told) > 0 {
-		clear(paced.learnedByAll)
+// mergeLearned merges the estimates of other workers into the model. They come from an owner that sends all
+// of them each time, so that estimates stored from an owner that sends changes are dropped.
+func (p *pacer) mergeLearned(learned []*job.Interference, now time.Time) {
+	if len(learned) > 0 {
+		clear(p.learnedByAll)
 	}
-	for _, known := range told {
-		paced.model.MergeRemoteEstimate(known.Pair(), known.Estimate(), now)
+	for _, record := range learned {
+		p.model.MergeRemoteEstimate(record.Pair(), record.Estimate(), now)
 	}
 }
