--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -8,7 +8,7 @@
 	"ambertiller.example/ambertiller/telemetry"
 )
 
-// metrics are the agent's instruments.
+// metrics holds the agent's metric instruments.
 type metrics struct {
 	startOrders      metric.Int64Counter
 	runEnds          metric.Int64Counter
@@ -20,26 +20,26 @@
 	pendingEnds      metric.Int64Gauge
 }
 
-// newMetrics makes the instruments. Their names are constants that the library
-// accepts, so its errors can't occur.
+// newMetrics creates the instruments. It ignores their errors, which the library returns only for invalid
+// names.
 func newMetrics(provider metric.MeterProvider) metrics {
 	meter := telemetry.Meter(provider, "agent")
-	var made metrics
-	made.startOrders, _ = meter.Int64Counter("ambertiller.order.judged", metric.WithDescription("Starts that owners ordered, by outcome."))
-	made.runEnds, _ = meter.Int64Counter("ambertiller.worker.ends", metric.WithDescription("Ends that the worker listed, by how."))
-	made.lostIncarnations, _ = meter.Int64Counter("ambertiller.worker.lost", metric.WithDescription("Incarnations of the worker that are over, by how it became known."))
-	made.evictions, _ = meter.Int64Counter("ambertiller.fill.evicted", metric.WithDescription("Filling runs that were stopped for a serving one."))
-	made.paceChanges, _ = meter.Int64Counter("ambertiller.fill.paced", metric.WithDescription("Changes of the pace of filling runs."))
-	made.leaseMargin, _ = meter.Float64Gauge("ambertiller.lease.margin", metric.WithUnit("s"), metric.WithDescription("Time until the worker's lease has run out on the slowest clock."))
-	made.runs, _ = meter.Int64Gauge("ambertiller.worker.runs", metric.WithDescription("Runs on the worker."))
-	made.pendingEnds, _ = meter.Int64Gauge("ambertiller.worker.unseen_ends", metric.WithDescription("Ends that no owner has made durable yet."))
-	return made
+	var m metrics
+	m.startOrders, _ = meter.Int64Counter("ambertiller.order.judged", metric.WithDescription("Starts that owners ordered, by outcome."))
+	m.runEnds, _ = meter.Int64Counter("ambertiller.worker.ends", metric.WithDescription("Ends that the worker listed, by how."))
+	m.lostIncarnations, _ = meter.Int64Counter("ambertiller.worker.lost", metric.WithDescription("Incarnations of the worker that are over, by how it became known."))
+	m.evictions, _ = meter.Int64Counter("ambertiller.fill.evicted", metric.WithDescription("Filling runs that were stopped for a serving one."))
+	m.paceChanges, _ = meter.Int64Counter("ambertiller.fill.paced", metric.WithDescription("Changes of the pace of filling runs."))
+	m.leaseMargin, _ = meter.Float64Gauge("ambertiller.lease.margin", metric.WithUnit("s"), metric.WithDescription("Time until the worker's lease has run out on the slowest clock."))
+	m.runs, _ = meter.Int64Gauge("ambertiller.worker.runs", metric.WithDescription("Runs on the worker."))
+	m.pendingEnds, _ = meter.Int64Gauge("ambertiller.worker.unseen_ends", metric.WithDescription("Ends that no owner has made durable yet."))
+	return m
 }
 
-// gaugeInterval is how often the gauges are set: metrics are read every few seconds.
+// gaugeInterval is how often the gauges are recorded. Metrics are collected every few seconds.
 const gaugeInterval = time.Second
 
-// recordGauges sets the gauges.
+// recordGauges records the state of the worker, once per gaugeInterval.
 func (agent *Agent) recordGauges(now time.Time) {
 	if agent.worker == nil || now.Sub(agent.gaugesRecordedAt) < gaugeInterval {
 		return
