--- a/agent/pace.go
+++ b/agent/pace.go
@@ -11,48 +11,45 @@
 )
 
 const (
-	// maxPaceRaise is the most by which a pace rises from one look to the next.
-	// A reading is taken over half a second, so a larger step would not be
-	// seen before the next one.
+	// maxPaceRaise is the largest increase of a pace, in percentage points, from one poll to the next. A
+	// reading covers half a second, so the effect of a larger increase would not show before the next one.
 	maxPaceRaise = 30
-	// paceRaiseInterval keeps such steps apart where looks follow each other closely,
-	// because ends wait to be made durable.
+	// paceRaiseInterval is the minimum time between two increases of a pace. Polls follow each other more
+	// closely while ends wait to be stored.
 	paceRaiseInterval = 300 * time.Millisecond
-	// adoptedPaceDelay is how long a run that was found is not let go faster: until then
-	// little is known of the serving runs beside it, and what others have learned is
-	// told within 1.5 s.
+	// adoptedPaceDelay is how long the pace of an adopted run is not raised. Until then little is known of
+	// the serving runs beside it; owners send what other workers have learned within 1.5 s.
 	adoptedPaceDelay = 2 * time.Second
-	// minPaceChange is the least change that is sent.
+	// minPaceChange is the smallest change of a pace, in percentage points, that is sent to the worker.
 	minPaceChange = 4
-	// fullPercent is the pace of a run that is not slowed, and the progress of one
-	// that is done.
+	// fullPercent is the pace of a run that is not slowed, and the progress of one that is done.
 	fullPercent = 100
 	// millisPerCore is the number of thousandths in a core.
 	millisPerCore = 1000
-	// modelWorkerCores is the size of worker in whose cores interference is reckoned:
-	// on a worker with twice as many, a core of a fill disturbs half as much.
+	// modelWorkerCores is the size of the worker, in cores, to which the interference model normalizes core
+	// counts: on a worker with twice as many cores, a core of filling work interferes half as much.
 	modelWorkerCores = 16
 )
 
-// pacer slows the tasks that fill a worker while they disturb those that serve.
+// pacer limits the CPU use of filling runs while they interfere with serving runs. A pace is the percentage of
+// the CPU that a run asks for which the worker lets it use.
 type pacer struct {
 	model          *interference.Model
-	lastEvictionAt time.Time // when a run was last evicted
-	// learnedByAll is what the readings of all workers, this one's included, have taught by
-	// the word of an owner that tells only what changes; sharedAt is when it was last
-	// taken in.
+	lastEvictionAt time.Time
+	// learnedByAll holds estimates that are based on the readings of all workers, this one included. They
+	// come from an owner that sends only changes; mergedAt is when they were last merged into the model.
 	learnedByAll map[interference.Pair]interference.Estimate
 	mergedAt     time.Time
 }
 
-// newPacer returns a pacing that has learned nothing; a target may be missed for
-// harmAfter on end.
-func newPacer(harmAfter time.Duration) pacer {
-	return pacer{model: interference.New(harmAfter), learnedByAll: map[interference.Pair]interference.Estimate{}}
+// newPacer returns a pacer without any estimates. A serving run may miss its target for maxMiss at a time.
+func newPacer(maxMiss time.Duration) pacer {
+	return pacer{model: interference.New(maxMiss), learnedByAll: map[interference.Pair]interference.Estimate{}}
 }
 
-// isNeeded reports whether tails of serving tasks are to be looked at closely.
-func (paced *pacer) isNeeded(state *workerState) bool {
+// isNeeded reports whether the worker has both serving and filling runs, so that the tail latencies of the
+// serving ones have to be polled more often.
+func (p *pacer) isNeeded(state *workerState) bool {
 	serving, filling := false, false
 	for _, run := range state.runs {
 		serving = serving || run.demand.GetTargetMs() > 0
@@ -61,13 +58,13 @@
 	return serving && filling
 }
 
-// modelCoresPerMilliCPU is what a thousandth of this worker's cores counts for in the model's
-// cores.
+// modelCoresPerMilliCPU converts thousandths of this worker's cores to cores of a worker with
+// modelWorkerCores.
 func (state *workerState) modelCoresPerMilliCPU() float64 {
 	return modelWorkerCores / float64(max(state.heartbeat.MilliCPU, millisPerCore))
 }
 
-// interferenceTasks returns the runs that serve and those that fill.
+// interferenceTasks returns the serving and the filling runs as the interference model takes them.
 func (state *workerState) interferenceTasks(now time.Time) ([]interference.ServingTask, []interference.FillTask) {
 	scale := state.modelCoresPerMilliCPU()
 	var servings []interference.ServingTask
@@ -89,34 +86,35 @@
 	return servings, fills
 }
 
-// adjustPaces adapts the pace of the filling runs to the tails of the serving ones. Without it
-// serving tasks are over their targets for longer than is allowed.
-func (agent *Agent) adjustPaces(state *workerState, looked bool, now time.Time) {
+// adjustPaces adapts the paces of the filling runs to the tail latencies of the serving ones. Without it,
+// serving runs miss their targets for longer than allowed. After a poll, which is set by polled, there are new
+// readings: the model learns from them, and a run may be evicted.
+func (agent *Agent) adjustPaces(state *workerState, polled bool, now time.Time) {
 	servings, fills := state.interferenceTasks(now)
-	if looked {
+	if polled {
 		agent.logTargetChanges(state, now)
 		agent.pacer.model.Observe(servings, fills, now)
 	}
 	paces := agent.pacer.model.Paces(servings, fills)
-	if looked {
+	if polled {
 		agent.evictOne(state, servings, fills, paces, now)
 	}
 	for _, run := range state.runs {
 		if run.demand.GetFills() && run.phase == phaseRunning {
-			agent.setPace(state, run, int32(math.Round(paces[run.task]*fullPercent)), looked, now)
+			agent.setPace(state, run, int32(math.Round(paces[run.task]*fullPercent)), polled, now)
 		}
 	}
 }
 
-// setPace brings a run to a pace: at once to a lower one, in steps to a higher one,
-// since what a step does shows only in the next reading.
-func (agent *Agent) setPace(state *workerState, run *runState, percent int32, looked bool, now time.Time) {
+// setPace changes the pace of a run to percent. It lowers the pace at once but raises it in steps, one after a
+// poll, because the effect of a step shows only in the next reading.
+func (agent *Agent) setPace(state *workerState, run *runState, percent int32, polled bool, now time.Time) {
 	before := run.pacePercent
 	if run.paceUnknown {
 		before = run.usedPercent()
 	}
 	if percent > before {
-		if !looked || now.Sub(run.paceRaisedAt) < paceRaiseInterval {
+		if !polled || now.Sub(run.paceRaisedAt) < paceRaiseInterval {
 			return
 		}
 		run.paceRaisedAt = now
@@ -137,17 +135,18 @@
 	go agent.sendPace(state, run, percent, before, state.token)
 }
 
-// usedPercent estimates the pace of a run by the share of what it asks for that it uses.
+// usedPercent returns the CPU that the run uses as a percentage of what it asks for, as an estimate of its
+// pace.
 func (run *runState) usedPercent() int32 {
-	asked := run.demand.GetMilliCpu()
-	if asked <= 0 {
+	requested := run.demand.GetMilliCpu()
+	if requested <= 0 {
 		return fullPercent
 	}
-	return int32(min(max(run.reading*fullPercent/asked, 0), fullPercent))
+	return int32(min(max(run.reading*fullPercent/requested, 0), fullPercent))
 }
 
-// isPaceChangeRelevant reports whether a pace differs enough from the one before. Any step to
-// full pace does, so that no run is left a little slowed.
+// isPaceChangeRelevant reports whether a change of pace is large enough to be sent. Any change to full pace is,
+// so that no run stays slightly slowed.
 func isPaceChangeRelevant(before, percent int32) bool {
 	if percent == fullPercent {
 		return percent != before
@@ -155,8 +154,8 @@
 	return percent-before <= -minPaceChange || percent-before >= minPaceChange
 }
 
-// sendPace tells the worker a pace. One that did not arrive is sent again with the
-// next look.
+// sendPace sends a run's pace to the worker. If that fails, the pace before is restored, so that the change is
+// sent again after the next poll.
 func (agent *Agent) sendPace(state *workerState, run *runState, percent, before int32, token int64) {
 	ctx, cancel := context.WithTimeout(agent.ctx, callTimeout)
 	defer cancel()
