--- a/agent/poll.go
+++ b/agent/poll.go
@@ -11,7 +11,8 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// poll asks the worker what runs and what has ended, and renews its lease.
+// poll asks the worker which runs it has and which have ended, and renews its lease. The worker delays its
+// answer until a run ends, for at most the time that pollWait returns.
 func (agent *Agent) poll(now time.Time) {
 	state := agent.worker
 	if state.isPolling || state.isSuperseded || now.Before(state.pollAt) {
@@ -20,34 +21,35 @@
 	wait := agent.pollWait(state)
 	leaseEnd := time.Duration(0)
 	if state.pollFailures == 0 {
-		// A worker that does not answer is not renewed: its runs are over
-		// once the lease that it may have is.
+		// The lease of a worker that does not answer is not renewed, so that its runs are certainly over
+		// once the last lease has expired.
 		leaseEnd = state.leaseEnd(now, agent.leaseLimit(now))
 	}
 	if leaseEnd > 0 {
 		state.recordLease(leaseEnd)
 	}
-	asked := pollRequest{sentAt: now, storedEnd: state.storedEnd, token: state.token, unsettledStarts: state.unsettledStarts}
+	request := pollRequest{sentAt: now, storedEnd: state.storedEnd, token: state.token, unsettledStarts: state.unsettledStarts}
 	if state.pollFailures > 0 {
-		// It may have started again, and would forget ends of its next life.
-		asked.storedEnd = 0
+		// The worker may have restarted since: it numbers its ends from 1 again, and would forget ends
+		// that are not in the store.
+		request.storedEnd = 0
 	}
 	state.isPolling = true
 	go func() {
 		ctx, cancel := context.WithTimeout(agent.ctx, wait+callTimeout)
 		defer cancel()
-		held, err := state.client.Hold(ctx, leaseEnd, asked.storedEnd, asked.token, wait)
+		answer, err := state.client.Hold(ctx, leaseEnd, request.storedEnd, request.token, wait)
 		agent.eventLoop.Post(func(now time.Time) {
 			state.isPolling = false
 			if agent.worker == state {
-				agent.handlePollAnswer(state, asked, held, err, now)
+				agent.handlePollAnswer(state, request, answer, err, now)
 			}
 		})
 	}()
 }
 
-// pollWait returns how long a look waits for an end: not at all while the agent
-// does not know what runs.
+// pollWait returns how long a poll waits for a run to end: not at all while the agent does not know what the
+// worker runs.
 func (agent *Agent) pollWait(state *workerState) time.Duration {
 	if !state.runsKnown || state.unsettledStarts > 0 || state.pollFailures > 0 {
 		return 0
@@ -58,17 +60,20 @@
 	return defaultPollWait
 }
 
-// pollRequest is one question to the worker.
+// pollRequest is one poll of the worker, with the state in which it was sent.
 type pollRequest struct {
-	sentAt          time.Time
-	storedEnd       int64
-	token           int64
+	sentAt time.Time
+	// storedEnd is the number of the last end that the worker may forget.
+	storedEnd int64
+	token     int64
+	// unsettledStarts counts the starts that had got no answer. The answer to the poll settles them.
 	unsettledStarts int
 }
 
-func (agent *Agent) handlePollAnswer(state *workerState, asked pollRequest, held platform.Held, err error, now time.Time) {
+// handlePollAnswer updates the state of the worker from its answer to a poll.
+func (agent *Agent) handlePollAnswer(state *workerState, request pollRequest, answer platform.Held, err error, now time.Time) {
 	if state.isSuperseded {
-		return // The answer is of before, or none.
+		return // The answer is outdated, or is not from this incarnation.
 	}
 	if err != nil {
 		agent.handlePollError(state, err, now)
@@ -80,17 +85,17 @@
 		state.givenUpRuns = nil // It did not crash.
 		agent.markStatusChanged()
 	}
-	agent.recordStartTime(state, held.Incarnation)
-	state.updateClock(held.Clock, now)
-	state.recordAnswer(asked.sentAt, now)
+	agent.recordStartTime(state, answer.Incarnation)
+	state.updateClock(answer.Clock, now)
+	state.recordAnswer(request.sentAt, now)
 	state.pollAt = now
-	for _, end := range held.Ended {
+	for _, end := range answer.Ended {
 		agent.handleRunEnd(state, end, now)
 	}
-	if len(state.pendingEnds) > 0 || state.storedEnd > asked.storedEnd && len(held.Ended) > 0 {
+	if len(state.pendingEnds) > 0 || state.storedEnd > request.storedEnd && len(answer.Ended) > 0 {
 		state.pollAt = now.Add(pendingEndsDelay)
 	}
-	agent.reconcileRuns(state, asked, held, now)
+	agent.reconcileRuns(state, request, answer, now)
 	if !state.runsKnown {
 		state.runsKnown, state.runsListedOnce = true, true
 		agent.markStatusChanged()
@@ -98,12 +103,14 @@
 	agent.adjustPaces(state, true, now)
 }
 
+// handlePollError finds out from the error of a poll whether another incarnation has answered, or whether the
+// fencing token was too low. Otherwise it counts the failure; the worker is not ready until it answers again.
 func (agent *Agent) handlePollError(state *workerState, err error, now time.Time) {
 	if agent.detectRestart(state, err, now) {
 		return
 	}
 	if platform.IsOtherIncarnation(err) {
-		// One worker stands on a machine, and it is another one now.
+		// Only one worker runs on the machine, and it is another incarnation now.
 		agent.endIncarnation(state.incarnation, causeReplaced, now)
 		return
 	}
