--- a/agent/crash_test.go
+++ b/agent/crash_test.go
@@ -12,8 +12,8 @@
 )
 
 // waitForEnd waits for the last word on the task's run.
-func (made *harness) waitForEnd(owner *ownerStream, reason wire.EndReason) *wire.RunEnd {
-	made.t.Helper()
+func (h *harness) waitForEnd(owner *ownerStream, reason wire.EndReason) *wire.RunEnd {
+	h.t.Helper()
 	told := func() *wire.RunEnd {
 		message := owner.lastMatching(func(message *wire.AgentMessage) bool {
 			return len(message.GetEnds()) > 0 && message.GetEnds()[0].GetReason() == reason
@@ -23,67 +23,67 @@
 		}
 		return message.GetEnds()[0]
 	}
-	made.waitFor(func() bool { return told() != nil })
+	h.waitFor(func() bool { return told() != nil })
 	return told()
 }
 
 // crashWorker has the worker answer nothing any more.
-func (made *harness) crashWorker() {
-	made.worker.Fail(func(string) wireworker.Fault { return wireworker.FaultReset })
-	made.server.CloseClientConnections()
+func (h *harness) crashWorker() {
+	h.worker.Fail(func(string) wireworker.Fault { return wireworker.FaultReset })
+	h.server.CloseClientConnections()
 }
 
 // replaceWorker has another incarnation stand in its place and send a heartbeat.
-func (made *harness) replaceWorker() {
-	beat := made.firstHeartbeat()
+func (h *harness) replaceWorker() {
+	beat := h.firstHeartbeat()
 	beat.Incarnation = incarnation.New("i-2", 0)
-	next := httptest.NewServer(wireworker.New(beat.Incarnation.WorkerID(), made.clock))
-	made.t.Cleanup(func() {
+	next := httptest.NewServer(wireworker.New(beat.Incarnation.WorkerID(), h.clock))
+	h.t.Cleanup(func() {
 		next.CloseClientConnections()
 		next.Close()
 	})
 	beat.Address = strings.TrimPrefix(next.URL, "http://")
-	made.agent.Beat(beat)
+	h.agent.Beat(beat)
 }
 
 // TestCrashIsReported: a run that had just begun when its worker crashed may be why, one that had
 // outlived its start is not, nor one whose worker left.
 func TestCrashIsReported(t *testing.T) {
 	tests := map[string]struct {
-		end    func(made *harness, owner *ownerStream)
+		end    func(h *harness, owner *ownerStream)
 		want   wire.EndReason
 		proven bool
 	}{
-		"just begun": {func(made *harness, _ *ownerStream) {
-			made.crashWorker()
-			made.advance(time.Second)
-			made.replaceWorker()
+		"just begun": {func(h *harness, _ *ownerStream) {
+			h.crashWorker()
+			h.advance(time.Second)
+			h.replaceWorker()
 		}, wire.EndReason_END_CRASHED, false},
-		"back only after the lease": {func(made *harness, owner *ownerStream) {
-			made.crashWorker()
-			made.waitForEnd(owner, wire.EndReason_END_LOST)
-			made.replaceWorker()
+		"back only after the lease": {func(h *harness, owner *ownerStream) {
+			h.crashWorker()
+			h.waitForEnd(owner, wire.EndReason_END_LOST)
+			h.replaceWorker()
 		}, wire.EndReason_END_CRASHED, false},
-		"at work for a while, with nothing answered since": {func(made *harness, _ *ownerStream) {
-			made.advance(400 * time.Millisecond)
-			made.crashWorker()
-			made.advance(time.Second)
-			made.replaceWorker()
+		"at work for a while, with nothing answered since": {func(h *harness, _ *ownerStream) {
+			h.advance(400 * time.Millisecond)
+			h.crashWorker()
+			h.advance(time.Second)
+			h.replaceWorker()
 		}, wire.EndReason_END_LOST, false},
-		"outlived its start": {func(made *harness, _ *ownerStream) {
-			made.advance(3 * time.Second)
-			made.crashWorker()
-			made.advance(time.Second)
-			made.replaceWorker()
+		"outlived its start": {func(h *harness, _ *ownerStream) {
+			h.advance(3 * time.Second)
+			h.crashWorker()
+			h.advance(time.Second)
+			h.replaceWorker()
 		}, wire.EndReason_END_LOST, true},
-		"its worker left": {func(made *harness, owner *ownerStream) { made.agent.Left(workerID) }, wire.EndReason_END_LOST, false},
+		"its worker left": {func(h *harness, owner *ownerStream) { h.agent.Left(workerID) }, wire.EndReason_END_LOST, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			owner := made.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 1000})
-			test.end(made, owner)
-			end := made.waitForEnd(owner, test.want)
+			h := newHarness(t)
+			owner := h.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 1000})
+			test.end(h, owner)
+			end := h.waitForEnd(owner, test.want)
 			if end.GetProven() != test.proven {
 				t.Errorf("outlived its start: %v", end.GetProven())
 			}
@@ -94,16 +94,16 @@
 // TestSilenceIsNoCrash: a worker that did not answer until its lease had ended, and then goes
 // on, has not crashed.
 func TestSilenceIsNoCrash(t *testing.T) {
-	made := newHarness(t)
-	owner := made.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 1000})
-	made.crashWorker()
-	made.waitForEnd(owner, wire.EndReason_END_LOST)
-	made.worker.Fail(func(string) wireworker.Fault { return wireworker.FaultNone })
-	made.advance(2 * time.Second)
-	made.crashWorker()
-	made.advance(time.Second)
-	made.replaceWorker()
-	made.advance(time.Second)
+	h := newHarness(t)
+	owner := h.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 1000})
+	h.crashWorker()
+	h.waitForEnd(owner, wire.EndReason_END_LOST)
+	h.worker.Fail(func(string) wireworker.Fault { return wireworker.FaultNone })
+	h.advance(2 * time.Second)
+	h.crashWorker()
+	h.advance(time.Second)
+	h.replaceWorker()
+	h.advance(time.Second)
 	if end := owner.firstEnd(); end.GetReason() != wire.EndReason_END_LOST {
 		t.Errorf("told %v", end.GetReason())
 	}
@@ -129,20 +129,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			owner := made.attachReadyOwner(1)
+			h := newHarness(t)
+			owner := h.attachReadyOwner(1)
 			first := newStartOrder(1)
 			first.Suspect = true
-			made.mustStart(owner, first)
+			h.mustStart(owner, first)
 			owner.clearReceived()
-			made.advance(test.after)
+			h.advance(test.after)
 			second := newStartOrder(1)
 			second.Task, second.Suspect = other, test.suspect
 			owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{second}})
 			told := func(message *wire.AgentMessage) bool {
 				return len(message.GetResults()) > 0 && message.GetResults()[0].GetTask() == other
 			}
-			made.waitFor(func() bool { return owner.lastMatching(told) != nil })
+			h.waitFor(func() bool { return owner.lastMatching(told) != nil })
 			if got := owner.lastMatching(told).GetResults()[0].GetOutcome(); got != test.want {
 				t.Errorf("told %v", got)
 			}
@@ -163,19 +163,19 @@
 // run that was suspected before had begun on the same worker.
 func TestCrashBesideSuspectIsReported(t *testing.T) {
 	const other = "0123456789abcdef.0.0.1"
-	made := newHarness(t)
-	owner := made.attachReadyOwner(1)
+	h := newHarness(t)
+	owner := h.attachReadyOwner(1)
 	first := newStartOrder(1)
 	first.Suspect = true
-	made.mustStart(owner, first)
+	h.mustStart(owner, first)
 	second := newStartOrder(1)
 	second.Task = other
 	owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{second}})
-	made.waitFor(func() bool { _, runs := made.worker.Running(other); return runs })
-	made.crashWorker()
-	made.advance(time.Second)
-	made.replaceWorker()
-	made.advance(time.Second)
+	h.waitFor(func() bool { _, runs := h.worker.Running(other); return runs })
+	h.crashWorker()
+	h.advance(time.Second)
+	h.replaceWorker()
+	h.advance(time.Second)
 	told := map[string]wire.EndReason{}
 	owner.mu.Lock()
 	for _, message := range owner.received {
--- a/agent/drain_test.go
+++ b/agent/drain_test.go
@@ -27,12 +27,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			made.attachOwnerWithRun(test.demand)
-			made.worker.Progress(testTask, test.percent)
-			made.sendDrainNotice(test.remaining)
-			made.advance(test.after)
-			if runs := made.isRunning(); runs != test.runs {
+			h := newHarness(t)
+			h.attachOwnerWithRun(test.demand)
+			h.worker.Progress(testTask, test.percent)
+			h.sendDrainNotice(test.remaining)
+			h.advance(test.after)
+			if runs := h.isRunning(); runs != test.runs {
 				t.Errorf("it runs: %v", runs)
 			}
 		})
@@ -42,17 +42,17 @@
 // TestCancelledDrain: a notice that was taken back counts no more, also when
 // the worker drains again without saying for how long it stays.
 func TestCancelledDrain(t *testing.T) {
-	made := newHarness(t)
-	made.attachOwnerWithRun(newStartOrder(1).GetDemand())
-	made.sendDrainNotice(5 * time.Second)
-	stays := made.firstHeartbeat()
+	h := newHarness(t)
+	h.attachOwnerWithRun(newStartOrder(1).GetDemand())
+	h.sendDrainNotice(5 * time.Second)
+	stays := h.firstHeartbeat()
 	stays.Sequence = 3
-	made.agent.Beat(stays)
-	drains := made.firstHeartbeat()
+	h.agent.Beat(stays)
+	drains := h.firstHeartbeat()
 	drains.Sequence, drains.Draining = 4, true
-	made.agent.Beat(drains)
-	made.advance(6 * time.Second)
-	if !made.isRunning() {
+	h.agent.Beat(drains)
+	h.advance(6 * time.Second)
+	if !h.isRunning() {
 		t.Error("it was stopped for the first notice")
 	}
 }
--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -26,33 +26,33 @@
 	if otherShard == testShard {
 		t.Fatal("both jobs are of one shard")
 	}
-	made := newHarness(t)
+	h := newHarness(t)
 	noted := make(chan wireworker.Change, 8)
-	made.worker.Watch(func(change wireworker.Change) {
+	h.worker.Watch(func(change wireworker.Change) {
 		if change.Kind == wireworker.Noted {
 			noted <- change
 		}
 	})
-	owner := made.attachReadyOwner(1)
-	other := made.connectOwner(&wire.OwnerMessage{
+	owner := h.attachReadyOwner(1)
+	other := h.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-2", Owned: true, Shards: []*wire.ShardEpoch{{Shard: otherShard, Epoch: 1}}, GrantUntilNanos: int64(time.Hour),
 	})
-	made.mustStart(owner, newStartOrder(1))
+	h.mustStart(owner, newStartOrder(1))
 	beside := newStartOrder(1)
 	beside.Task, beside.Shard = otherTask, otherShard
 	other.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{beside}})
-	made.waitFor(func() bool { _, runs := made.worker.Running(otherTask); return runs })
+	h.waitFor(func() bool { _, runs := h.worker.Running(otherTask); return runs })
 
-	made.worker.End(testTask, "done")
-	made.waitFor(func() bool { return owner.firstEnd() != nil })
+	h.worker.End(testTask, "done")
+	h.waitFor(func() bool { return owner.firstEnd() != nil })
 	for range 5 {
-		made.advance(2 * time.Second)
+		h.advance(2 * time.Second)
 		other.send(&wire.OwnerMessage{})
 	}
-	again := made.attachOwner(2)
-	made.waitFor(func() bool { return again.firstEnd() != nil })
+	again := h.attachOwner(2)
+	h.waitFor(func() bool { return again.firstEnd() != nil })
 	again.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: again.firstEnd().GetNumber()}}})
-	made.waitFor(func() bool { _, seen := made.worker.Looks(); return seen >= 1 })
+	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen >= 1 })
 	select {
 	case change := <-noted:
 		if change.Task == testTask {
@@ -66,21 +66,21 @@
 // running nor among the ends are not lost, their ends come once the first are in the store.
 func TestRunsBeyondEndListLimitAreNotLost(t *testing.T) {
 	const many = platform.EndsListedMost + 20
-	made := newHarness(t)
+	h := newHarness(t)
 	name := func(index int) string { return fmt.Sprintf("%s.0.0.%d", otherJob, index) }
 	for index := range many {
-		made.worker.Put(name(index), 1, time.Hour)
+		h.worker.Put(name(index), 1, time.Hour)
 	}
-	made.sendHeartbeat()
-	owner := made.connectOwner(&wire.OwnerMessage{
+	h.sendHeartbeat()
+	owner := h.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: int32(job.ShardOf(otherJob, shardCount)), Epoch: 1}}, GrantUntilNanos: int64(time.Hour),
 	})
 	lists := func(message *wire.AgentMessage) bool { return len(message.GetRuns()) == many }
-	made.waitFor(func() bool { return owner.lastMatching(lists) != nil })
+	h.waitFor(func() bool { return owner.lastMatching(lists) != nil })
 	for index := range many {
-		made.worker.End(name(index), "done")
+		h.worker.End(name(index), "done")
 	}
-	made.advance(3 * time.Second)
+	h.advance(3 * time.Second)
 	lost, done := owner.countEnds(wire.EndReason_END_LOST), owner.countEnds(wire.EndReason_END_DONE)
 	if lost > 0 || done == 0 {
 		t.Errorf("%d runs told as lost, %d as done", lost, done)
--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -139,133 +139,133 @@
 
 func newHarness(t *testing.T) *harness {
 	clock := clockwork.NewFakeClock()
-	made := &harness{t: t, clock: clock, worker: wireworker.New(workerID, clock)}
-	made.servedWorker.Store(made.worker)
-	made.server = httptest.NewServer(http.HandlerFunc(func(answer http.ResponseWriter, request *http.Request) {
-		made.servedWorker.Load().ServeHTTP(answer, request)
+	h := &harness{t: t, clock: clock, worker: wireworker.New(workerID, clock)}
+	h.servedWorker.Store(h.worker)
+	h.server = httptest.NewServer(http.HandlerFunc(func(answer http.ResponseWriter, request *http.Request) {
+		h.servedWorker.Load().ServeHTTP(answer, request)
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
-	made.ctx = ctx
+	h.ctx = ctx
 	t.Cleanup(func() {
 		cancel()
-		made.server.CloseClientConnections()
-		made.server.Close()
+		h.server.CloseClientConnections()
+		h.server.Close()
 	})
-	made.startAgent()
-	return made
+	h.startAgent()
+	return h
 }
 
 // startAgent starts an agent, as after a restart.
-func (made *harness) startAgent() {
-	made.agent = agent.New(agent.Options{
-		Name: "side-1", Shards: shardCount, FirstToken: made.clock.Now().UnixMilli(), Clock: made.clock, Events: event.Discard(),
-		EvacuationDeadline: evacuationDeadline, Suspended: func() time.Duration { return time.Duration(made.suspendedFor.Load()) },
+func (h *harness) startAgent() {
+	h.agent = agent.New(agent.Options{
+		Name: "side-1", Shards: shardCount, FirstToken: h.clock.Now().UnixMilli(), Clock: h.clock, Events: event.Discard(),
+		EvacuationDeadline: evacuationDeadline, Suspended: func() time.Duration { return time.Duration(h.suspendedFor.Load()) },
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
 			return platform.NewWorker(address, of, platform.Transport())
 		},
 	})
-	made.agentStartedAt = made.clock.Now()
-	ctx, kill := context.WithCancel(made.ctx)
-	made.stopAgent = kill
-	go made.agent.Run(ctx)
+	h.agentStartedAt = h.clock.Now()
+	ctx, kill := context.WithCancel(h.ctx)
+	h.stopAgent = kill
+	go h.agent.Run(ctx)
 }
 
 // uptime is the clock that the agent reckons in towards owners.
-func (made *harness) uptime() time.Duration { return made.clock.Now().Sub(made.agentStartedAt) }
+func (h *harness) uptime() time.Duration { return h.clock.Now().Sub(h.agentStartedAt) }
 
 // firstHeartbeat is what the worker says of itself first.
-func (made *harness) firstHeartbeat() platform.Heartbeat {
+func (h *harness) firstHeartbeat() platform.Heartbeat {
 	return platform.Heartbeat{
-		Incarnation: incarnation.New(workerID, 0), Service: "verbale", Address: strings.TrimPrefix(made.server.URL, "http://"),
+		Incarnation: incarnation.New(workerID, 0), Service: "verbale", Address: strings.TrimPrefix(h.server.URL, "http://"),
 		MilliCPU: 4000, MemoryMB: 8000, Sequence: 1, FailureDomain: testDomain,
 	}
 }
 
 // sendHeartbeat has the worker say that it is there.
-func (made *harness) sendHeartbeat() {
-	made.agent.Beat(made.firstHeartbeat())
+func (h *harness) sendHeartbeat() {
+	h.agent.Beat(h.firstHeartbeat())
 }
 
 // sendDrainNotice has the worker say that it drains and stays for a while at least.
-func (made *harness) sendDrainNotice(remaining time.Duration) {
-	beat := made.firstHeartbeat()
+func (h *harness) sendDrainNotice(remaining time.Duration) {
+	beat := h.firstHeartbeat()
 	beat.Sequence, beat.Draining, beat.Remaining = 2, true, remaining
-	made.agent.Beat(beat)
+	h.agent.Beat(beat)
 }
 
 // attachOwner connects an owner that claims the shard and grants it time.
-func (made *harness) attachOwner(epoch int64) *ownerStream {
-	return made.connectOwner(&wire.OwnerMessage{
+func (h *harness) attachOwner(epoch int64) *ownerStream {
+	return h.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard, Epoch: epoch}},
 		GrantUntilNanos: int64(grantDuration),
 	})
 }
 
 // connectOwner opens an owner's stream with a first message and waits until it is handled.
-func (made *harness) connectOwner(first *wire.OwnerMessage) *ownerStream {
-	owner := &ownerStream{in: make(chan *wire.OwnerMessage, 64), ctx: made.ctx, uptime: made.uptime}
-	go func() { _ = made.agent.Attach(owner) }()
+func (h *harness) connectOwner(first *wire.OwnerMessage) *ownerStream {
+	owner := &ownerStream{in: make(chan *wire.OwnerMessage, 64), ctx: h.ctx, uptime: h.uptime}
+	go func() { _ = h.agent.Attach(owner) }()
 	owner.send(first)
-	made.waitFor(func() bool {
+	h.waitFor(func() bool {
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetHandled() >= 1 }) != nil
 	})
 	return owner
 }
 
 // attachReadyOwner connects an owner to the agent of a worker that is ready.
-func (made *harness) attachReadyOwner(epoch int64) *ownerStream {
-	made.sendHeartbeat()
-	owner := made.attachOwner(epoch)
-	made.waitFor(func() bool {
+func (h *harness) attachReadyOwner(epoch int64) *ownerStream {
+	h.sendHeartbeat()
+	owner := h.attachOwner(epoch)
+	h.waitFor(func() bool {
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus().GetReady() }) != nil
 	})
 	return owner
 }
 
 // orderStart has the owner order a start and waits until it is told what became of it.
-func (made *harness) orderStart(owner *ownerStream, order *wire.StartOrder) wire.StartOutcome {
-	made.t.Helper()
+func (h *harness) orderStart(owner *ownerStream, order *wire.StartOrder) wire.StartOutcome {
+	h.t.Helper()
 	owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{order}})
-	made.waitFor(func() bool { return owner.startOutcome() != wire.StartOutcome_START_UNSPECIFIED })
+	h.waitFor(func() bool { return owner.startOutcome() != wire.StartOutcome_START_UNSPECIFIED })
 	return owner.startOutcome()
 }
 
 // mustStart is starts for an order that has to be carried out.
-func (made *harness) mustStart(owner *ownerStream, order *wire.StartOrder) {
-	made.t.Helper()
-	if got := made.orderStart(owner, order); got != wire.StartOutcome_START_STARTED {
-		made.t.Fatalf("the start was answered %v", got)
+func (h *harness) mustStart(owner *ownerStream, order *wire.StartOrder) {
+	h.t.Helper()
+	if got := h.orderStart(owner, order); got != wire.StartOutcome_START_STARTED {
+		h.t.Fatalf("the start was answered %v", got)
 	}
 }
 
 // attachOwnerWithRun connects an owner that grants a minute and has the task run with a demand.
-func (made *harness) attachOwnerWithRun(demand *wire.Demand) *ownerStream {
-	made.t.Helper()
-	owner := made.attachReadyOwner(1)
+func (h *harness) attachOwnerWithRun(demand *wire.Demand) *ownerStream {
+	h.t.Helper()
+	owner := h.attachReadyOwner(1)
 	owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Minute)})
 	order := newStartOrder(1)
 	order.Demand = demand
-	made.mustStart(owner, order)
+	h.mustStart(owner, order)
 	return owner
 }
 
 // isRunning reports whether the task runs at the worker.
-func (made *harness) isRunning() bool {
-	_, found := made.worker.Running(testTask)
+func (h *harness) isRunning() bool {
+	_, found := h.worker.Running(testTask)
 	return found
 }
 
 // waitFor lets short steps of the clock pass until what is waited for holds.
-func (made *harness) waitFor(holds func() bool) {
-	made.t.Helper()
+func (h *harness) waitFor(holds func() bool) {
+	h.t.Helper()
 	for range 2000 {
 		if holds() {
 			return
 		}
-		made.clock.Advance(5 * time.Millisecond)
+		h.clock.Advance(5 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
-	made.t.Fatal("what was waited for did not happen")
+	h.t.Fatal("what was waited for did not happen")
 }
 
 const (
@@ -279,29 +279,29 @@
 )
 
 // advance lets time go by in steps that the agent sees.
-func (made *harness) advance(length time.Duration) {
-	looks, lookedAt := 0, made.clock.Now()
+func (h *harness) advance(length time.Duration) {
+	looks, lookedAt := 0, h.clock.Now()
 	looked := func() bool {
-		count, _ := made.worker.Looks()
+		count, _ := h.worker.Looks()
 		if count == looks {
 			return false
 		}
-		looks, lookedAt = count, made.clock.Now()
+		looks, lookedAt = count, h.clock.Now()
 		return true
 	}
-	for begin := made.clock.Now(); made.clock.Now().Sub(begin) < length; {
-		made.clock.Advance(50 * time.Millisecond)
+	for begin := h.clock.Now(); h.clock.Now().Sub(begin) < length; {
+		h.clock.Advance(50 * time.Millisecond)
 		time.Sleep(time.Millisecond)
-		for try := 0; try < maxPollTries && !looked() && made.clock.Now().Sub(lookedAt) >= maxUnpolled; try++ {
+		for try := 0; try < maxPollTries && !looked() && h.clock.Now().Sub(lookedAt) >= maxUnpolled; try++ {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
 // advanceUnpolled is pass for a worker that answers no look.
-func (made *harness) advanceUnpolled(length time.Duration) {
-	for begin := made.clock.Now(); made.clock.Now().Sub(begin) < length; {
-		made.clock.Advance(20 * time.Millisecond)
+func (h *harness) advanceUnpolled(length time.Duration) {
+	for begin := h.clock.Now(); h.clock.Now().Sub(begin) < length; {
+		h.clock.Advance(20 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/agent/order_test.go
+++ b/agent/order_test.go
@@ -8,16 +8,16 @@
 )
 
 func TestEndIsKeptUntilStored(t *testing.T) {
-	made := newHarness(t)
-	owner := made.attachReadyOwner(1)
-	made.mustStart(owner, newStartOrder(1))
-	made.worker.End(testTask, "done")
-	made.waitFor(func() bool { return owner.firstEnd() != nil })
-	if _, seen := made.worker.Looks(); seen != 0 {
+	h := newHarness(t)
+	owner := h.attachReadyOwner(1)
+	h.mustStart(owner, newStartOrder(1))
+	h.worker.End(testTask, "done")
+	h.waitFor(func() bool { return owner.firstEnd() != nil })
+	if _, seen := h.worker.Looks(); seen != 0 {
 		t.Errorf("the worker was told to forget end %d before it was durable", seen)
 	}
 	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: owner.firstEnd().GetNumber()}}})
-	made.waitFor(func() bool { _, seen := made.worker.Looks(); return seen == 1 })
+	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == 1 })
 }
 
 func TestStartOutcomes(t *testing.T) {
@@ -34,11 +34,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			owner := made.attachReadyOwner(7)
+			h := newHarness(t)
+			owner := h.attachReadyOwner(7)
 			order := newStartOrder(7)
 			test.change(order)
-			if got := made.orderStart(owner, order); got != test.want {
+			if got := h.orderStart(owner, order); got != test.want {
 				t.Errorf("got %v", got)
 			}
 		})
@@ -59,19 +59,19 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			owner := made.attachReadyOwner(1)
-			made.worker.Fail(func(path string) wireworker.Fault {
+			h := newHarness(t)
+			owner := h.attachReadyOwner(1)
+			h.worker.Fail(func(path string) wireworker.Fault {
 				if path == "/v1/run-start" {
 					return test.fault
 				}
 				return wireworker.FaultNone
 			})
-			if got := made.orderStart(owner, newStartOrder(1)); got != test.want {
+			if got := h.orderStart(owner, newStartOrder(1)); got != test.want {
 				t.Errorf("told %v", got)
 			}
-			made.worker.CarryOut()
-			if runs := made.isRunning(); runs != test.runs {
+			h.worker.CarryOut()
+			if runs := h.isRunning(); runs != test.runs {
 				t.Errorf("runs: %v", runs)
 			}
 		})
--- a/agent/pace_test.go
+++ b/agent/pace_test.go
@@ -11,16 +11,16 @@
 // the one before it left a run. The case that forced it: runs that had been slowed for a
 // moment stayed slowed to their end once all processes had been killed.
 func TestAdoptedRunPaceIsReset(t *testing.T) {
-	made := newHarness(t)
-	made.worker.Put(testTask, 3, 20*time.Second)
-	made.worker.SetPace(testTask, 5, 50)
-	made.sendHeartbeat()
-	owner := made.attachOwner(1)
-	made.waitFor(func() bool {
+	h := newHarness(t)
+	h.worker.Put(testTask, 3, 20*time.Second)
+	h.worker.SetPace(testTask, 5, 50)
+	h.sendHeartbeat()
+	owner := h.attachOwner(1)
+	h.waitFor(func() bool {
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return len(message.GetRuns()) == 1 }) != nil
 	})
 	owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(20 * time.Second), Runs: []*wire.RunDescription{{
 		Task: testTask, Attempt: 3, Demand: &wire.Demand{MilliCpu: 1000, MemoryMb: 100, Fills: true, Image: "f"},
 	}}})
-	made.waitFor(func() bool { return made.worker.Pace(testTask) == 100 })
+	h.waitFor(func() bool { return h.worker.Pace(testTask) == 100 })
 }
--- a/agent/poll_test.go
+++ b/agent/poll_test.go
@@ -10,16 +10,16 @@
 // TestEndNumbersAfterAgentRestart: the worker counts on from ends that it
 // was told to forget by the agent before.
 func TestEndNumbersAfterAgentRestart(t *testing.T) {
-	made := newHarness(t)
-	made.worker.Number(200)
-	made.worker.Put(testTask, 3, 4*time.Second)
-	made.sendHeartbeat()
-	owner := made.attachOwner(1)
-	made.waitFor(func() bool {
+	h := newHarness(t)
+	h.worker.Number(200)
+	h.worker.Put(testTask, 3, 4*time.Second)
+	h.sendHeartbeat()
+	owner := h.attachOwner(1)
+	h.waitFor(func() bool {
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return len(message.GetRuns()) == 1 }) != nil
 	})
-	made.worker.End(testTask, "done")
-	made.waitFor(func() bool { return owner.firstEnd() != nil })
+	h.worker.End(testTask, "done")
+	h.waitFor(func() bool { return owner.firstEnd() != nil })
 	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: owner.firstEnd().GetNumber()}}})
-	made.waitFor(func() bool { _, seen := made.worker.Looks(); return seen == 201 })
+	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == 201 })
 }
--- a/agent/preempt_test.go
+++ b/agent/preempt_test.go
@@ -37,11 +37,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			owner := made.attachOwnerWithRun(test.there)
+			h := newHarness(t)
+			owner := h.attachOwnerWithRun(test.there)
 			owner.send(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{Shard: testShard, Epoch: 1, Worker: workerID, Demand: test.wanted}}})
-			made.advance(time.Second)
-			if runs := made.isRunning(); runs != test.runs {
+			h.advance(time.Second)
+			if runs := h.isRunning(); runs != test.runs {
 				t.Errorf("it runs: %v", runs)
 			}
 		})
@@ -51,16 +51,16 @@
 // TestReplacedOwnerDoesNotPreempt: an owner whose shard has passed on has nothing
 // stopped.
 func TestReplacedOwnerDoesNotPreempt(t *testing.T) {
-	made := newHarness(t)
-	before := made.attachReadyOwner(6)
-	owner := made.attachOwner(7)
+	h := newHarness(t)
+	before := h.attachReadyOwner(6)
+	owner := h.attachOwner(7)
 	owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Minute)})
 	order := newStartOrder(7)
 	order.Demand = &wire.Demand{MilliCpu: 1000, MemoryMb: 6000, Priority: 2, Movable: true, Saves: true}
-	made.mustStart(owner, order)
+	h.mustStart(owner, order)
 	before.send(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{Shard: testShard, Epoch: 6, Worker: workerID, Demand: &wire.Demand{MemoryMb: 4000}}}})
-	made.advance(time.Second)
-	if !made.isRunning() {
+	h.advance(time.Second)
+	if !h.isRunning() {
 		t.Error("a run was stopped at its word")
 	}
 }
--- a/agent/replaced_connection_test.go
+++ b/agent/replaced_connection_test.go
@@ -18,29 +18,29 @@
 // 0.4 ms before its owner, attached by a newer one, found the run "not listed by its agent".
 
 // connectOwnerAs opens the nth connection of an owner, which claims the shard and grants it time.
-func (made *harness) connectOwnerAs(number int64) *ownerStream {
-	return made.connectOwner(&wire.OwnerMessage{
+func (h *harness) connectOwnerAs(number int64) *ownerStream {
+	return h.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard, Epoch: 1}},
 		GrantUntilNanos: int64(time.Minute), Connection: number,
 	})
 }
 
 // waitWorkerReady has the worker send a heartbeat and waits until an owner is told that it is ready.
-func (made *harness) waitWorkerReady(owner *ownerStream) {
-	made.sendHeartbeat()
-	made.waitFor(func() bool {
+func (h *harness) waitWorkerReady(owner *ownerStream) {
+	h.sendHeartbeat()
+	h.waitFor(func() bool {
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus().GetReady() }) != nil
 	})
 }
 
 func TestReplacedConnectionStartsNothing(t *testing.T) {
-	made := newHarness(t)
-	older := made.connectOwnerAs(1)
-	made.waitWorkerReady(older)
-	made.connectOwnerAs(2)
+	h := newHarness(t)
+	older := h.connectOwnerAs(1)
+	h.waitWorkerReady(older)
+	h.connectOwnerAs(2)
 	older.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{newStartOrder(1)}})
-	made.advance(time.Second)
-	if made.isRunning() {
+	h.advance(time.Second)
+	if h.isRunning() {
 		t.Fatal("a start that came on an older connection was carried out")
 	}
 }
@@ -48,22 +48,22 @@
 // TestLateClaimOnReplacedConnection has the claim on the older connection come after that on the
 // newer one, which is the one that its owner reads.
 func TestLateClaimOnReplacedConnection(t *testing.T) {
-	made := newHarness(t)
-	newer := made.connectOwnerAs(2)
-	made.waitWorkerReady(newer)
-	made.mustStart(newer, newStartOrder(1))
-	late := &ownerStream{in: make(chan *wire.OwnerMessage, 64), ctx: made.ctx, uptime: made.uptime}
-	go func() { _ = made.agent.Attach(late) }()
+	h := newHarness(t)
+	newer := h.connectOwnerAs(2)
+	h.waitWorkerReady(newer)
+	h.mustStart(newer, newStartOrder(1))
+	late := &ownerStream{in: make(chan *wire.OwnerMessage, 64), ctx: h.ctx, uptime: h.uptime}
+	go func() { _ = h.agent.Attach(late) }()
 	late.send(&wire.OwnerMessage{Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard, Epoch: 1}}, Connection: 1})
-	made.advance(time.Second)
+	h.advance(time.Second)
 	newer.clearReceived()
 	lists := func(message *wire.AgentMessage) bool { return message.GetComplete() }
-	made.waitFor(func() bool { return newer.lastMatching(lists) != nil })
+	h.waitFor(func() bool { return newer.lastMatching(lists) != nil })
 	if got := len(newer.lastMatching(lists).GetRuns()); got != 1 {
 		t.Errorf("the newer connection is told of %d runs, want 1", got)
 	}
-	made.worker.End(testTask, "done")
-	made.advance(time.Second)
+	h.worker.End(testTask, "done")
+	h.advance(time.Second)
 	if newer.firstEnd() == nil {
 		t.Error("the newer connection is not told the end of the run")
 	}
@@ -80,16 +80,16 @@
 	}
 	for name, late := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			older := made.connectOwnerAs(1)
-			made.waitWorkerReady(older)
+			h := newHarness(t)
+			older := h.connectOwnerAs(1)
+			h.waitWorkerReady(older)
 			order := newStartOrder(1)
 			order.Demand.Movable, order.Demand.Saves, order.Demand.Priority = true, true, 1
-			made.mustStart(older, order)
-			made.connectOwnerAs(2)
+			h.mustStart(older, order)
+			h.connectOwnerAs(2)
 			older.send(late)
-			made.advance(time.Second)
-			if !made.isRunning() {
+			h.advance(time.Second)
+			if !h.isRunning() {
 				t.Error("the run was stopped by what came on an older connection")
 			}
 		})
--- a/agent/resources_test.go
+++ b/agent/resources_test.go
@@ -22,20 +22,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			owner := made.attachReadyOwner(1)
+			h := newHarness(t)
+			owner := h.attachReadyOwner(1)
 			first := newStartOrder(1)
 			first.Task = "0123456789abcdef.0.0.1"
 			owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{first}})
-			made.waitFor(func() bool { _, runs := made.worker.Running(first.Task); return runs })
-			beat := made.firstHeartbeat()
+			h.waitFor(func() bool { _, runs := h.worker.Running(first.Task); return runs })
+			beat := h.firstHeartbeat()
 			beat.Sequence = 2
 			test.change(&beat)
-			made.agent.Beat(beat)
-			if got := made.orderStart(owner, newStartOrder(1)); got != test.want {
+			h.agent.Beat(beat)
+			if got := h.orderStart(owner, newStartOrder(1)); got != test.want {
 				t.Errorf("told %v", got)
 			}
-			made.waitFor(func() bool {
+			h.waitFor(func() bool {
 				status := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil }).GetStatus()
 				return status.GetMilliCpu() == beat.MilliCPU && status.GetMemoryMb() == beat.MemoryMB
 			})
--- a/agent/restart_test.go
+++ b/agent/restart_test.go
@@ -40,58 +40,58 @@
 
 // newDatedHarness is a bench whose worker says when it started.
 func newDatedHarness(t *testing.T) *harness {
-	made := newHarness(t)
-	made.worker = wireworker.NewDated(workerID, made.clock)
-	made.servedWorker.Store(made.worker)
-	return made
+	h := newHarness(t)
+	h.worker = wireworker.NewDated(workerID, h.clock)
+	h.servedWorker.Store(h.worker)
+	return h
 }
 
 // sendHeartbeatOf has a life of the worker send a heartbeat with a number.
-func (made *harness) sendHeartbeatOf(of *wireworker.Worker, sequence int, state string) {
-	made.t.Helper()
-	if code := made.putHeartbeat(made.heartbeatJSON(of, sequence, state)); code != http.StatusOK {
-		made.t.Fatalf("the heartbeat was answered %d", code)
+func (h *harness) sendHeartbeatOf(of *wireworker.Worker, sequence int, state string) {
+	h.t.Helper()
+	if code := h.putHeartbeat(h.heartbeatJSON(of, sequence, state)); code != http.StatusOK {
+		h.t.Fatalf("the heartbeat was answered %d", code)
 	}
 }
 
 // putHeartbeat sends a heartbeat as it stands and returns how it was answered.
-func (made *harness) putHeartbeat(body string) int {
+func (h *harness) putHeartbeat(body string) int {
 	answer := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPut, "/v1/instances/"+workerID, strings.NewReader(body))
-	platform.BeatHandler(made.agent).ServeHTTP(answer, request)
+	platform.BeatHandler(h.agent).ServeHTTP(answer, request)
 	return answer.Code
 }
 
-func (made *harness) heartbeatJSON(of *wireworker.Worker, sequence int, state string) string {
+func (h *harness) heartbeatJSON(of *wireworker.Worker, sequence int, state string) string {
 	return fmt.Sprintf(`{"service":"verbale","address":%q,"zone":%q,"state":%q,"capacity":{"cpu":4000,"mem_mb":8000},"seq":%d,"born":%d}`,
-		strings.TrimPrefix(made.server.URL, "http://"), testDomain, state, sequence, of.Born())
+		strings.TrimPrefix(h.server.URL, "http://"), testDomain, state, sequence, of.Born())
 }
 
 // restartWorker has the worker start again under its id after it was away for a while.
-func (made *harness) restartWorker(away time.Duration) {
-	made.t.Helper()
-	next := made.worker.StartAgain()
-	made.server.CloseClientConnections()
-	made.advanceUnpolled(away)
-	made.worker = next
-	made.servedWorker.Store(next)
+func (h *harness) restartWorker(away time.Duration) {
+	h.t.Helper()
+	next := h.worker.StartAgain()
+	h.server.CloseClientConnections()
+	h.advanceUnpolled(away)
+	h.worker = next
+	h.servedWorker.Store(next)
 }
 
 // attachOwnerTo connects an owner to the agent of a life that is ready, and has it grant time for the whole test.
-func (made *harness) attachOwnerTo(of *wireworker.Worker) *ownerStream {
-	made.t.Helper()
-	made.sendHeartbeatOf(of, 1, "ready")
-	owner := made.attachOwner(1)
-	made.waitReadyAs(owner, of)
+func (h *harness) attachOwnerTo(of *wireworker.Worker) *ownerStream {
+	h.t.Helper()
+	h.sendHeartbeatOf(of, 1, "ready")
+	owner := h.attachOwner(1)
+	h.waitReadyAs(owner, of)
 	owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 	return owner
 }
 
 // waitReadyAs waits until a life was asked what runs, and the owner is told that it is ready. That is told
 // without the moment of its start by a build that doesn't know lives apart.
-func (made *harness) waitReadyAs(owner *ownerStream, of *wireworker.Worker) {
-	made.t.Helper()
-	made.waitFor(func() bool {
+func (h *harness) waitReadyAs(owner *ownerStream, of *wireworker.Worker) {
+	h.t.Helper()
+	h.waitFor(func() bool {
 		looks, _ := of.Looks()
 		status := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil }).GetStatus()
 		return looks > 0 && status.GetReady() && (status.GetBorn() == of.Born() || status.GetBorn() == 0)
@@ -109,11 +109,11 @@
 func numberedTask(number int) string { return fmt.Sprintf("0123456789abcdef.0.0.%d", number) }
 
 // startRun has the owner order a run, and waits until it goes.
-func (made *harness) startRun(owner *ownerStream, order *wire.StartOrder) {
-	made.t.Helper()
+func (h *harness) startRun(owner *ownerStream, order *wire.StartOrder) {
+	h.t.Helper()
 	owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{order}})
-	made.waitFor(func() bool {
-		attempt, runs := made.worker.Running(order.GetTask())
+	h.waitFor(func() bool {
+		attempt, runs := h.worker.Running(order.GetTask())
 		return runs && attempt == order.GetAttempt()
 	})
 }
@@ -139,32 +139,32 @@
 }
 
 // finishRuns has runs on the worker end, waits until the owner is told, and has it note them.
-func (made *harness) finishRuns(owner *ownerStream, count int) {
-	made.t.Helper()
+func (h *harness) finishRuns(owner *ownerStream, count int) {
+	h.t.Helper()
 	for number := range count {
-		made.startRun(owner, newStartOrderFor(made.worker, numberedTask(number)))
-		made.worker.End(numberedTask(number), "done")
-		made.waitFor(func() bool { return len(owner.endsOf(numberedTask(number))) > 0 })
+		h.startRun(owner, newStartOrderFor(h.worker, numberedTask(number)))
+		h.worker.End(numberedTask(number), "done")
+		h.waitFor(func() bool { return len(owner.endsOf(numberedTask(number))) > 0 })
 		owner.confirmEnd(owner.endsOf(numberedTask(number))[0])
 	}
-	made.waitFor(func() bool { _, seen := made.worker.Looks(); return seen == int64(count) })
+	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == int64(count) })
 }
 
 // TestEndsAfterRestartAreReported: the owner hears of each end of the next life, whose numbers begin anew,
 // and the worker is told to forget none before its owner has noted it.
 func TestEndsAfterRestartAreReported(t *testing.T) {
-	made := newDatedHarness(t)
-	owner := made.attachOwnerTo(made.worker)
-	made.finishRuns(owner, 3)
-	made.restartWorker(300 * time.Millisecond)
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitReadyAs(owner, made.worker)
+	h := newDatedHarness(t)
+	owner := h.attachOwnerTo(h.worker)
+	h.finishRuns(owner, 3)
+	h.restartWorker(300 * time.Millisecond)
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitReadyAs(owner, h.worker)
 	for number := 3; number < 6; number++ {
-		made.startRun(owner, newStartOrderFor(made.worker, numberedTask(number)))
-		made.worker.End(numberedTask(number), "done")
+		h.startRun(owner, newStartOrderFor(h.worker, numberedTask(number)))
+		h.worker.End(numberedTask(number), "done")
 	}
-	made.advance(4 * time.Second)
-	if _, seen := made.worker.Looks(); seen != 0 {
+	h.advance(4 * time.Second)
+	if _, seen := h.worker.Looks(); seen != 0 {
 		t.Errorf("the worker was told to forget its ends up to %d, of which none was noted", seen)
 	}
 	for number := 3; number < 6; number++ {
@@ -180,24 +180,24 @@
 func TestLateConfirmationForPredecessor(t *testing.T) {
 	for name, dated := range map[string]bool{"of this build": true, "of an earlier build": false} {
 		t.Run(name, func(t *testing.T) {
-			made := newDatedHarness(t)
-			owner := made.attachOwnerTo(made.worker)
-			made.startRun(owner, newStartOrderFor(made.worker, numberedTask(0)))
-			made.worker.End(numberedTask(0), "done")
-			made.waitFor(func() bool { return len(owner.endsOf(numberedTask(0))) > 0 })
+			h := newDatedHarness(t)
+			owner := h.attachOwnerTo(h.worker)
+			h.startRun(owner, newStartOrderFor(h.worker, numberedTask(0)))
+			h.worker.End(numberedTask(0), "done")
+			h.waitFor(func() bool { return len(owner.endsOf(numberedTask(0))) > 0 })
 			before := owner.endsOf(numberedTask(0))[0]
-			made.restartWorker(300 * time.Millisecond)
-			made.sendHeartbeatOf(made.worker, 1, "ready")
-			made.waitReadyAs(owner, made.worker)
-			made.startRun(owner, newStartOrderFor(made.worker, numberedTask(1)))
-			made.worker.End(numberedTask(1), "done")
-			made.advance(time.Second)
+			h.restartWorker(300 * time.Millisecond)
+			h.sendHeartbeatOf(h.worker, 1, "ready")
+			h.waitReadyAs(owner, h.worker)
+			h.startRun(owner, newStartOrderFor(h.worker, numberedTask(1)))
+			h.worker.End(numberedTask(1), "done")
+			h.advance(time.Second)
 			if !dated {
 				before.Born = 0
 			}
 			owner.confirmEnd(before)
-			made.advance(2 * time.Second)
-			if _, seen := made.worker.Looks(); seen != 0 {
+			h.advance(2 * time.Second)
+			if _, seen := h.worker.Looks(); seen != 0 {
 				t.Errorf("the worker was told to forget its ends up to %d", seen)
 			}
 		})
@@ -207,61 +207,61 @@
 // TestConfirmationForEarlierAgent: an owner keeps what it has to say until it has connected anew, and may
 // say it to another process of the agent. What that one was told by the worker may have another number.
 func TestConfirmationForEarlierAgent(t *testing.T) {
-	made := newDatedHarness(t)
-	owner := made.attachOwnerTo(made.worker)
-	made.finishRuns(owner, 3)
-	made.restartWorker(300 * time.Millisecond)
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitReadyAs(owner, made.worker)
-	made.startRun(owner, newStartOrderFor(made.worker, numberedTask(3)))
-	made.worker.End(numberedTask(3), "done")
-	made.waitFor(func() bool { return len(owner.endsOf(numberedTask(3))) > 0 })
-	made.stopAgent()
-	made.advance(200 * time.Millisecond)
-	made.startAgent()
-	again := made.attachOwnerTo(made.worker)
+	h := newDatedHarness(t)
+	owner := h.attachOwnerTo(h.worker)
+	h.finishRuns(owner, 3)
+	h.restartWorker(300 * time.Millisecond)
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitReadyAs(owner, h.worker)
+	h.startRun(owner, newStartOrderFor(h.worker, numberedTask(3)))
+	h.worker.End(numberedTask(3), "done")
+	h.waitFor(func() bool { return len(owner.endsOf(numberedTask(3))) > 0 })
+	h.stopAgent()
+	h.advance(200 * time.Millisecond)
+	h.startAgent()
+	again := h.attachOwnerTo(h.worker)
 	for number := 4; number < 8; number++ {
-		made.startRun(again, newStartOrderFor(made.worker, numberedTask(number)))
-		made.worker.End(numberedTask(number), "done")
+		h.startRun(again, newStartOrderFor(h.worker, numberedTask(number)))
+		h.worker.End(numberedTask(number), "done")
 	}
-	made.waitFor(func() bool { return len(again.endsOf(numberedTask(7))) > 0 })
+	h.waitFor(func() bool { return len(again.endsOf(numberedTask(7))) > 0 })
 	again.confirmEnd(owner.endsOf(numberedTask(3))[0]) // It was the fourth of that process, and is the first of its life.
 	for number := 3; number < 6; number++ {
 		again.confirmEnd(again.endsOf(numberedTask(number))[0])
 	}
-	made.advance(2 * time.Second)
-	if _, seen := made.worker.Looks(); seen != 3 {
+	h.advance(2 * time.Second)
+	if _, seen := h.worker.Looks(); seen != 3 {
 		t.Errorf("the worker was told to forget its ends up to %d", seen)
 	}
 	for number := 6; number < 8; number++ {
 		again.confirmEnd(again.endsOf(numberedTask(number))[0])
 	}
-	made.waitFor(func() bool { _, seen := made.worker.Looks(); return seen == 5 })
+	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == 5 })
 }
 
 // TestWorkerRestartsAfterLeaving: it may start again under its id.
 func TestWorkerRestartsAfterLeaving(t *testing.T) {
-	made := newDatedHarness(t)
-	owner := made.attachOwnerTo(made.worker)
-	made.sendHeartbeatOf(made.worker, 2, "draining")
-	made.advance(200 * time.Millisecond)
-	made.agent.Left(workerID)
-	made.restartWorker(300 * time.Millisecond)
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitReadyAs(owner, made.worker)
-	made.startRun(owner, newStartOrderFor(made.worker, numberedTask(0)))
+	h := newDatedHarness(t)
+	owner := h.attachOwnerTo(h.worker)
+	h.sendHeartbeatOf(h.worker, 2, "draining")
+	h.advance(200 * time.Millisecond)
+	h.agent.Left(workerID)
+	h.restartWorker(300 * time.Millisecond)
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitReadyAs(owner, h.worker)
+	h.startRun(owner, newStartOrderFor(h.worker, numberedTask(0)))
 }
 
 // TestHeartbeatSequenceRestarts: their numbers begin anew, and what they say holds.
 func TestHeartbeatSequenceRestarts(t *testing.T) {
-	made := newDatedHarness(t)
-	owner := made.attachOwnerTo(made.worker)
-	made.sendHeartbeatOf(made.worker, 40, "ready")
-	made.restartWorker(300 * time.Millisecond)
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitReadyAs(owner, made.worker)
-	made.sendHeartbeatOf(made.worker, 2, "draining")
-	made.waitFor(func() bool {
+	h := newDatedHarness(t)
+	owner := h.attachOwnerTo(h.worker)
+	h.sendHeartbeatOf(h.worker, 40, "ready")
+	h.restartWorker(300 * time.Millisecond)
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitReadyAs(owner, h.worker)
+	h.sendHeartbeatOf(h.worker, 2, "draining")
+	h.waitFor(func() bool {
 		owner.send(&wire.OwnerMessage{})
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus().GetDraining() }) != nil
 	})
@@ -269,83 +269,83 @@
 
 // TestLateHeartbeatOfPredecessor: it may arrive after that of the next one, and changes nothing.
 func TestLateHeartbeatOfPredecessor(t *testing.T) {
-	made := newDatedHarness(t)
-	first := made.worker
-	owner := made.attachOwnerTo(first)
-	made.restartWorker(200 * time.Millisecond)
-	second := made.worker
-	made.restartWorker(200 * time.Millisecond) // Twice within one heartbeat.
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitReadyAs(owner, made.worker)
-	made.startRun(owner, newStartOrderFor(made.worker, numberedTask(0)))
+	h := newDatedHarness(t)
+	first := h.worker
+	owner := h.attachOwnerTo(first)
+	h.restartWorker(200 * time.Millisecond)
+	second := h.worker
+	h.restartWorker(200 * time.Millisecond) // Twice within one heartbeat.
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitReadyAs(owner, h.worker)
+	h.startRun(owner, newStartOrderFor(h.worker, numberedTask(0)))
 	for range 3 {
-		made.sendHeartbeatOf(first, 90, "draining")
-		made.sendHeartbeatOf(second, 91, "draining")
-		made.advance(500 * time.Millisecond)
+		h.sendHeartbeatOf(first, 90, "draining")
+		h.sendHeartbeatOf(second, 91, "draining")
+		h.advance(500 * time.Millisecond)
 	}
-	made.advance(2 * time.Second)
+	h.advance(2 * time.Second)
 	if ends := owner.endsOf(numberedTask(0)); len(ends) > 0 {
 		t.Errorf("the run was told as over: %v", ends)
 	}
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
-	if last.GetStatus().GetBorn() != made.worker.Born() || last.GetStatus().GetDraining() {
+	if last.GetStatus().GetBorn() != h.worker.Born() || last.GetStatus().GetDraining() {
 		t.Errorf("takes care of %v", last.GetStatus())
 	}
 }
 
 // TestOrdersForPredecessorAreIgnored: none of them has any effect on the next one.
 func TestOrdersForPredecessorAreIgnored(t *testing.T) {
-	made := newDatedHarness(t)
-	first := made.worker
-	owner := made.attachOwnerTo(first)
-	made.restartWorker(300 * time.Millisecond)
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitReadyAs(owner, made.worker)
-	made.startRun(owner, newStartOrderFor(made.worker, numberedTask(1)))
-	if got := made.orderStart(owner, newStartOrderFor(first, testTask)); got != wire.StartOutcome_START_WRONG_WORKER {
+	h := newDatedHarness(t)
+	first := h.worker
+	owner := h.attachOwnerTo(first)
+	h.restartWorker(300 * time.Millisecond)
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitReadyAs(owner, h.worker)
+	h.startRun(owner, newStartOrderFor(h.worker, numberedTask(1)))
+	if got := h.orderStart(owner, newStartOrderFor(first, testTask)); got != wire.StartOutcome_START_WRONG_WORKER {
 		t.Errorf("the start was answered %v", got)
 	}
 	owner.send(&wire.OwnerMessage{Stops: []*wire.StopOrder{{Shard: testShard, Epoch: 1, Task: numberedTask(1), Attempt: 1, Worker: workerID, Born: first.Born()}}})
 	owner.send(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{
 		Shard: testShard, Epoch: 1, Worker: workerID, Born: first.Born(), Demand: &wire.Demand{MilliCpu: 4000, MemoryMb: 100, Priority: -1},
 	}}})
-	made.advance(time.Second)
-	if _, runs := made.worker.Running(numberedTask(1)); !runs {
+	h.advance(time.Second)
+	if _, runs := h.worker.Running(numberedTask(1)); !runs {
 		t.Error("the run of the present life was stopped")
 	}
 }
 
 // TestLeaseAfterRestart: its clock begins again, so that a lease is reckoned on readings of it alone.
 func TestLeaseAfterRestart(t *testing.T) {
-	made := newDatedHarness(t)
-	owner := made.attachOwnerTo(made.worker)
+	h := newDatedHarness(t)
+	owner := h.attachOwnerTo(h.worker)
 	for range 20 {
-		made.advance(time.Second)
+		h.advance(time.Second)
 		owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 	}
-	made.restartWorker(300 * time.Millisecond)
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitReadyAs(owner, made.worker)
-	made.startRun(owner, newStartOrderFor(made.worker, numberedTask(0)))
-	made.advance(2 * time.Second)
-	if left := made.worker.LeaseEnd() - made.worker.Clock(); left <= 0 || left > 5*time.Second {
+	h.restartWorker(300 * time.Millisecond)
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitReadyAs(owner, h.worker)
+	h.startRun(owner, newStartOrderFor(h.worker, numberedTask(0)))
+	h.advance(2 * time.Second)
+	if left := h.worker.LeaseEnd() - h.worker.Clock(); left <= 0 || left > 5*time.Second {
 		t.Errorf("the worker runs on for %v without its agent", left)
 	}
 }
 
 // restartDuringStart has the owner order a start that gets no answer and is still on its way when the worker
 // starts again.
-func (made *harness) restartDuringStart(owner *ownerStream) {
-	made.t.Helper()
-	made.worker.Fail(func(path string) wireworker.Fault {
+func (h *harness) restartDuringStart(owner *ownerStream) {
+	h.t.Helper()
+	h.worker.Fail(func(path string) wireworker.Fault {
 		if path == "/v1/run-start" {
 			return wireworker.FaultLate
 		}
 		return wireworker.FaultReset
 	})
-	owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{newStartOrderFor(made.worker, testTask)}})
-	made.advanceUnpolled(200 * time.Millisecond)
-	made.restartWorker(100 * time.Millisecond)
+	owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{newStartOrderFor(h.worker, testTask)}})
+	h.advanceUnpolled(200 * time.Millisecond)
+	h.restartWorker(100 * time.Millisecond)
 }
 
 // TestLateStartReachesRestartedWorker: a start without an answer may be carried out by the next life, which has seen
@@ -353,26 +353,26 @@
 // has ended: the task would be started beside it, or after its end.
 func TestLateStartReachesRestartedWorker(t *testing.T) {
 	tests := map[string]struct {
-		goes func(made *harness)
+		goes func(h *harness)
 		want wire.EndReason
 	}{
 		"it goes":      {func(*harness) {}, wire.EndReason_END_STOPPED},
-		"it has ended": {func(made *harness) { made.worker.End(testTask, "done") }, wire.EndReason_END_DONE},
+		"it has ended": {func(h *harness) { h.worker.End(testTask, "done") }, wire.EndReason_END_DONE},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newDatedHarness(t)
-			owner := made.attachOwnerTo(made.worker)
-			made.restartDuringStart(owner)
-			made.worker.CarryOut()
-			if !made.isRunning() {
+			h := newDatedHarness(t)
+			owner := h.attachOwnerTo(h.worker)
+			h.restartDuringStart(owner)
+			h.worker.CarryOut()
+			if !h.isRunning() {
 				t.Fatal("the late start was not carried out")
 			}
-			test.goes(made)
-			made.sendHeartbeatOf(made.worker, 1, "ready")
-			made.waitReadyAs(owner, made.worker)
-			made.waitFor(func() bool { return len(owner.endsOf(testTask)) > 0 })
-			made.advance(time.Second)
+			test.goes(h)
+			h.sendHeartbeatOf(h.worker, 1, "ready")
+			h.waitReadyAs(owner, h.worker)
+			h.waitFor(func() bool { return len(owner.endsOf(testTask)) > 0 })
+			h.advance(time.Second)
 			ends := owner.endsOf(testTask)
 			if len(ends) != 1 || ends[0].GetReason() != test.want {
 				t.Errorf("told as over by %v", ends)
@@ -380,8 +380,8 @@
 			if owner.startOutcome() == wire.StartOutcome_START_WORKER_FAILED {
 				t.Error("told as not started")
 			}
-			made.worker.CarryOut()
-			if made.isRunning() {
+			h.worker.CarryOut()
+			if h.isRunning() {
 				t.Error("it goes again")
 			}
 		})
@@ -391,15 +391,15 @@
 // TestLateStartAfterReplacement: once owners have been told that a life is over, the next one obeys no
 // order of it any more.
 func TestLateStartAfterReplacement(t *testing.T) {
-	made := newDatedHarness(t)
-	owner := made.attachOwnerTo(made.worker)
-	made.restartDuringStart(owner)
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitFor(func() bool {
+	h := newDatedHarness(t)
+	owner := h.attachOwnerTo(h.worker)
+	h.restartDuringStart(owner)
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitFor(func() bool {
 		return len(owner.endsOf(testTask)) > 0 || owner.startOutcome() != wire.StartOutcome_START_UNSPECIFIED
 	})
-	made.worker.CarryOut()
-	if made.isRunning() {
+	h.worker.CarryOut()
+	if h.isRunning() {
 		t.Error("the start was carried out after its owner was told that it is over")
 	}
 }
@@ -407,39 +407,39 @@
 // TestCrashWithRestartUnderSameID: a run that had just begun when its worker went down may be why, also where the worker
 // starts again under its id.
 func TestCrashWithRestartUnderSameID(t *testing.T) {
-	made := newDatedHarness(t)
-	owner := made.attachOwnerTo(made.worker)
-	made.startRun(owner, newStartOrderFor(made.worker, testTask))
-	made.restartWorker(300 * time.Millisecond)
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitForEnd(owner, wire.EndReason_END_CRASHED)
+	h := newDatedHarness(t)
+	owner := h.attachOwnerTo(h.worker)
+	h.startRun(owner, newStartOrderFor(h.worker, testTask))
+	h.restartWorker(300 * time.Millisecond)
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitForEnd(owner, wire.EndReason_END_CRASHED)
 }
 
 // TestRestartDetectedByAnswer: the worker may be found to have started again by its answer, before it sends a
 // heartbeat. Nothing more is asked of it then as of the life before, and owners give it nothing.
 func TestRestartDetectedByAnswer(t *testing.T) {
-	made := newDatedHarness(t)
-	owner := made.attachOwnerTo(made.worker)
-	made.finishRuns(owner, 3)
-	made.restartWorker(300 * time.Millisecond)
-	made.advance(time.Second)
-	if _, seen := made.worker.Looks(); seen != 0 {
+	h := newDatedHarness(t)
+	owner := h.attachOwnerTo(h.worker)
+	h.finishRuns(owner, 3)
+	h.restartWorker(300 * time.Millisecond)
+	h.advance(time.Second)
+	if _, seen := h.worker.Looks(); seen != 0 {
 		t.Errorf("the worker was told to forget its ends up to %d", seen)
 	}
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
 	if last.GetStatus().GetReady() {
 		t.Error("told as ready")
 	}
-	made.sendHeartbeatOf(made.worker, 1, "ready")
-	made.waitReadyAs(owner, made.worker)
+	h.sendHeartbeatOf(h.worker, 1, "ready")
+	h.waitReadyAs(owner, h.worker)
 }
 
 // TestInvalidStartTime: a worker that does not say when it started is used as before, and one that
 // says it in one heartbeat is not taken for another one by a heartbeat that lacks it.
 func TestInvalidStartTime(t *testing.T) {
-	made := newDatedHarness(t)
-	owner := made.attachOwnerTo(made.worker)
-	made.startRun(owner, newStartOrderFor(made.worker, testTask))
+	h := newDatedHarness(t)
+	owner := h.attachOwnerTo(h.worker)
+	h.startRun(owner, newStartOrderFor(h.worker, testTask))
 	foreign := map[string]string{
 		"missing":    `"seq":9`,
 		"a text":     `"seq":9,"born":"1700000000000"`,
@@ -448,17 +448,17 @@
 		"not a date": `"seq":9,"born":-4`,
 		"a list":     `"seq":9,"born":[1]`,
 	}
-	sound := made.heartbeatJSON(made.worker, 9, "draining")
+	sound := h.heartbeatJSON(h.worker, 9, "draining")
 	for name, tail := range foreign {
 		before, _, _ := strings.Cut(sound, `"seq"`)
 		body := before + tail + "}"
-		if code := made.putHeartbeat(body); name != "missing" && code != http.StatusBadRequest {
+		if code := h.putHeartbeat(body); name != "missing" && code != http.StatusBadRequest {
 			t.Errorf("%s: answered %d", name, code)
 		}
 	}
-	made.advance(2 * time.Second)
+	h.advance(2 * time.Second)
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
-	if last.GetStatus().GetDraining() || last.GetStatus().GetBorn() != made.worker.Born() || !made.isRunning() {
+	if last.GetStatus().GetDraining() || last.GetStatus().GetBorn() != h.worker.Born() || !h.isRunning() {
 		t.Errorf("takes care of %v", last.GetStatus())
 	}
 }
@@ -466,15 +466,15 @@
 // TestRestartWithoutStartTimeInHeartbeats: the lives of a worker whose heartbeats don't say when it started are told apart
 // by its answers.
 func TestRestartWithoutStartTimeInHeartbeats(t *testing.T) {
-	made := newDatedHarness(t)
-	made.sendHeartbeat()
-	owner := made.attachOwner(1)
-	made.waitReadyAs(owner, made.worker)
+	h := newDatedHarness(t)
+	h.sendHeartbeat()
+	owner := h.attachOwner(1)
+	h.waitReadyAs(owner, h.worker)
 	owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
-	made.finishRuns(owner, 2)
-	made.restartWorker(300 * time.Millisecond)
-	made.advance(time.Second)
-	if _, seen := made.worker.Looks(); seen != 0 {
+	h.finishRuns(owner, 2)
+	h.restartWorker(300 * time.Millisecond)
+	h.advance(time.Second)
+	if _, seen := h.worker.Looks(); seen != 0 {
 		t.Errorf("the worker was told to forget its ends up to %d", seen)
 	}
 }
@@ -486,27 +486,27 @@
 	tests := map[string]time.Duration{"raised by this agent": 0, "raised by an agent whose clock was ahead": time.Minute}
 	for name, ahead := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newDatedHarness(t)
-			owner := made.attachOwnerTo(made.worker)
-			made.worker.Fail(func(path string) wireworker.Fault {
+			h := newDatedHarness(t)
+			owner := h.attachOwnerTo(h.worker)
+			h.worker.Fail(func(path string) wireworker.Fault {
 				if path == "/v1/run-start" {
 					return wireworker.FaultReset
 				}
 				return wireworker.FaultNone
 			})
-			if got := made.orderStart(owner, newStartOrderFor(made.worker, testTask)); got != wire.StartOutcome_START_WORKER_FAILED {
+			if got := h.orderStart(owner, newStartOrderFor(h.worker, testTask)); got != wire.StartOutcome_START_WORKER_FAILED {
 				t.Fatalf("the start was answered %v", got)
 			}
-			made.restartWorker(300 * time.Millisecond)
-			made.waitFor(func() bool { looks, _ := made.worker.Looks(); return looks > 0 })
-			made.worker.RaiseToken(ahead)
-			made.advance(500 * time.Millisecond)
+			h.restartWorker(300 * time.Millisecond)
+			h.waitFor(func() bool { looks, _ := h.worker.Looks(); return looks > 0 })
+			h.worker.RaiseToken(ahead)
+			h.advance(500 * time.Millisecond)
 			for beat := range 3 {
-				made.sendHeartbeatOf(made.worker, beat+1, "ready")
-				made.advance(500 * time.Millisecond)
+				h.sendHeartbeatOf(h.worker, beat+1, "ready")
+				h.advance(500 * time.Millisecond)
 			}
-			made.waitReadyAs(owner, made.worker)
-			made.startRun(owner, newStartOrderFor(made.worker, numberedTask(1)))
+			h.waitReadyAs(owner, h.worker)
+			h.startRun(owner, newStartOrderFor(h.worker, numberedTask(1)))
 		})
 	}
 }
@@ -517,43 +517,43 @@
 	accounts := func(owner *ownerStream) bool {
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil }).GetStatus().GetAccounted()
 	}
-	speaks := func(made *harness, owner *ownerStream, length time.Duration) {
-		for begin := made.clock.Now(); made.clock.Now().Sub(begin) < length; {
+	speaks := func(h *harness, owner *ownerStream, length time.Duration) {
+		for begin := h.clock.Now(); h.clock.Now().Sub(begin) < length; {
 			owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
-			made.advanceUnpolled(500 * time.Millisecond)
+			h.advanceUnpolled(500 * time.Millisecond)
 		}
 	}
 	t.Run("no worker has come", func(t *testing.T) {
-		made := newHarness(t)
-		owner := made.attachOwner(1)
-		speaks(made, owner, 3*time.Second)
+		h := newHarness(t)
+		owner := h.attachOwner(1)
+		speaks(h, owner, 3*time.Second)
 		if accounts(owner) {
 			t.Error("accounts for runs whose lease may go on")
 		}
-		speaks(made, owner, 3*time.Second)
+		speaks(h, owner, 3*time.Second)
 		if !accounts(owner) {
 			t.Error("accounts for nothing though every lease is over")
 		}
 	})
 	t.Run("the worker is silent from the start", func(t *testing.T) {
-		made := newHarness(t)
-		made.crashWorker()
-		made.sendHeartbeat()
-		owner := made.attachOwner(1)
-		speaks(made, owner, 3*time.Second)
+		h := newHarness(t)
+		h.crashWorker()
+		h.sendHeartbeat()
+		owner := h.attachOwner(1)
+		speaks(h, owner, 3*time.Second)
 		if accounts(owner) {
 			t.Error("accounts for runs whose lease may go on")
 		}
-		speaks(made, owner, 3*time.Second)
+		speaks(h, owner, 3*time.Second)
 		if !accounts(owner) {
 			t.Error("accounts for nothing though every lease is over")
 		}
 	})
 	t.Run("the worker falls silent", func(t *testing.T) {
-		made := newHarness(t)
-		owner := made.attachReadyOwner(1)
-		made.crashWorker()
-		speaks(made, owner, time.Second)
+		h := newHarness(t)
+		owner := h.attachReadyOwner(1)
+		h.crashWorker()
+		speaks(h, owner, time.Second)
 		if !accounts(owner) {
 			t.Error("does not account for what the worker had listed")
 		}
@@ -561,17 +561,17 @@
 }
 
 // isRegisteredAsEnded returns what the store has of the agent, once it has been told that a life is over or a while has passed.
-func (made *harness) isRegisteredAsEnded(store *wirestore.Store, over *wireworker.Worker) bool {
-	made.t.Helper()
+func (h *harness) isRegisteredAsEnded(store *wirestore.Store, over *wireworker.Worker) bool {
+	h.t.Helper()
 	for range 40 {
-		made.advanceUnpolled(50 * time.Millisecond)
+		h.advanceUnpolled(50 * time.Millisecond)
 		value, found := store.Newest(job.TopicAgents, job.AgentPartition("side-1", shardCount), "side-1")
 		if !found {
 			continue
 		}
 		record := &job.AgentRecord{}
 		if err := proto.Unmarshal(value, record); err != nil {
-			made.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		if slices.Contains(record.EndedIncarnations(), incarnation.New(workerID, over.Born())) {
 			return true
@@ -586,24 +586,24 @@
 func TestCarriedOverOrderDelaysRegistration(t *testing.T) {
 	for name, carriedOut := range map[string]bool{"carried out by the next life": true, "not carried out": false} {
 		t.Run(name, func(t *testing.T) {
-			made := newDatedHarness(t)
-			store := wirestore.New(shardCount, made.clock.Now)
+			h := newDatedHarness(t)
+			store := wirestore.New(shardCount, h.clock.Now)
 			served := httptest.NewServer(store)
 			t.Cleanup(func() {
 				served.CloseClientConnections()
 				served.Close()
 			})
-			go made.agent.Register(made.ctx, platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.Transport()), "10.0.0.1:1")
-			first := made.worker
-			owner := made.attachOwnerTo(first)
-			made.restartDuringStart(owner)
+			go h.agent.Register(h.ctx, platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.Transport()), "10.0.0.1:1")
+			first := h.worker
+			owner := h.attachOwnerTo(first)
+			h.restartDuringStart(owner)
 			if carriedOut {
-				made.worker.CarryOut()
-				made.worker.End(testTask, "done")
+				h.worker.CarryOut()
+				h.worker.End(testTask, "done")
 			}
-			made.sendHeartbeatOf(made.worker, 1, "ready")
-			made.waitReadyAs(owner, made.worker)
-			if over := made.isRegisteredAsEnded(store, first); over == carriedOut {
+			h.sendHeartbeatOf(h.worker, 1, "ready")
+			h.waitReadyAs(owner, h.worker)
+			if over := h.isRegisteredAsEnded(store, first); over == carriedOut {
 				t.Errorf("said to be over: %v", over)
 			}
 		})
--- a/agent/session_test.go
+++ b/agent/session_test.go
@@ -9,10 +9,10 @@
 // TestHigherEpochReplacesOwner: once a later owner has claimed the shard, the earlier
 // one's orders have no effect.
 func TestHigherEpochReplacesOwner(t *testing.T) {
-	made := newHarness(t)
-	before := made.attachReadyOwner(1)
-	made.attachOwner(2)
-	if got := made.orderStart(before, newStartOrder(1)); got != wire.StartOutcome_START_STALE {
+	h := newHarness(t)
+	before := h.attachReadyOwner(1)
+	h.attachOwner(2)
+	if got := h.orderStart(before, newStartOrder(1)); got != wire.StartOutcome_START_STALE {
 		t.Errorf("told %v", got)
 	}
 }
--- a/agent/status_test.go
+++ b/agent/status_test.go
@@ -10,9 +10,9 @@
 // TestOwnerReceivesStatusChanges: an owner that takes changes is told the whole state once,
 // and knows the room by what has changed since.
 func TestOwnerReceivesStatusChanges(t *testing.T) {
-	made := newHarness(t)
-	made.sendHeartbeat()
-	owner := made.connectOwner(&wire.OwnerMessage{
+	h := newHarness(t)
+	h.sendHeartbeat()
+	owner := h.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-1", TakesChanges: true, Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard, Epoch: 1}}, GrantUntilNanos: int64(grantDuration),
 	})
 	heard := status.NewDecoder()
@@ -25,7 +25,7 @@
 		}
 		return heard.Status()
 	}
-	made.waitFor(func() bool { return follow().GetReady() })
+	h.waitFor(func() bool { return follow().GetReady() })
 	wholes := func() int {
 		owner.mu.Lock()
 		defer owner.mu.Unlock()
@@ -38,10 +38,10 @@
 		return count
 	}
 	before := wholes()
-	made.mustStart(owner, newStartOrder(1))
-	made.waitFor(func() bool { return follow().GetFreeMilliCpu() == 3000 })
-	made.worker.End(testTask, "done")
-	made.waitFor(func() bool { return follow().GetFreeMilliCpu() == 4000 })
+	h.mustStart(owner, newStartOrder(1))
+	h.waitFor(func() bool { return follow().GetFreeMilliCpu() == 3000 })
+	h.worker.End(testTask, "done")
+	h.waitFor(func() bool { return follow().GetFreeMilliCpu() == 4000 })
 	if after := wholes(); after != before {
 		t.Errorf("%d whole states were told where the room changed", after-before)
 	}
--- a/agent/successor_test.go
+++ b/agent/successor_test.go
@@ -22,25 +22,25 @@
 	}
 	for name, order := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			made.worker.Put(testTask, 1, time.Hour)
-			owner := made.attachOwner(1)
+			h := newHarness(t)
+			h.worker.Put(testTask, 1, time.Hour)
+			owner := h.attachOwner(1)
 			for sequence, id := range order {
-				beat := made.firstHeartbeat()
+				beat := h.firstHeartbeat()
 				beat.Incarnation, beat.Sequence = incarnation.New(id, 0), int64(sequence+1)
-				made.agent.Beat(beat)
-				made.advance(100 * time.Millisecond)
+				h.agent.Beat(beat)
+				h.advance(100 * time.Millisecond)
 			}
-			made.waitFor(func() bool {
+			h.waitFor(func() bool {
 				owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 				last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetComplete() })
 				return last.GetStatus().GetWorker() == workerID && len(last.GetRuns()) == 1
 			})
-			made.advance(time.Second)
+			h.advance(time.Second)
 			if last := owner.lastMatching(func(*wire.AgentMessage) bool { return true }); last.GetStatus().GetWorker() != workerID {
 				t.Errorf("takes care of %q", last.GetStatus().GetWorker())
 			}
-			if !made.isRunning() {
+			if !h.isRunning() {
 				t.Error("the run of the present incarnation is gone")
 			}
 		})
@@ -52,28 +52,28 @@
 // answer ended the very incarnation that it was about, whose heartbeats were passed over from
 // then on and whose runs were told as lost.
 func TestSuccessorTakesOverOnce(t *testing.T) {
-	made := newHarness(t)
+	h := newHarness(t)
 	answer := make(chan struct{})
-	made.worker.Fail(func(string) wireworker.Fault {
+	h.worker.Fail(func(string) wireworker.Fault {
 		<-answer
 		return wireworker.FaultNone
 	})
-	owner := made.attachOwner(1)
-	earlier, present := made.firstHeartbeat(), made.firstHeartbeat()
+	owner := h.attachOwner(1)
+	earlier, present := h.firstHeartbeat(), h.firstHeartbeat()
 	earlier.Incarnation = incarnation.New("i-0", 0)
-	made.agent.Beat(earlier)
-	made.agent.Beat(present)
-	made.agent.Left(earlier.Incarnation.WorkerID())
-	made.agent.Beat(present)
+	h.agent.Beat(earlier)
+	h.agent.Beat(present)
+	h.agent.Left(earlier.Incarnation.WorkerID())
+	h.agent.Beat(present)
 	tells := func(message *wire.AgentMessage) bool { return message.GetStatus().GetWorker() == workerID }
-	made.waitFor(func() bool { return owner.lastMatching(tells) != nil })
+	h.waitFor(func() bool { return owner.lastMatching(tells) != nil })
 	close(answer)
-	made.waitFor(func() bool {
+	h.waitFor(func() bool {
 		owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus().GetReady() }) != nil
 	})
-	made.sendDrainNotice(time.Minute)
-	made.waitFor(func() bool {
+	h.sendDrainNotice(time.Minute)
+	h.waitFor(func() bool {
 		owner.send(&wire.OwnerMessage{})
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus().GetDraining() }) != nil
 	})
@@ -83,22 +83,22 @@
 // gone while the present one is silent, so that neither of them answers. The present one may go on
 // until its lease has run out: its runs are not over before.
 func TestUnresponsiveWorkerIsNotReplaced(t *testing.T) {
-	made := newHarness(t)
-	owner := made.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 1000})
-	made.advance(time.Second)
-	if err := made.server.Listener.Close(); err != nil {
+	h := newHarness(t)
+	owner := h.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 1000})
+	h.advance(time.Second)
+	if err := h.server.Listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	made.server.CloseClientConnections()
-	made.advanceUnpolled(300 * time.Millisecond)
-	lapses := made.worker.LeaseEnd()
-	late := made.firstHeartbeat()
+	h.server.CloseClientConnections()
+	h.advanceUnpolled(300 * time.Millisecond)
+	lapses := h.worker.LeaseEnd()
+	late := h.firstHeartbeat()
 	late.Incarnation = incarnation.New("i-0", 0)
-	for made.worker.Clock() < lapses-100*time.Millisecond {
-		made.agent.Beat(late)
-		made.advanceUnpolled(200 * time.Millisecond)
+	for h.worker.Clock() < lapses-100*time.Millisecond {
+		h.agent.Beat(late)
+		h.advanceUnpolled(200 * time.Millisecond)
 		if end := owner.firstEnd(); end != nil {
-			t.Fatalf("told %v %v before the lease has run out", end.GetReason(), lapses-made.worker.Clock())
+			t.Fatalf("told %v %v before the lease has run out", end.GetReason(), lapses-h.worker.Clock())
 		}
 	}
 }
@@ -107,21 +107,21 @@
 // found a run there, whose lease an agent before it had renewed: the run goes on until that has run
 // out.
 func TestAdoptedRunKeptUntilLeaseIsOver(t *testing.T) {
-	made := newHarness(t)
-	made.worker.Put(testTask, 1, 4*time.Second)
-	lapses := made.worker.LeaseEnd()
-	made.sendHeartbeat()
-	made.waitFor(func() bool { looks, _ := made.worker.Looks(); return looks > 1 })
-	if err := made.server.Listener.Close(); err != nil {
+	h := newHarness(t)
+	h.worker.Put(testTask, 1, 4*time.Second)
+	lapses := h.worker.LeaseEnd()
+	h.sendHeartbeat()
+	h.waitFor(func() bool { looks, _ := h.worker.Looks(); return looks > 1 })
+	if err := h.server.Listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	made.server.CloseClientConnections()
-	owner := made.attachOwner(1)
-	for made.worker.Clock() < lapses-100*time.Millisecond {
-		made.advanceUnpolled(200 * time.Millisecond)
+	h.server.CloseClientConnections()
+	owner := h.attachOwner(1)
+	for h.worker.Clock() < lapses-100*time.Millisecond {
+		h.advanceUnpolled(200 * time.Millisecond)
 		if end := owner.firstEnd(); end != nil {
-			t.Fatalf("told %v %v before the lease has run out", end.GetReason(), lapses-made.worker.Clock())
+			t.Fatalf("told %v %v before the lease has run out", end.GetReason(), lapses-h.worker.Clock())
 		}
 	}
-	made.waitFor(func() bool { return owner.firstEnd() != nil })
+	h.waitFor(func() bool { return owner.firstEnd() != nil })
 }
