--- a/agent/order.go
+++ b/agent/order.go
@@ -15,45 +15,47 @@
 )
 
 const (
-	// stopRetryInterval is when a stop whose run has not ended is sent once more.
+	// stopRetryInterval is the time after which a stop is sent again if its run has not ended.
 	stopRetryInterval = 700 * time.Millisecond
-	// firstPaceDelay is how long a worker takes no pace for a run that has just
-	// started, which goes at full speed until then.
+	// firstPaceDelay is how long the worker accepts no pace for a run that has just started. Until then the
+	// run goes at full speed.
 	firstPaceDelay = 110 * time.Millisecond
-	// maxStartTries bounds how often a start is sent that the worker refused for
-	// its token or its lease, which the agent renews in between.
+	// maxStartTries is how often a start is sent if the worker refuses it for its fencing token or its lease,
+	// which the agent renews in between.
 	maxStartTries = 3
 )
 
-// handleStartOrder decides on an order to start a run.
-func (agent *Agent) handleStartOrder(owner *session, order *wire.StartOrder, now time.Time) {
+// handleStartOrder checks an owner's order to start a run, and sends the start to the worker or answers that
+// it was refused.
+func (agent *Agent) handleStartOrder(s *session, order *wire.StartOrder, now time.Time) {
 	run := &runState{task: order.GetTask(), attempt: order.GetAttempt(), shard: order.GetShard(), demand: order.GetDemand(), phase: phaseStarting, pacePercent: fullPercent, isSuspect: order.GetSuspect(), fromScratch: order.GetCheckpoint() == ""}
 	state := agent.worker
-	outcome := agent.checkStart(owner, order, now)
+	outcome := agent.checkStart(s, order, now)
 	agent.metrics.startOrders.Add(agent.ctx, 1, telemetry.By("outcome", outcome.String()))
 	if outcome != wire.StartOutcome_START_STARTED {
 		agent.logRun(event.OrderRefused, run, slog.String("outcome", outcome.String()))
-		owner.results = append(owner.results, &wire.StartResult{Task: run.task, Attempt: run.attempt, Worker: order.GetWorker(), Born: order.GetBorn(), Outcome: outcome})
+		s.results = append(s.results, &wire.StartResult{Task: run.task, Attempt: run.attempt, Worker: order.GetWorker(), Born: order.GetBorn(), Outcome: outcome})
 		return
 	}
-	agent.logRun(event.OrderTaken, run, slog.String("owner", owner.ownerName), slog.Int64("connection", owner.id))
-	run.startSentAt, run.sessionID = now, owner.id
+	agent.logRun(event.OrderTaken, run, slog.String("owner", s.ownerName), slog.Int64("connection", s.id))
+	run.startSentAt, run.sessionID = now, s.id
 	state.runs[run.task] = run
 	agent.markStatusChanged()
 	agent.sendStart(state, run, order, 1, now)
 }
 
-// checkStart returns START_STARTED for an order that may go to the worker: it has to come on the connection
-// that holds the shard, lest one is carried out that its owner has given up with an older connection.
-func (agent *Agent) checkStart(owner *session, order *wire.StartOrder, now time.Time) wire.StartOutcome {
+// checkStart returns START_STARTED if the order may be sent to the worker, or else why it is refused. The order
+// must arrive on the connection that holds the shard: an order on an older one may have been given up by its
+// owner together with that connection.
+func (agent *Agent) checkStart(s *session, order *wire.StartOrder, now time.Time) wire.StartOutcome {
 	state := agent.worker
-	held, claimed := agent.claims[order.GetShard()]
+	claim, claimed := agent.claims[order.GetShard()]
 	switch {
 	case state == nil || !state.incarnation.MayEqual(order.Incarnation()):
 		return wire.StartOutcome_START_WRONG_WORKER
-	case !claimed || order.GetEpoch() != held.epoch || held.session != owner:
+	case !claimed || order.GetEpoch() != claim.epoch || claim.session != s:
 		return wire.StartOutcome_START_STALE
-	case !state.isReady() || !agent.limitByPendingEnds(held.grantedUntil).After(now.Add(stopMargin)):
+	case !state.isReady() || !agent.limitByPendingEnds(claim.grantedUntil).After(now.Add(stopMargin)):
 		return wire.StartOutcome_START_NOT_READY
 	case state.heartbeat.Draining:
 		return wire.StartOutcome_START_DRAINING
@@ -67,7 +69,7 @@
 	return wire.StartOutcome_START_STARTED
 }
 
-// domainOutcome returns what becomes of a start that a verdict on its failure domain rules out.
+// domainOutcome returns the outcome of a start that is refused by a verdict on its failure domain.
 func domainOutcome(verdict operator.Verdict) wire.StartOutcome {
 	if verdict == operator.Evacuated {
 		return wire.StartOutcome_START_EVACUATED
@@ -75,6 +77,8 @@
 	return wire.StartOutcome_START_NOT_READY
 }
 
+// sendStart sends a start to the worker, with a renewed lease and the present fencing token. The try counts
+// from 1.
 func (agent *Agent) sendStart(state *workerState, run *runState, order *wire.StartOrder, try int, now time.Time) {
 	leaseEnd := state.leaseEnd(now, agent.leaseLimit(now))
 	state.recordLease(leaseEnd)
@@ -96,6 +100,9 @@
 	}()
 }
 
+// handleStartAnswer handles the answer to a start, or its error. The start is sent again if the worker refused
+// it for its token or its lease. Without an answer it is unknown whether the run has started: the token is
+// raised, so that the start cannot take effect any more once the worker has answered the next poll.
 func (agent *Agent) handleStartAnswer(state *workerState, run *runState, order *wire.StartOrder, try int, err error, now time.Time) {
 	if err == nil {
 		state.recordAnswer(run.startSentAt, now)
@@ -109,12 +116,12 @@
 	var failed *platform.RefusedError
 	switch {
 	case errors.As(err, &refused):
-		again := refused.Reason() == platform.RefusedFence || refused.Reason() == platform.RefusedLate
-		if verdict := agent.checkFailureDomain(now); again && verdict != operator.Permitted {
+		retryable := refused.Reason() == platform.RefusedFence || refused.Reason() == platform.RefusedLate
+		if verdict := agent.checkFailureDomain(now); retryable && verdict != operator.Permitted {
 			agent.failStart(state, run, domainOutcome(verdict), err)
 			return
 		}
-		if again && try < maxStartTries && run.phase == phaseStarting && !state.isSuperseded {
+		if retryable && try < maxStartTries && run.phase == phaseStarting && !state.isSuperseded {
 			agent.sendStart(state, run, order, try+1, now)
 			return
 		}
@@ -132,7 +139,7 @@
 	}
 }
 
-// schedulePacing paces a run that has just started, once its worker takes a pace for it.
+// schedulePacing adjusts the paces once the worker accepts a pace for a run that has just started.
 func (agent *Agent) schedulePacing(state *workerState, run *runState) {
 	agent.options.Clock.AfterFunc(firstPaceDelay, func() {
 		agent.eventLoop.Post(func(now time.Time) {
@@ -143,6 +150,7 @@
 	})
 }
 
+// refusalOutcome returns the outcome that owners are told when the worker refuses a start.
 func refusalOutcome(reason platform.StartRefusal) wire.StartOutcome {
 	switch reason {
 	case platform.RefusedRoom:
@@ -157,6 +165,7 @@
 	return wire.StartOutcome_START_WORKER_FAILED
 }
 
+// failStart drops a run that has not started, and tells its owner why.
 func (agent *Agent) failStart(state *workerState, run *runState, outcome wire.StartOutcome, err error) {
 	agent.logRun(event.OrderRefused, run, slog.String("outcome", outcome.String()), slog.Any("error", err))
 	delete(state.runs, run.task)
@@ -164,11 +173,12 @@
 	agent.markStatusChanged()
 }
 
-// handleStopOrder decides on an order to stop a run.
+// handleStopOrder stops a run on an owner's order, unless the order is for another incarnation or from an owner
+// that has been replaced.
 func (agent *Agent) handleStopOrder(order *wire.StopOrder, now time.Time) {
 	state := agent.worker
-	held, claimed := agent.claims[order.GetShard()]
-	if state == nil || !state.incarnation.MayEqual(order.Incarnation()) || !claimed || order.GetEpoch() < held.epoch {
+	claim, claimed := agent.claims[order.GetShard()]
+	if state == nil || !state.incarnation.MayEqual(order.Incarnation()) || !claimed || order.GetEpoch() < claim.epoch {
 		return
 	}
 	run, found := state.runs[order.GetTask()]
@@ -178,7 +188,8 @@
 	agent.stopRun(state, run, now)
 }
 
-// stopRun sends a stop. The run's end is listed by the worker.
+// stopRun sends a stop to the worker, at most once per stopRetryInterval. The run is over once the worker lists
+// its end.
 func (agent *Agent) stopRun(state *workerState, run *runState, now time.Time) {
 	if now.Sub(run.stopSentAt) < stopRetryInterval {
 		return
@@ -203,7 +214,7 @@
 				return
 			}
 			agent.detectRestart(state, err, now)
-			// Sent again after stopRetryInterval, while the run is listed.
+			// The stop is sent again after stopRetryInterval if the run is still listed.
 			if run.phase == phaseStopping {
 				run.phase = phaseRunning
 			}
