--- a/agent/preempt.go
+++ b/agent/preempt.go
@@ -13,54 +13,54 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// isPreemptible reports whether a run may be stopped for a more urgent one: it does not
-// last and goes on elsewhere from its checkpoint.
+// isPreemptible reports whether the run may be stopped for a more urgent one: it is not a lasting one, has not
+// been moved too often, and resumes elsewhere from its checkpoint.
 func (run *runState) isPreemptible() bool {
 	return run.phase == phaseRunning && run.demand.GetMovable() && run.demand.GetSaves() && !run.demand.GetLasting()
 }
 
-// handlePreemptOrder stops runs of less urgent tasks until a demand has room. If it would
-// not have, also without all of them, nothing is stopped.
+// handlePreemptOrder stops runs of less urgent tasks to make room for a demand. It stops none if the demand
+// would not fit even without all of them.
 func (agent *Agent) handlePreemptOrder(order *wire.PreemptOrder, now time.Time) {
 	state := agent.worker
 	if state == nil || !state.incarnation.MayEqual(order.Incarnation()) || !state.isReady() || state.heartbeat.Draining {
 		return
 	}
 	if agent.checkFailureDomain(now) == operator.Evacuated {
-		return // What would be stopped makes room that nothing may take.
+		return // Nothing may be started in the room that this would make.
 	}
-	if held, claimed := agent.claims[order.GetShard()]; !claimed || order.GetEpoch() < held.epoch {
+	if claim, claimed := agent.claims[order.GetShard()]; !claimed || order.GetEpoch() < claim.epoch {
 		return
 	}
-	wanted := order.GetDemand()
-	chosen, enough := state.selectPreempted(wanted)
-	if !enough {
+	demand := order.GetDemand()
+	selected, fits := state.selectPreempted(demand)
+	if !fits {
 		return
 	}
-	for _, run := range chosen {
+	for _, run := range selected {
 		agent.logRun(event.RunPreempted, run,
-			slog.Int("priority", int(run.demand.GetPriority())), slog.Int("for_priority", int(wanted.GetPriority())),
-			slog.Int64("memory_mb", wanted.GetMemoryMb()), slog.Int64("milli_cpu", wanted.GetMilliCpu()))
+			slog.Int("priority", int(run.demand.GetPriority())), slog.Int("for_priority", int(demand.GetPriority())),
+			slog.Int64("memory_mb", demand.GetMemoryMb()), slog.Int64("milli_cpu", demand.GetMilliCpu()))
 		agent.stopRun(state, run, now)
 	}
 }
 
-// selectPreempted returns the runs to stop so that a demand has room, none if it has
-// already, and whether it then has.
-func (state *workerState) selectPreempted(wanted *wire.Demand) (chosen []*runState, enough bool) {
+// selectPreempted returns the runs to stop to make room for the demand, and whether it fits then. It selects
+// none if the demand fits already.
+func (state *workerState) selectPreempted(demand *wire.Demand) (selected []*runState, fits bool) {
 	free := state.freeOnceStopped()
-	for _, run := range state.preemptibleRuns(wanted.GetPriority()) {
-		if free.fits(wanted) {
+	for _, run := range state.preemptibleRuns(demand.GetPriority()) {
+		if free.fits(demand) {
 			break
 		}
 		free.Add(admission.ReservedBy(run.demand))
-		chosen = append(chosen, run)
+		selected = append(selected, run)
 	}
-	return chosen, free.fits(wanted)
+	return selected, free.fits(demand)
 }
 
-// preemptibleRuns returns the runs that may be stopped for a priority: the least urgent
-// first, and of these the one that has got on the least.
+// preemptibleRuns returns the runs that may be stopped for a task of the given priority: the least urgent
+// first, and among equally urgent ones those with the least progress first.
 func (state *workerState) preemptibleRuns(priority int32) []*runState {
 	var runs []*runState
 	for _, run := range state.runs {
@@ -80,25 +80,25 @@
 	return runs
 }
 
-// reclaimable tells what the runs of each priority hold that may be stopped.
+// reclaimable returns the resources that preemptible runs reserve, by priority.
 func (state *workerState) reclaimable() []*wire.Reclaimable {
-	held := map[int32]*admission.Resources{}
+	reserved := map[int32]*admission.Resources{}
 	for _, run := range state.runs {
 		if !run.isPreemptible() {
 			continue
 		}
 		priority := run.demand.GetPriority()
-		if held[priority] == nil {
-			held[priority] = &admission.Resources{}
+		if reserved[priority] == nil {
+			reserved[priority] = &admission.Resources{}
 		}
-		held[priority].Add(admission.ReservedBy(run.demand))
+		reserved[priority].Add(admission.ReservedBy(run.demand))
 	}
-	var told []*wire.Reclaimable
-	for _, priority := range slices.Sorted(maps.Keys(held)) {
-		given := held[priority]
-		told = append(told, &wire.Reclaimable{
-			Priority: priority, MilliCpu: given.MilliCPU, MemoryMb: given.MemoryMB(), Accelerators: given.Accelerators,
+	var listed []*wire.Reclaimable
+	for _, priority := range slices.Sorted(maps.Keys(reserved)) {
+		resources := reserved[priority]
+		listed = append(listed, &wire.Reclaimable{
+			Priority: priority, MilliCpu: resources.MilliCPU, MemoryMb: resources.MemoryMB(), Accelerators: resources.Accelerators,
 		})
 	}
-	return told
+	return listed
 }
