--- a/agent/reconcile.go
+++ b/agent/reconcile.go
@@ -9,15 +9,16 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// reconcileRuns compares what the worker lists with what the agent believes.
-func (agent *Agent) reconcileRuns(state *workerState, asked pollRequest, held platform.Held, now time.Time) {
+// reconcileRuns compares the runs that the worker lists with those that the agent knows of: it adopts unknown
+// runs, settles starts without an answer, and gives up runs that are no longer listed.
+func (agent *Agent) reconcileRuns(state *workerState, request pollRequest, answer platform.Held, now time.Time) {
 	listed := map[string]bool{}
-	for _, run := range held.Running {
+	for _, run := range answer.Running {
 		listed[run.Task] = true
 		agent.updateRun(state, run, now)
 	}
-	if len(held.Ended) >= platform.EndsListedMost {
-		// The end of a run that is not listed may wait behind those that are.
+	if len(answer.Ended) >= platform.EndsListedMost {
+		// The worker lists a limited number of ends. A run that is not listed may have an end beyond them.
 		return
 	}
 	for _, run := range state.runs {
@@ -25,13 +26,14 @@
 			run.missedPolls = 0
 			continue
 		}
-		agent.handleUnlistedRun(state, run, asked)
+		agent.handleUnlistedRun(state, run, request)
 	}
-	if asked.unsettledStarts > 0 && asked.token == state.token {
+	if request.unsettledStarts > 0 && request.token == state.token {
 		state.unsettledStarts = 0
 	}
 }
 
+// updateRun updates a run that the worker lists, and adopts it if it is unknown.
 func (agent *Agent) updateRun(state *workerState, listed platform.Run, now time.Time) {
 	run, found := state.runs[listed.Task]
 	if !found {
@@ -56,19 +58,21 @@
 	run.reading = listed.Figure
 }
 
-// handleUnlistedRun looks at a run that the worker's answer lacks.
-func (agent *Agent) handleUnlistedRun(state *workerState, run *runState, asked pollRequest) {
+// handleUnlistedRun handles a run that the worker does not list. A start without an answer has failed if the
+// poll raised the worker's token. A run that was confirmed before the poll was sent is lost once two polls in
+// a row have missed it.
+func (agent *Agent) handleUnlistedRun(state *workerState, run *runState, request pollRequest) {
 	switch run.phase {
 	case phaseStarting:
-		// Its answer is still to come.
+		// The answer to the start is still to come.
 	case phaseUnsettled:
-		if asked.token == state.token && asked.unsettledStarts > 0 {
-			// The worker now obeys no token that the start was sent with.
+		if request.token == state.token && request.unsettledStarts > 0 {
+			// The worker now refuses the token that the start was sent with.
 			delete(state.runs, run.task)
 			agent.settleStart(state, run, false)
 		}
 	case phaseRunning, phaseStopping:
-		if !run.confirmedAt.Before(asked.sentAt) {
+		if !run.confirmedAt.Before(request.sentAt) {
 			return
 		}
 		run.missedPolls++
@@ -80,10 +84,12 @@
 	}
 }
 
-func (agent *Agent) settleStart(state *workerState, run *runState, runs bool) {
-	agent.logRun(event.OrderSettled, run, slog.Bool("runs", runs))
+// settleStart tells the owner the outcome of a start without an answer, once it is known whether the run has
+// started.
+func (agent *Agent) settleStart(state *workerState, run *runState, started bool) {
+	agent.logRun(event.OrderSettled, run, slog.Bool("runs", started))
 	outcome := wire.StartOutcome_START_WORKER_FAILED
-	if runs {
+	if started {
 		run.phase = phaseRunning
 		outcome = wire.StartOutcome_START_STARTED
 	}
