--- a/agent/resources.go
+++ b/agent/resources.go
@@ -5,16 +5,17 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// freeResources is what is free on a worker.
+// freeResources holds the resources of a worker that its runs leave free, which are negative where it has
+// fewer than its runs reserve.
 type freeResources struct {
 	admission.Resources
-	// fillMilliCPU is what runs that fill use at their pace, and servingMilliCPU what
-	// runs that serve hold.
-	fillMilliCPU    int64
+	// fillMilliCPU is the CPU that filling runs use at their pace. They reserve none.
+	fillMilliCPU int64
+	// servingMilliCPU is the CPU that serving runs reserve.
 	servingMilliCPU int64
 }
 
-// freeResources returns what the worker's runs leave free.
+// freeResources returns the resources that the worker's runs leave free.
 func (state *workerState) freeResources() freeResources {
 	free := freeResources{Resources: admission.NewResources(state.heartbeat.MilliCPU, state.heartbeat.MemoryMB, state.heartbeat.Accelerators)}
 	for _, run := range state.runs {
@@ -30,7 +31,7 @@
 	return free
 }
 
-// freeOnceStopped returns what is free once the runs that are being stopped are over.
+// freeOnceStopped returns the resources that will be free once the runs that are being stopped have ended.
 func (state *workerState) freeOnceStopped() freeResources {
 	free := state.freeResources()
 	for _, run := range state.runs {
@@ -41,7 +42,7 @@
 	return free
 }
 
-// fits reports whether there is room for a demand.
+// fits reports whether the free resources suffice for a demand.
 func (free freeResources) fits(demand *wire.Demand) bool {
 	return free.Shortage(admission.ReservedBy(demand)) == ""
 }
