--- a/agent/slack.go
+++ b/agent/slack.go
@@ -3,26 +3,25 @@
 import "time"
 
 const (
-	// minSlackToYield is what a job may still lose so that its runs yield early to serving
-	// ones: more than a move takes, which is about 2 s.
+	// minSlackToYield is the slack from which the runs of a job yield early to serving runs. It exceeds the
+	// time that a move to another worker takes, which is about 2 s.
 	minSlackToYield = 2500 * time.Millisecond
-	// lateSlack is by how much a job misses its objective, by estimates that are off,
-	// so that hurry brings nothing more.
+	// lateSlack is the slack below which a job misses its objective in any case, even though estimates are
+	// inaccurate, so that there is nothing to gain from going faster.
 	lateSlack = -500 * time.Millisecond
 )
 
-// slack returns what the run's job may lose from now on and still be in time, as far as
-// this run goes: what the owner told with the order, less what the run has taken beyond
-// its progress.
+// slack returns the delay that the run's job can still absorb without missing its objective: the slack that
+// the owner sent with the order, less the time that the run has taken beyond its estimated progress.
 func (run *runState) slack(now time.Time) time.Duration {
 	estimate := time.Duration(run.demand.GetEstimateMs()) * time.Millisecond
-	worked := estimate * time.Duration(run.progressPercent) / fullPercent
-	return time.Duration(run.demand.GetSpareMs())*time.Millisecond - now.Sub(run.confirmedAt) + worked
+	progress := estimate * time.Duration(run.progressPercent) / fullPercent
+	return time.Duration(run.demand.GetSpareMs())*time.Millisecond - now.Sub(run.confirmedAt) + progress
 }
 
-// hasSlack reports whether a run may yield early: its job has time to spare, or is late
-// whatever is done.
+// hasSlack reports whether the run may yield early to serving runs, because its job has enough slack or is
+// late in any case.
 func (run *runState) hasSlack(now time.Time) bool {
-	spare := run.slack(now)
-	return spare >= minSlackToYield || spare < lateSlack
+	slack := run.slack(now)
+	return slack >= minSlackToYield || slack < lateSlack
 }
