--- a/agent/suspended.go
+++ b/agent/suspended.go
@@ -7,18 +7,18 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// handleSuspension makes older by the time that the machine was suspended what owners reckon
-// with on this process's clock: they took runs for over meanwhile, at the end of the last
-// grant that they gave. Where that is over by now, an order that was on its way is refused and
-// what still runs is stopped.
+// handleSuspension adjusts what owners express on this process's clock, which stood still while the machine
+// was suspended: it moves the start of the clock, the grants and the date of the known evacuations back by that
+// time. Meanwhile owners considered their runs over when the last grant ended. If that grant is over by now, a
+// start order that was in transit is refused, and runs that still go on are stopped.
 //
-// What is reckoned on the worker's clock stays: it has gone on, so its leases end earlier
-// than they are taken to.
-func (agent *Agent) handleSuspension(slept time.Duration, _ time.Time) {
-	agent.log(event.MachineWasSuspended, slog.Duration("slept", slept))
-	agent.startedAt = agent.startedAt.Add(-slept)
-	for _, held := range agent.claims {
-		held.grantedUntil = held.grantedUntil.Add(-slept)
+// Times on the worker's clock are not adjusted. That clock has gone on, so that the worker's lease ends earlier
+// than assumed here.
+func (agent *Agent) handleSuspension(suspended time.Duration, _ time.Time) {
+	agent.log(event.MachineWasSuspended, slog.Duration("slept", suspended))
+	agent.startedAt = agent.startedAt.Add(-suspended)
+	for _, claim := range agent.claims {
+		claim.grantedUntil = claim.grantedUntil.Add(-suspended)
 	}
-	agent.evacuationState.Age(slept)
+	agent.evacuationState.Age(suspended)
 }
