--- a/agent/target.go
+++ b/agent/target.go
@@ -9,8 +9,8 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// logTargetChanges logs which serving runs begin to miss their targets, beside what, and
-// which keep them again.
+// logTargetChanges logs when a serving run begins to miss its tail latency target, with the images of the
+// filling runs beside it, and when it meets the target again.
 func (agent *Agent) logTargetChanges(state *workerState, now time.Time) {
 	for _, run := range state.runs {
 		target := run.demand.GetTargetMs()
@@ -30,7 +30,7 @@
 	}
 }
 
-// fillingImages lists the images of the runs that fill, each once, with commas.
+// fillingImages returns the images of the filling runs without duplicates, sorted and separated by commas.
 func (state *workerState) fillingImages() string {
 	var images []string
 	for _, run := range state.runs {
