--- a/agent/work.go
+++ b/agent/work.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// updateWork adds what a run has worked since it was last looked at, in time at full speed.
+// updateWork adds the work that the run has done since the last update, measured as time at full speed.
 func (run *runState) updateWork(now time.Time) {
 	if !run.workUpdatedAt.IsZero() {
 		run.workDone += time.Duration(float64(now.Sub(run.workUpdatedAt)) * run.speed())
@@ -10,8 +10,8 @@
 	run.workUpdatedAt = now
 }
 
-// speed returns the share of its full speed at which a run goes. One that fills goes at its
-// pace, or slower where the others leave less.
+// speed returns the speed of the run as a fraction of its full speed. A filling run goes at its pace, or slower
+// if other runs leave it less CPU.
 func (run *runState) speed() float64 {
 	if !run.demand.GetFills() {
 		return 1
@@ -23,36 +23,37 @@
 	return float64(percent) / fullPercent
 }
 
-// minProgressPercent is from which progress, in percent, a run tells how long it takes.
+// minProgressPercent is the progress from which a run's duration is extrapolated.
 const minProgressPercent = 5
 
-// remainingWork returns the time at full speed that a run still takes: by its progress so far, or
-// before that and after a restart by its guess.
+// remainingWork returns the time at full speed that the run still takes. It is extrapolated from the progress
+// so far, or derived from the estimate of its job if there is too little progress or the run resumed from a
+// checkpoint.
 func (run *runState) remainingWork() time.Duration {
 	if run.fromScratch && run.progressPercent >= minProgressPercent {
 		return run.workDone * time.Duration(fullPercent-run.progressPercent) / time.Duration(run.progressPercent)
 	}
-	guess := time.Duration(run.demand.GetEstimateMs()) * time.Millisecond
-	return guess * time.Duration(fullPercent-run.progressPercent) / fullPercent
+	estimate := time.Duration(run.demand.GetEstimateMs()) * time.Millisecond
+	return estimate * time.Duration(fullPercent-run.progressPercent) / fullPercent
 }
 
-// benefitsFromMove reports whether a run that goes at a pace where it is would end sooner if it
-// began again elsewhere. It guards against moves that cost a run more than they gain it.
+// benefitsFromMove reports whether the run, which goes at a pace from 0 to 1 on this worker, would end sooner
+// on another one at full pace. It prevents moves that cost a run more time than they save.
 func (agent *Agent) benefitsFromMove(run *runState, pace float64) bool {
 	if pace <= 0 {
 		return true
 	}
-	left := run.remainingWork()
-	there := time.Duration(float64(left) / pace)
-	return there > left+agent.moveCost(run)
+	remaining := run.remainingWork()
+	here := time.Duration(float64(remaining) / pace)
+	return here > remaining+agent.moveCost(run)
 }
 
-// placementTime is what a run that was moved waits for its next place: a stop of up to 0.2 s, a
-// record of its start, and an order.
+// placementTime is how long a run that is moved waits for its next worker: a stop of up to 0.2 s, the record
+// of its start, and the order.
 const placementTime = 300 * time.Millisecond
 
-// moveCost returns the time that a move takes from a run: until it has a place, and to get
-// to where it was.
+// moveCost returns the time that a run loses by a move: until it is placed, and until it has restored or
+// repeated its progress. A run with checkpoints repeats half a checkpoint interval on average.
 func (agent *Agent) moveCost(run *runState) time.Duration {
 	if !run.demand.GetSaves() {
 		return placementTime + run.workDone
