--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,56 +1,56 @@
-// Package agent runs beside one worker. It is the only process that gives the
-// worker orders: it takes starts and stops from the owners of shards, decides
-// whether the worker has room, renews the worker's lease, and tells the owners
-// what runs and what has ended.
+// Package agent implements the process that runs next to a worker and is the only one to give it orders. It
+// accepts orders to start and stop runs from the owners of shards, checks whether the worker has enough free
+// resources, renews the worker's lease, and reports to the owners which runs there are and which have ended.
 //
 // # Leases
 //
-// An owner grants its runs time on the agent's own clock. The worker's lease,
-// which holds for everything that it runs, never goes beyond the earliest grant
-// of an owner with runs there, or with ends of runs that are not in the store yet;
-// the agent stops the runs of an owner that has been silent before that owner's
-// grant would hold the others up. So a run is over for certain once its owner's
-// last grant is, and its end, if nobody knows of it by then, does not count.
+// An owner grants its runs time, as a point in time on the agent's clock. The worker's lease covers all of
+// its runs. It never extends beyond the earliest grant among the owners that have runs on the worker, or ends
+// of runs that are not in the store yet. The agent stops the runs of an owner that has gone silent before
+// that owner's grant would limit the lease of the other runs. A run is therefore certainly over once the last
+// grant of its owner is, and an end that has not become known by then does not count.
 //
 // # Orders without an answer
 //
-// A start that gets no answer may take effect seconds later. The agent then
-// raises its fencing token and asks the worker what runs: the worker obeys no
-// lower token from there on, so the answer settles it.
+// A start that gets no answer may take effect seconds later. The agent then raises its fencing token and asks
+// the worker for its runs. The worker refuses lower tokens from then on, so that its answer tells for good
+// whether the run has started.
 //
-// # Workers that start again
+// # Worker restarts
 //
-// A worker may start again under its id. It then holds nothing of before, not the fencing token either,
-// and a call that was meant for the life before may still be carried out. So that life is over only once
-// the next one has answered, obeys no token that the life before was sent, and runs nothing that was
-// ordered of it; see [successor].
+// A worker may restart under the same ID, as a new incarnation. It has then lost all state, including the
+// fencing token, and may still carry out a call that was meant for its previous incarnation. The previous
+// incarnation is therefore considered over only once the new one has answered, refuses every token that the
+// previous one was sent, and runs nothing that was ordered from the previous one; see [successor].
 //
-// # Runs that are stopped for others, or ahead of an end
+// # Eviction, pre-emption and draining
 //
-// Tasks that fill are slowed while they disturb those that serve, and evicted where
-// they would have to be slowed much. Less urgent runs are pre-empted for a task that an
-// owner finds no room for. Only runs that go on elsewhere from a checkpoint are evicted
-// or pre-empted. What would not end before a leaving worker is gone is stopped in time,
-// whether it has a checkpoint or not: with the worker it would be lost.
+// Filling runs are slowed while they interfere with serving ones, and evicted where they would have to be
+// slowed too much. Less urgent runs are pre-empted for a task that its owner finds no room for. A run is
+// pre-empted only if it resumes elsewhere from a checkpoint, and evicted only if it does so or has made limited
+// progress. Runs that would not end before a draining worker leaves are stopped in time, whether they have a
+// checkpoint or not: they would be lost with the worker.
 //
-// # Tasks that bring workers down
+// # Tasks that crash workers
 //
-// When a worker has crashed, the runs that had just begun are suspects and told so: nothing
-// that outlived its start is. One suspect is started at a time on a worker, apart from others,
-// which tells chance victims from the cause.
+// When a worker has crashed, the runs that had just started are suspected of having caused it, and are
+// reported as suspects. Runs that have survived their start are not. A worker is given a suspected task only
+// while no other one has just started there, which tells the task that causes crashes from those that happened
+// to start at the same time.
 //
 // # Evacuated failure domains
 //
-// The agent is the last to check that its worker may be given anything. Owners tell it with
-// each order what operators have written, and as of which moment of the agent's own clock;
-// the order is refused if that is older than a start may take less than an evacuation.
+// The agent makes the last check before its worker is given anything. With each order, owners send which
+// failure domains operators have evacuated, and as of what time on the agent's clock they know that. The agent
+// refuses the order if this information is too old: if an evacuation had been requested right afterwards, the
+// run might start later than the evacuation deadline allows.
 //
 // # Usage
 //
-//	beside := agent.New(agent.Options{Name: "side-1", Connect: connect, Events: events})
-//	go beside.Run(ctx)
-//	wire.DRPCRegisterAgent(mux, beside)
-//	http.Handle("/", platform.BeatHandler(beside))
+//	a := agent.New(agent.Options{Name: "side-1", Connect: connect, Events: events})
+//	go a.Run(ctx)
+//	wire.DRPCRegisterAgent(mux, a)
+//	http.Handle("/", platform.BeatHandler(a))
 package agent
 
 import (
@@ -74,74 +74,73 @@
 )
 
 const (
-	// tickInterval is how often what is due is looked for without an event.
+	// tickInterval is how often the agent checks what has become due, apart from events.
 	tickInterval = 100 * time.Millisecond
-	// leaseDuration is how long the worker runs on without its agent: long
-	// enough for an agent that was killed to come back and hear of the worker
-	// (1 s to start, 1.1 s to the next heartbeat), short enough that work on a
-	// lost machine moves within its objective.
+	// leaseDuration is how long the worker runs on without its agent. That is long enough for an agent that
+	// was killed to restart and to receive a heartbeat of the worker (1 s to start, 1.1 s until the next
+	// heartbeat), and short enough for the work of a lost machine to move elsewhere within its objective.
 	leaseDuration = 4 * time.Second
-	// maxClockDrift is what two clocks differ by at most over a lease: the
-	// worker's may run 2% slow, and so may ours.
+	// maxClockDrift is the largest relative difference between two clocks over a lease: the worker's clock
+	// may run 2% slow, and so may the agent's.
 	maxClockDrift = 2 * lease.ClockRateBound
-	// callTimeout bounds an order to the worker, which is on the same machine
-	// and answers within milliseconds.
+	// callTimeout is the timeout of an order to the worker, which is on the same machine and answers within
+	// milliseconds.
 	callTimeout = 800 * time.Millisecond
-	// defaultPollWait is how long a look at the worker waits for an end. Leases are
-	// renewed once in each.
+	// defaultPollWait is how long a poll of the worker waits for a run to end. Each poll renews the lease
+	// once.
 	defaultPollWait = time.Second
-	// pacingPollWait is the same where the tails of serving tasks are watched.
+	// pacingPollWait is the same for a worker on which the tail latencies of serving runs are watched.
 	pacingPollWait = 400 * time.Millisecond
-	// pendingEndsDelay keeps looks apart while ends wait to be made durable: a
-	// worker that has ends to tell answers at once.
+	// pendingEndsDelay is the delay between polls while ends of runs are not in the store yet: a worker that
+	// has ends to list answers at once.
 	pendingEndsDelay = 40 * time.Millisecond
-	// failedPollDelay keeps looks at a worker that does not answer apart.
+	// failedPollDelay is the delay between polls of a worker that does not answer.
 	failedPollDelay = 150 * time.Millisecond
-	// stopMargin is how long before the end of an owner's grant its runs are
-	// stopped: a stop takes up to half a second, and one may have to be sent
-	// twice.
+	// stopMargin is how long before the end of an owner's grant its runs are stopped: a stop takes up to half
+	// a second, and may have to be sent twice.
 	stopMargin = 1200 * time.Millisecond
-	// claimTimeout is how long an agent that has just started waits for the
-	// owner of a run that it found.
+	// claimTimeout is how long an agent that has just started waits for the owner of a run that it has
+	// adopted.
 	claimTimeout = 2500 * time.Millisecond
-	// tokenStep goes above the token of an earlier agent whose clock was ahead.
+	// tokenStep is added to the fencing token when the worker has seen a higher one, from an earlier agent
+	// whose clock was ahead.
 	tokenStep = int64(time.Hour / time.Millisecond)
 )
 
-// Options sets up an Agent.
+// Options configures an Agent.
 type Options struct {
-	// Name is the node's name, for logs.
+	// Name is the name of the node, in the store and in logs.
 	Name string
-	// FailureDomain is where the agent stands.
+	// FailureDomain is the failure domain that the agent runs in.
 	FailureDomain string
-	// Shards is how many shards jobs are spread over.
+	// Shards is the number of shards that jobs are distributed over.
 	Shards int
-	// FirstToken is the first fencing token: the wall clock in milliseconds,
-	// so that it is above those of earlier agents on this machine.
+	// FirstToken is the first fencing token: the wall clock time in milliseconds, so that it is higher than
+	// those of earlier agents on this machine.
 	FirstToken int64
-	// MaxTargetMiss is how long a serving task may miss its target on end.
+	// MaxTargetMiss is how long a serving task may miss its target at a time.
 	MaxTargetMiss time.Duration
-	// RestoreTime is what a run takes to go on from a checkpoint, SaveEvery how much work
-	// lies between two of them.
+	// RestoreTime is how long a run takes to resume from a checkpoint. CheckpointInterval is how much work
+	// lies between two checkpoints.
 	RestoreTime        time.Duration
 	CheckpointInterval time.Duration
-	// EvacuationDeadline is how long after an operator has asked for it nothing may be
-	// started any more in an evacuated failure domain.
+	// EvacuationDeadline is the longest time from an operator's request until nothing is started any more in
+	// the evacuated failure domain.
 	EvacuationDeadline time.Duration
-	// Connect returns a client of one incarnation of the worker.
+	// Connect returns a client for one incarnation of the worker.
 	Connect func(address string, of incarnation.ID) *platform.Worker
-	// MaxLease is the longest lease that the worker takes; a longer one is cut down to it.
+	// MaxLease is the longest lease that the worker accepts; it shortens a longer one to that.
 	MaxLease time.Duration
 	Clock    clockwork.Clock
-	// Suspended tells for how long the machine has been suspended, which Clock does not
-	// count; nil for never.
+	// Suspended returns for how long the machine has been suspended, which Clock does not count. Nil means
+	// never.
 	Suspended func() time.Duration
 	Events    *event.Logger
-	// Meters makes the instruments; nil for none.
+	// Meters creates the metric instruments. Nil creates none.
 	Meters metric.MeterProvider
 }
 
-// Agent takes care of the worker on its machine.
+// Agent manages the worker on its machine.
 type Agent struct {
 	options   Options
 	agentID   string
@@ -151,29 +150,30 @@
 	worker            *workerState // nil until one has sent a heartbeat
 	successor         *successor   // nil while no other incarnation has sent one
 	endedIncarnations map[incarnation.ID]bool
-	predecessor       predecessor      // what is left of the incarnations before
+	predecessor       predecessor      // what has to be known of earlier incarnations
 	lostEnds          []*wire.RunEnd   // ends of runs whose incarnation is over
-	endedToRegister   []incarnation.ID // incarnations that have ended for certain
-	// endedChanged wakes the registration.
+	endedToRegister   []incarnation.ID // incarnations that are certainly over
+	// endedChanged makes Register write the agent's record again.
 	endedChanged chan struct{}
 	sessions     map[*session]bool
-	// sessionCount counts the streams that owners have spoken on.
+	// sessionCount is the number of sessions so far.
 	sessionCount int64
 	claims       map[int32]*claim
 	pacer        pacer
-	// evacuationState is what is known of evacuations; operatorWanted has it read here.
+	// evacuationState holds the known evacuations. evacuationsWanted makes FollowOperator read them from the
+	// store.
 	evacuationState   operator.Knowledge
 	evacuationsWanted chan struct{}
 	traffic           *traffic.Sent
 	metrics           metrics
-	// gaugesRecordedAt is when the gauges were last set.
+	// gaugesRecordedAt is when the gauges were last recorded.
 	gaugesRecordedAt time.Time
-	ctx              context.Context // ends the calls to the worker with the agent
+	ctx              context.Context // the context of Run, which bounds the calls to the worker
 }
 
-// New returns an agent that does nothing until Run.
+// New returns an agent. It does nothing until Run is called.
 func New(options Options) *Agent {
-	made := &Agent{
+	agent := &Agent{
 		options:           options,
 		agentID:           uuid.NewString(),
 		eventLoop:         loop.New(options.Clock),
@@ -190,18 +190,18 @@
 		pacer:             newPacer(options.MaxTargetMiss),
 	}
 	if options.Suspended != nil {
-		made.eventLoop.WatchSuspension(options.Suspended, made.handleSuspension)
+		agent.eventLoop.WatchSuspension(options.Suspended, agent.handleSuspension)
 	}
-	return made
+	return agent
 }
 
-// Run takes care of the worker until ctx ends.
+// Run manages the worker until ctx ends.
 func (agent *Agent) Run(ctx context.Context) {
 	agent.ctx = ctx
 	agent.eventLoop.Run(ctx, tickInterval, agent.tick)
 }
 
-// tick does what is due.
+// tick does everything that has become due.
 func (agent *Agent) tick(now time.Time) {
 	agent.probeAgain(now)
 	if agent.worker != nil {
@@ -222,19 +222,19 @@
 	agent.options.Events.Log(agent.ctx, code, attributes...)
 }
 
-// logRun logs what becomes of a run.
+// logRun logs an event about a run.
 func (agent *Agent) logRun(code event.Code, run *runState, attributes ...slog.Attr) {
-	about := []slog.Attr{slog.String("task", run.task), slog.Int("attempt", int(run.attempt))}
-	agent.log(code, append(about, attributes...)...)
+	common := []slog.Attr{slog.String("task", run.task), slog.Int("attempt", int(run.attempt))}
+	agent.log(code, append(common, attributes...)...)
 }
 
-// uptime is the clock that grants are given in.
+// uptime returns the time on the agent's clock, on which owners express their grants.
 func (agent *Agent) uptime(now time.Time) time.Duration { return now.Sub(agent.startedAt) }
 
-// unknownShard stands for the shard of a task whose name is none.
+// unknownShard is the shard of a task whose name is invalid.
 const unknownShard = -1
 
-// shardOf returns the shard of a task's job, or unknownShard for a name that is none.
+// shardOf returns the shard of a task's job, or unknownShard for an invalid task name.
 func (agent *Agent) shardOf(task string) int32 {
 	ref, err := job.ParseTaskRef(task)
 	if err != nil {
