--- a/agent/claims.go
+++ b/agent/claims.go
@@ -9,7 +9,7 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// claim is what the agent knows of the owner of one shard.
+// claim is the ownership of one shard, as far as the agent knows it.
 type claim struct {
 	epoch   int64
 	session *session
@@ -17,46 +17,47 @@
 	grantedUntil time.Time
 }
 
-// handleClaims takes note of the shards that an owner owns. A claim of an epoch
-// below the highest one heard comes from an owner that has been replaced.
+// handleClaims updates the claims from a message that lists all shards of an owner. A claim with an epoch
+// below the highest one known comes from an owner that has been replaced, and is ignored.
 //
-// An epoch belongs to one process. Where two of its connections claim a shard under it, the newer
-// one holds it, in whatever order their messages are read, and the older one is ended: its owner has
-// given it up, and decides by what it is told on the newer one. What was on its way there must
-// have no effect any more.
-func (agent *Agent) handleClaims(owner *session, message *wire.OwnerMessage) {
+// An epoch belongs to one process. If two of its connections claim a shard with the same epoch, the newer
+// connection gets it, in whatever order their messages are read, and the older one is closed: its owner has
+// given it up, and decides by what it is told on the newer one. Orders that are still in transit on the older
+// one must have no effect any more.
+func (agent *Agent) handleClaims(s *session, message *wire.OwnerMessage) {
 	for _, shard := range message.GetShards() {
-		held, found := agent.claims[shard.GetShard()]
-		if found && held.epoch > shard.GetEpoch() {
+		c, found := agent.claims[shard.GetShard()]
+		if found && c.epoch > shard.GetEpoch() {
 			continue
 		}
-		if found && held.epoch == shard.GetEpoch() && held.session != owner {
-			if held.session.connectionNumber > owner.connectionNumber {
-				agent.closeReplaced(owner, held.session)
+		if found && c.epoch == shard.GetEpoch() && c.session != s {
+			if c.session.connectionNumber > s.connectionNumber {
+				agent.closeReplaced(s, c.session)
 				return
 			}
-			agent.closeReplaced(held.session, owner)
+			agent.closeReplaced(c.session, s)
 		}
 		if !found {
-			held = &claim{grantedUntil: agent.startedAt}
-			agent.claims[shard.GetShard()] = held
+			c = &claim{grantedUntil: agent.startedAt}
+			agent.claims[shard.GetShard()] = c
 		}
-		if held.epoch != shard.GetEpoch() || held.session != owner {
-			agent.logSession(event.ShardClaimed, owner,
+		if c.epoch != shard.GetEpoch() || c.session != s {
+			agent.logSession(event.ShardClaimed, s,
 				slog.Int("shard", int(shard.GetShard())), slog.Int64("epoch", shard.GetEpoch()))
-			agent.resendEnds(owner, shard.GetShard())
+			agent.resendEnds(s, shard.GetShard())
 			if shard.GetShard() == job.InterferenceShard {
-				// What an earlier owner put together is not this one's.
-				owner.sentEstimates = nil
+				// The owner lacks the estimates that an earlier owner has collected: send it all estimates.
+				s.sentEstimates = nil
 			}
 		}
-		held.epoch = shard.GetEpoch()
-		held.session = owner
+		c.epoch = shard.GetEpoch()
+		c.session = s
 	}
-	owner.fullUpdateDue = true
+	s.fullUpdateDue = true
 }
 
-// closeReplaced ends a connection whose owner has made a newer one. What comes on it has no effect.
+// closeReplaced closes a connection whose owner has opened a newer one. Messages that still arrive on it have
+// no effect.
 func (agent *Agent) closeReplaced(older, newer *session) {
 	if !agent.sessions[older] {
 		return
@@ -65,14 +66,15 @@
 	agent.closeSession(older)
 }
 
-func (agent *Agent) handleGrant(owner *session, message *wire.OwnerMessage) {
+// handleGrant extends the grants for the shards that the session holds, and never shortens them.
+func (agent *Agent) handleGrant(s *session, message *wire.OwnerMessage) {
 	if message.GetGrantUntilNanos() == 0 {
 		return
 	}
 	until := agent.startedAt.Add(time.Duration(message.GetGrantUntilNanos()))
-	for _, held := range agent.claims {
-		if held.session == owner && until.After(held.grantedUntil) {
-			held.grantedUntil = until
+	for _, claim := range agent.claims {
+		if claim.session == s && until.After(claim.grantedUntil) {
+			claim.grantedUntil = until
 		}
 	}
 }
