--- a/agent/drain.go
+++ b/agent/drain.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// leaveStopTime is how long before a leaving worker's time is over its runs are
-	// stopped: a stop takes up to half a second and its end has to reach the owner
-	// before this process may be gone too.
+	// leaveStopTime is how long before a draining worker may leave its runs are stopped: a stop takes up to
+	// half a second, and the end has to reach the owner before this process may be gone too.
 	leaveStopTime = 1200 * time.Millisecond
-	// leaveMargin is left of that time by a run that is expected to end by itself.
+	// leaveMargin is how long before its worker may leave a run must be expected to end, or else it is
+	// stopped.
 	leaveMargin = 300 * time.Millisecond
 )
 
-// updateLeaveTime takes in how long a draining worker stays at least; 0 says nothing.
+// updateLeaveTime updates the time from which a draining worker may leave. A heartbeat with a remaining time
+// of 0 leaves a known time as it is.
 func (state *workerState) updateLeaveTime(now time.Time) {
 	if !state.heartbeat.Draining {
-		// It stays after all; what a later notice says counts anew.
+		// The worker does not drain, or no longer does. A later notice sets the time again.
 		state.leavesAt = time.Time{}
 		return
 	}
@@ -29,9 +30,8 @@
 	state.leavesAt = now.Add(state.heartbeat.Remaining)
 }
 
-// stopBeforeLeave stops the runs that would not end before their worker leaves. They go on
-// elsewhere from where they were; with the worker they would be lost, and missed only
-// once their lease is over.
+// stopBeforeLeave stops the runs that would not end before their worker leaves, so that they resume
+// elsewhere. With the worker they would be lost, which would be noticed only once its lease has expired.
 func (agent *Agent) stopBeforeLeave(now time.Time) {
 	state := agent.worker
 	if !state.leavesSoon(now) {
@@ -47,19 +47,18 @@
 	}
 }
 
-// leavesSoon reports whether a draining worker may be gone before stops that are
-// ordered later have ended.
+// leavesSoon reports whether a draining worker may leave before runs that are stopped later have ended.
 func (state *workerState) leavesSoon(now time.Time) bool {
 	return state.heartbeat.Draining && !state.leavesAt.IsZero() && !now.Before(state.leavesAt.Add(-leaveStopTime))
 }
 
-// isExpectedToEndBy reports whether a run is expected to have ended by then, at the rate at
-// which it has got on so far.
+// isExpectedToEndBy reports whether the run is expected to have ended by then, if it goes on at its average
+// rate so far.
 func (run *runState) isExpectedToEndBy(then, now time.Time) bool {
 	if run.demand.GetLasting() || run.progressPercent <= 0 {
 		return false
 	}
-	ran := now.Sub(run.confirmedAt)
-	left := time.Duration(float64(ran) * float64(fullPercent-run.progressPercent) / float64(run.progressPercent))
-	return !now.Add(left).After(then)
+	elapsed := now.Sub(run.confirmedAt)
+	remaining := time.Duration(float64(elapsed) * float64(fullPercent-run.progressPercent) / float64(run.progressPercent))
+	return !now.Add(remaining).After(then)
 }
