--- a/agent/ends.go
+++ b/agent/ends.go
@@ -10,19 +10,20 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// delayedEndThreshold is from when on an end that is not in the store yet is logged. Usually that
-// takes 20 ms, and 0.9 s where the store is slow.
+// delayedEndThreshold is the age from which an end that is not in the store yet is logged. Storing an end
+// usually takes 20 ms, and 0.9 s if the store is slow.
 const delayedEndThreshold = time.Second
 
-// endNumbersPerMs is how many numbers of ends an agent has for each millisecond: a worker ends some tens of
-// runs a second.
+// endNumbersPerMs is how many end numbers an agent may use per millisecond that it runs, before it gets to
+// those of an agent that starts later. A worker ends only some tens of runs a second.
 const endNumbersPerMs = 1 << 20
 
-// initialEndNumberOffset returns what an agent adds to the numbers of the first life that it takes care of. A life's numbers
-// begin at 1; those that owners are told begin anew with no life and no process of an agent, whose first fencing
-// token is the moment of its start. So a late word on an end of an earlier life, or one that its owner had
-// meant for the process before, is about none of those told now. It may come from an owner of an earlier
-// build too, which knows of ids alone.
+// initialEndNumberOffset returns the offset that an agent adds to the end numbers of the first incarnation
+// that it manages. Each incarnation numbers its ends from 1, but the numbers that owners are told restart
+// neither with an incarnation nor with an agent process, since the first fencing token is the time at which
+// the process started. A late confirmation of an end of an earlier incarnation, or one that was meant for an
+// earlier agent process, therefore matches none of the present ends. It may also come from an owner of an
+// earlier build, which identifies workers by their ID alone.
 func initialEndNumberOffset(firstToken int64) int64 { return firstToken * endNumbersPerMs }
 
 // pendingEnd is an end that the worker has listed and that is not in the store yet.
@@ -30,16 +31,16 @@
 	runEnd   *wire.RunEnd
 	shard    int32
 	listedAt time.Time
-	// isVoid is set once the lease has run out since: the platform lets the end not count then.
+	// isVoid is set once the lease has expired after the end was listed: the platform ignores the end then.
 	isVoid bool
-	// delayLogged is set once it was logged that the end waits.
+	// delayLogged is set once the delay of the end has been logged.
 	delayLogged bool
 }
 
-// limitsLease reports whether the lease must not go on beyond the grant that the run had.
+// limitsLease reports whether the lease must not extend beyond the grant for the run.
 func (end *pendingEnd) limitsLease() bool { return !end.isVoid && end.shard != unknownShard }
 
-// logDelayedEnds logs the ends that have been waiting for long.
+// logDelayedEnds logs the ends that have been pending for longer than delayedEndThreshold, once each.
 func (agent *Agent) logDelayedEnds(now time.Time) {
 	for _, end := range agent.worker.pendingEnds {
 		if end.delayLogged || now.Sub(end.listedAt) < delayedEndThreshold {
@@ -47,70 +48,72 @@
 		}
 		end.delayLogged = true
 		owner := ""
-		if held, claimed := agent.claims[end.shard]; claimed && agent.sessions[held.session] {
-			owner = held.session.ownerName
+		if claim, claimed := agent.claims[end.shard]; claimed && agent.sessions[claim.session] {
+			owner = claim.session.ownerName
 		}
 		agent.logRunEnd(event.EndWaits, end.runEnd, slog.String("owner", owner))
 	}
 }
 
-// logStoredEnd logs that an end which was logged as waiting is in the store.
+// logStoredEnd logs that an end is in the store if its delay was logged.
 func (agent *Agent) logStoredEnd(end *pendingEnd, now time.Time) {
 	if end.delayLogged {
 		agent.logRunEnd(event.EndKept, end.runEnd, slog.Duration("after", now.Sub(end.listedAt)))
 	}
 }
 
-// logRunEnd logs what becomes of the end of a run.
+// logRunEnd logs an event about the end of a run.
 func (agent *Agent) logRunEnd(code event.Code, end *wire.RunEnd, attributes ...slog.Attr) {
-	about := []slog.Attr{
+	common := []slog.Attr{
 		slog.String("task", end.GetTask()), slog.Int("attempt", int(end.GetAttempt())),
 		slog.String("how", end.GetReason().String()), slog.Int64("number", end.GetNumber()),
 	}
-	agent.log(code, append(about, attributes...)...)
+	agent.log(code, append(common, attributes...)...)
 }
 
-// handleRunEnd takes in an end that the worker lists.
+// handleRunEnd handles an end that the worker lists. A new one is queued for its owner, and pending until it
+// is in the store.
 func (agent *Agent) handleRunEnd(state *workerState, end platform.End, now time.Time) {
 	if end.Number <= state.lastListedEnd {
 		agent.logEndNumberConflict(state, end)
 		return
 	}
 	if state.lastListedEnd == 0 {
-		// The worker lists ends in order: it has forgotten those before the
-		// first, at the word of an earlier agent.
+		// The worker lists ends in order. It has forgotten those before the first one listed, which an
+		// earlier agent had confirmed.
 		state.storedEnd = end.Number - 1
 	}
 	state.lastListedEnd = end.Number
-	told := &wire.RunEnd{
+	runEnd := &wire.RunEnd{
 		Worker: state.incarnation.WorkerID(), Born: state.incarnation.StartedMs(), Number: state.endNumberOffset + end.Number, Task: end.Task, Attempt: end.Attempt,
 		Reason: endReason(end.How), Checkpoint: end.Checkpoint,
 	}
 	shard := agent.shardOf(end.Task)
-	state.pendingEnds[end.Number] = &pendingEnd{runEnd: told, shard: shard, listedAt: now}
-	connection := int64(0)
+	state.pendingEnds[end.Number] = &pendingEnd{runEnd: runEnd, shard: shard, listedAt: now}
+	sessionID := int64(0)
 	if run, found := state.runs[end.Task]; found && run.attempt == end.Attempt {
-		told.Proven = state.survivedStart(run)
-		connection = run.sessionID
+		runEnd.Proven = state.survivedStart(run)
+		sessionID = run.sessionID
 		delete(state.runs, end.Task)
 	}
 	agent.log(event.RunEnded, slog.String("task", end.Task), slog.Int("attempt", int(end.Attempt)),
-		slog.String("how", string(end.How)), slog.Int64("number", end.Number), slog.Int64("connection", connection))
+		slog.String("how", string(end.How)), slog.Int64("number", end.Number), slog.Int64("connection", sessionID))
 	agent.metrics.runEnds.Add(agent.ctx, 1, telemetry.By("how", string(end.How)))
-	agent.queueEnd(told, shard)
+	agent.queueEnd(runEnd, shard)
 	agent.markStatusChanged()
 }
 
-// logEndNumberConflict logs an end that the worker lists under the number of another one.
+// logEndNumberConflict logs an end that the worker lists under the number of another pending end.
 func (agent *Agent) logEndNumberConflict(state *workerState, end platform.End) {
-	known, waits := state.pendingEnds[end.Number]
-	if !waits || known.runEnd.GetTask() == end.Task && known.runEnd.GetAttempt() == end.Attempt {
+	known, pending := state.pendingEnds[end.Number]
+	if !pending || known.runEnd.GetTask() == end.Task && known.runEnd.GetAttempt() == end.Attempt {
 		return
 	}
 	agent.log(event.EndPassedOver, slog.String("task", end.Task), slog.Int("attempt", int(end.Attempt)), slog.Int64("number", end.Number),
 		slog.String("known", known.runEnd.GetTask()))
 }
 
+// endReason converts the way in which a run ended to the reason that owners are told.
 func endReason(how platform.EndHow) wire.EndReason {
 	reasons := map[platform.EndHow]wire.EndReason{
 		platform.EndDone:    wire.EndReason_END_DONE,
@@ -123,7 +126,8 @@
 	return reasons[how]
 }
 
-// handleEndSeen lets the worker forget the ends that are durable, in their order.
+// handleEndSeen handles an owner's confirmation that an end is in the store. The worker may forget the ends
+// up to the first one that is not.
 func (agent *Agent) handleEndSeen(seen *wire.EndSeen, now time.Time) {
 	state := agent.worker
 	if state == nil || !state.incarnation.MayEqual(seen.Incarnation()) {
@@ -133,7 +137,7 @@
 	if number <= state.storedEnd || number > state.lastListedEnd {
 		return
 	}
-	if end, waited := state.pendingEnds[number]; waited {
+	if end, pending := state.pendingEnds[number]; pending {
 		agent.logStoredEnd(end, now)
 	}
 	delete(state.pendingEnds, number)
@@ -147,23 +151,23 @@
 	}
 }
 
-// queueEnd tells an end to the owner of its shard.
+// queueEnd queues an end for the owner of its shard. An end without a number is one of an incarnation that is
+// over, and is also kept for later owners.
 func (agent *Agent) queueEnd(end *wire.RunEnd, shard int32) {
-	held, claimed := agent.claims[shard]
+	claim, claimed := agent.claims[shard]
 	if end.GetNumber() == 0 {
 		agent.keepLostEnd(end)
 	}
-	if claimed && agent.sessions[held.session] {
-		held.session.ends = append(held.session.ends, end)
+	if claimed && agent.sessions[claim.session] {
+		claim.session.ends = append(claim.session.ends, end)
 	}
 }
 
-// maxLostEnds bounds the ends that are kept for later owners: a few times what a
-// worker runs at once.
+// maxLostEnds limits the ends that are kept for later owners, to a few times the number of runs that a worker
+// has at once.
 const maxLostEnds = 512
 
-// keepLostEnd keeps the end of a run of an incarnation that is over, which no worker
-// will list again.
+// keepLostEnd keeps an end of an incarnation that is over, which no worker will list again.
 func (agent *Agent) keepLostEnd(end *wire.RunEnd) {
 	agent.lostEnds = append(agent.lostEnds, end)
 	if len(agent.lostEnds) > maxLostEnds {
@@ -171,18 +175,18 @@
 	}
 }
 
-// resendEnds tells a new owner the ends of its shard.
-func (agent *Agent) resendEnds(owner *session, shard int32) {
+// resendEnds queues the ends of a shard for its new owner.
+func (agent *Agent) resendEnds(s *session, shard int32) {
 	if agent.worker != nil {
 		for _, end := range agent.worker.pendingEnds {
 			if end.shard == shard {
-				owner.ends = append(owner.ends, end.runEnd)
+				s.ends = append(s.ends, end.runEnd)
 			}
 		}
 	}
 	for _, end := range agent.lostEnds {
 		if agent.shardOf(end.GetTask()) == shard {
-			owner.ends = append(owner.ends, end)
+			s.ends = append(s.ends, end)
 		}
 	}
 }
