--- a/agent/incarnation.go
+++ b/agent/incarnation.go
@@ -12,23 +12,23 @@
 	"ambertiller.example/ambertiller/telemetry"
 )
 
-// endCause says how it became known that an incarnation of the worker is over. Its
-// text stands in logs.
+// endCause says how it became known that an incarnation of the worker is over. It appears in logs and
+// metrics.
 type endCause string
 
 const (
-	// causeLeft is what the worker said itself.
+	// causeLeft means that the worker announced that it left.
 	causeLeft endCause = "left"
-	// causeReplaced was found out: another incarnation stands at the machine.
+	// causeReplaced means that another incarnation was found to run on the machine.
 	causeReplaced endCause = "replaced"
 )
 
-// Beat implements platform.Beats.
+// Beat handles a heartbeat. It implements platform.Beats.
 func (agent *Agent) Beat(beat platform.Heartbeat) {
 	agent.eventLoop.Post(func(now time.Time) { agent.handleHeartbeat(beat, now) })
 }
 
-// Refused implements platform.Beats.
+// Refused logs a heartbeat that names no usable worker. It implements platform.Beats.
 func (agent *Agent) Refused(id string, err error) {
 	agent.eventLoop.Post(func(time.Time) { agent.logRefusedHeartbeat(id, err) })
 }
@@ -37,7 +37,7 @@
 	agent.log(event.HeartbeatRefused, slog.String("worker", id), slog.Any("error", err))
 }
 
-// Left implements platform.Beats.
+// Left handles the notice that the worker with the given ID has left. It implements platform.Beats.
 func (agent *Agent) Left(id string) {
 	agent.eventLoop.Post(func(now time.Time) {
 		agent.log(event.WorkerLeft, slog.String("worker", id))
@@ -45,14 +45,14 @@
 	})
 }
 
-// handleLeft takes in that a worker has left, which says by its id alone that it does. It may be word of an
-// earlier life that comes late: the present one leaves only after it has said that it drains. One that is
-// gone all the same is found out by its silence.
+// handleLeft ends the incarnation that has left. The notice has only the worker's ID, and may be a late one
+// of an earlier incarnation: the present one leaves only after its heartbeats have said that it drains. If it
+// has left without saying so, the agent finds out because it no longer answers.
 func (agent *Agent) handleLeft(id string, now time.Time) {
 	current := agent.worker
 	switch {
 	case current == nil && agent.predecessor.incarnation.HasStartTime() && agent.predecessor.incarnation.WorkerID() == id:
-		// That life has ended already, or it is word of one before it.
+		// That incarnation is over already, or the notice is one of an incarnation before it.
 	case current == nil || current.incarnation.WorkerID() != id:
 		agent.endIncarnation(incarnation.New(id, 0), causeLeft, now)
 	case !current.incarnation.HasStartTime() || current.heartbeat.Draining:
@@ -60,6 +60,7 @@
 	}
 }
 
+// handleHeartbeat handles a heartbeat of the present incarnation or of another one.
 func (agent *Agent) handleHeartbeat(beat platform.Heartbeat, now time.Time) {
 	if agent.endedIncarnations[beat.Incarnation] {
 		return
@@ -75,10 +76,10 @@
 	}
 }
 
-// errNoStartTime says why a heartbeat is passed over that may be of any life of its worker.
-var errNoStartTime = errors.New("the heartbeat does not say when the worker started, as earlier ones do")
+// errNoStartTime is the reason for ignoring a heartbeat that may be of any incarnation of its worker.
+var errNoStartTime = errors.New("the heartbeat has no start time of the worker, unlike earlier ones")
 
-// updateHeartbeat takes in a heartbeat of the incarnation that is known.
+// updateHeartbeat replaces the heartbeat of the present incarnation by a newer one.
 func (agent *Agent) updateHeartbeat(current *workerState, beat platform.Heartbeat, now time.Time) {
 	if current.heartbeat.Incarnation.HasStartTime() && !beat.Incarnation.HasStartTime() {
 		agent.logRefusedHeartbeat(beat.Incarnation.WorkerID(), errNoStartTime)
@@ -96,6 +97,7 @@
 	}
 }
 
+// logWorker logs what a heartbeat says about its worker.
 func (agent *Agent) logWorker(beat platform.Heartbeat) {
 	agent.log(event.WorkerSeen,
 		slog.String("worker", beat.Incarnation.WorkerID()), slog.Int64("born", beat.Incarnation.StartedMs()), slog.String("service", beat.Service), slog.String("address", beat.Address),
@@ -103,39 +105,41 @@
 		slog.Duration("remaining", beat.Remaining))
 }
 
-// predecessor is what is left of the incarnations before the present one.
+// predecessor is what has to be known of the incarnations before the present one.
 type predecessor struct {
 	// incarnation is the last of them.
 	incarnation incarnation.ID
-	// token is above all that they were sent, told the highest number under which an end of them was told.
+	// token is higher than all tokens that they were sent. lastEndNumber is the highest number of their ends
+	// that owners were told.
 	token         int64
 	lastEndNumber int64
 }
 
-// endIncarnation notes that an incarnation is over: what ran there has ended.
-func (agent *Agent) endIncarnation(over incarnation.ID, how endCause, now time.Time) {
-	ended := agent.worker
-	present := ended != nil && ended.incarnation == over
-	if !agent.endedIncarnations[over] {
-		agent.endedIncarnations[over] = true
-		if !present || !ended.orderCarriedOver {
-			agent.registerEnded(over)
+// endIncarnation records that an incarnation is over. If it is the present one, its runs are reported as
+// ended.
+func (agent *Agent) endIncarnation(id incarnation.ID, cause endCause, now time.Time) {
+	state := agent.worker
+	isPresent := state != nil && state.incarnation == id
+	if !agent.endedIncarnations[id] {
+		agent.endedIncarnations[id] = true
+		if !isPresent || !state.orderCarriedOver {
+			agent.registerEnded(id)
 		}
 	}
-	if !present {
+	if !isPresent {
 		return
 	}
 	agent.worker = nil
-	agent.predecessor = predecessor{incarnation: over, token: ended.token + 1, lastEndNumber: ended.endNumberOffset + ended.lastListedEnd}
-	about := []slog.Attr{
-		slog.Int("runs", len(ended.runs)), slog.String("how", string(how)),
-		slog.Bool("draining", ended.heartbeat.Draining), slog.Duration("unanswered", now.Sub(ended.lastSignAt)),
+	agent.predecessor = predecessor{incarnation: id, token: state.token + 1, lastEndNumber: state.endNumberOffset + state.lastListedEnd}
+	attributes := []slog.Attr{
+		slog.Int("runs", len(state.runs)), slog.String("how", string(cause)),
+		slog.Bool("draining", state.heartbeat.Draining), slog.Duration("unanswered", now.Sub(state.lastSignAt)),
 	}
-	agent.log(event.WorkerLost, append(over.LogAttributes(), about...)...)
-	agent.metrics.lostIncarnations.Add(agent.ctx, 1, telemetry.By("how", string(how)))
-	agent.reportEndedRuns(ended, how)
-	for _, end := range ended.pendingEnds {
-		// Its worker can't be told any more, the owners still can.
+	agent.log(event.WorkerLost, append(id.LogAttributes(), attributes...)...)
+	agent.metrics.lostIncarnations.Add(agent.ctx, 1, telemetry.By("how", string(cause)))
+	agent.reportEndedRuns(state, cause)
+	for _, end := range state.pendingEnds {
+		// No worker waits for the confirmation of this end any more, but a later owner may have to be told of it.
 		end.runEnd.Number = 0
 		agent.keepLostEnd(end.runEnd)
 	}
