--- a/agent/liveness.go
+++ b/agent/liveness.go
@@ -13,27 +13,28 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// newRunAge is how old a run is at most that has just begun. A task that brings workers down
-// does so 10 ms after its start, which agents noticed within 70 ms of the order; the more runs
-// count as just begun, the more chance victims are suspected. With 500 ms one of 63 suspects of a
+// newRunAge is the age up to which a run counts as new, and is suspected if the worker crashes. A task that
+// crashes workers does so 10 ms after its start, and agents notice it within 70 ms of the order. With a
+// longer time, more runs are suspected that are new by chance: with 500 ms, one of 63 suspects within a
 // day was suspected twice in a row.
 const newRunAge = 250 * time.Millisecond
 
-// recordAnswer takes note of an answer of the worker to a call that was sent at a time: it
-// lived then. Heartbeats don't count: one that was held up may arrive when its sender is gone.
+// recordAnswer records that the worker answered a call that was sent at sentAt, and thus was alive at that
+// time. Heartbeats are no such proof: a delayed one may arrive when its sender is gone.
 func (state *workerState) recordAnswer(sentAt, now time.Time) {
 	state.provenAliveAt = later(state.provenAliveAt, sentAt)
 	state.lastSignAt = later(state.lastSignAt, now)
 }
 
-// recordCallError takes note of an error instead of an answer. A connection that the worker's side
-// has ended is a sign that it lived until about then; silence is none.
+// recordCallError records that a call failed. If the worker's side closed the connection, the worker was
+// alive until about now. A timeout is no sign of life.
 func (state *workerState) recordCallError(err error, now time.Time) {
 	if !errors.Is(err, context.DeadlineExceeded) {
 		state.lastSignAt = later(state.lastSignAt, now)
 	}
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -41,20 +42,20 @@
 	return b
 }
 
-// observedRunTime returns for how long a run was on the worker as far as there were signs of it, which
-// may be too long by what this process was late to see the last one.
+// observedRunTime returns how long the run was on the worker up to the last sign of life. It may be too long
+// by the delay with which this process noticed that sign.
 func (state *workerState) observedRunTime(run *runState) time.Duration {
 	return max(state.lastSignAt.Sub(run.startSentAt), 0)
 }
 
-// survivedStart reports whether a run went on for certain after its start. Only this clears its
-// task: the worker answered a call that was sent when the run had not just begun any more.
+// survivedStart reports whether the run certainly went on after its start: the worker answered a call that
+// was sent when the run was no longer new. Only this clears its task of suspicion.
 func (state *workerState) survivedStart(run *runState) bool {
 	return state.provenAliveAt.Sub(run.startSentAt) >= newRunAge
 }
 
-// hasNewSuspect reports whether a suspect has just been started. Two of them apart from each
-// other show which one it is, should the worker crash.
+// hasNewSuspect reports whether one of the new runs is a suspect. No other suspect is started until it is no
+// longer new: if the worker crashes, it is then clear which of the two was the cause.
 func (state *workerState) hasNewSuspect(now time.Time) bool {
 	for _, run := range state.runs {
 		if run.isSuspect && now.Sub(run.startSentAt) < newRunAge {
@@ -64,71 +65,73 @@
 	return false
 }
 
-// crashSuspects returns the runs that may be why the worker has crashed, those that had just begun, and
-// how each is told: beside one that was suspected before the others are most likely innocent, and
-// are told apart. Those that were told as over while the worker did not answer are among them.
+// crashSuspects returns the runs that may have caused a crash of the worker, which are the new ones, with the
+// reason that the owner of each is told. If one of them was a suspect before, the others are most likely
+// innocent and get a reason of their own. Runs that were given up while the worker did not answer are
+// included.
 func (state *workerState) crashSuspects() map[*runState]wire.EndReason {
-	begun := state.newRuns()
-	known := slices.ContainsFunc(begun, func(run *runState) bool { return run.isSuspect })
-	found := map[*runState]wire.EndReason{}
-	for _, run := range begun {
-		found[run] = wire.EndReason_END_CRASHED
-		if known && !run.isSuspect {
-			found[run] = wire.EndReason_END_CRASHED_BESIDE
+	runs := state.newRuns()
+	hasKnownSuspect := slices.ContainsFunc(runs, func(run *runState) bool { return run.isSuspect })
+	reasons := map[*runState]wire.EndReason{}
+	for _, run := range runs {
+		reasons[run] = wire.EndReason_END_CRASHED
+		if hasKnownSuspect && !run.isSuspect {
+			reasons[run] = wire.EndReason_END_CRASHED_BESIDE
 		}
 	}
-	return found
+	return reasons
 }
 
-// newRuns returns the runs that had just begun at the last sign of life of the worker. One
-// that an agent found when it started was there before.
+// newRuns returns the runs that were new at the last sign of life of the worker. Adopted runs are not new:
+// they were there before the agent started.
 func (state *workerState) newRuns() []*runState {
 	runs := slices.AppendSeq(slices.Clone(state.givenUpRuns), maps.Values(state.runs))
 	return slices.DeleteFunc(runs, func(run *runState) bool { return run.adopted || state.observedRunTime(run) >= newRunAge })
 }
 
-// reportEndedRuns tells the owners what became of the runs of an incarnation that is over.
-func (agent *Agent) reportEndedRuns(over *workerState, how endCause) {
+// reportEndedRuns reports the runs of an incarnation that is over to their owners, as crashed or as lost.
+func (agent *Agent) reportEndedRuns(state *workerState, cause endCause) {
 	suspects := map[*runState]wire.EndReason{}
-	if how == causeReplaced {
-		suspects = over.crashSuspects()
+	if cause == causeReplaced {
+		suspects = state.crashSuspects()
 	}
-	for _, run := range over.runs {
+	for _, run := range state.runs {
 		if reason, suspected := suspects[run]; suspected {
-			agent.reportCrashedRun(over, run, reason)
+			agent.reportCrashedRun(state, run, reason)
 			continue
 		}
-		agent.reportLostRun(over, run)
+		agent.reportLostRun(state, run)
 	}
-	for _, run := range over.givenUpRuns {
+	for _, run := range state.givenUpRuns {
 		if reason, suspected := suspects[run]; suspected {
-			agent.reportCrashedRun(over, run, reason)
+			agent.reportCrashedRun(state, run, reason)
 		}
 	}
 }
 
-// reportCrashedRun tells a run's owner that its worker crashed, and that the run may be why.
-func (agent *Agent) reportCrashedRun(on *workerState, run *runState, reason wire.EndReason) {
-	end := on.newLostEnd(run)
+// reportCrashedRun tells the run's owner that the worker crashed, and that the run may have caused it.
+func (agent *Agent) reportCrashedRun(state *workerState, run *runState, reason wire.EndReason) {
+	end := state.newLostEnd(run)
 	end.Reason = reason
-	agent.logLostRun(event.RunCrashed, on, run, slog.Bool("suspect", run.isSuspect), slog.Bool("beside", reason == wire.EndReason_END_CRASHED_BESIDE))
+	agent.logLostRun(event.RunCrashed, state, run, slog.Bool("suspect", run.isSuspect), slog.Bool("beside", reason == wire.EndReason_END_CRASHED_BESIDE))
 	agent.queueEnd(end, run.shard)
 }
 
-// reportLostRun tells the run's owner that it is over without an end.
-func (agent *Agent) reportLostRun(on *workerState, run *runState) {
-	agent.logLostRun(event.RunLost, on, run)
-	agent.queueEnd(on.newLostEnd(run), run.shard)
+// reportLostRun tells the run's owner that the run is over without an end listed by the worker.
+func (agent *Agent) reportLostRun(state *workerState, run *runState) {
+	agent.logLostRun(event.RunLost, state, run)
+	agent.queueEnd(state.newLostEnd(run), run.shard)
 }
 
-func (agent *Agent) logLostRun(code event.Code, on *workerState, run *runState, attributes ...slog.Attr) {
-	about := []slog.Attr{
-		slog.String("worker", on.incarnation.WorkerID()), slog.Int64("born", on.incarnation.StartedMs()), slog.String("phase", run.phase.String()), slog.Duration("lived", on.observedRunTime(run)),
+// logLostRun logs an event about a run that is over without an end listed by the worker.
+func (agent *Agent) logLostRun(code event.Code, state *workerState, run *runState, attributes ...slog.Attr) {
+	common := []slog.Attr{
+		slog.String("worker", state.incarnation.WorkerID()), slog.Int64("born", state.incarnation.StartedMs()), slog.String("phase", run.phase.String()), slog.Duration("lived", state.observedRunTime(run)),
 	}
-	agent.logRun(code, run, append(about, attributes...)...)
+	agent.logRun(code, run, append(common, attributes...)...)
 }
 
-// newLostEnd is the end of a run that its worker did not list.
+// newLostEnd returns the end of a run for which the worker listed none.
 func (state *workerState) newLostEnd(run *runState) *wire.RunEnd {
 	return &wire.RunEnd{
 		Worker: state.incarnation.WorkerID(), Born: state.incarnation.StartedMs(), Task: run.task, Attempt: run.attempt, Reason: wire.EndReason_END_LOST,
@@ -136,7 +139,7 @@
 	}
 }
 
-// String returns the phase as logs name it.
+// String returns the name of the phase for logs.
 func (phase runPhase) String() string {
 	names := map[runPhase]string{
 		phaseStarting: "starting", phaseUnsettled: "unsettled", phaseRunning: "running", phaseStopping: "stopping",
