--- a/agent/register.go
+++ b/agent/register.go
@@ -18,43 +18,44 @@
 )
 
 const (
-	// registerTimeout bounds a try. A partition that has more than 2 s of appends waiting
-	// refuses another one, so what is not answered by then was lost and doesn't wait in line.
+	// registerTimeout is the timeout of one append. A partition with more than 2 s of appends waiting refuses
+	// further ones, so an append that is not answered by then is lost rather than waiting.
 	registerTimeout = 4 * time.Second
-	// minRegisterDelay and maxRegisterDelay bound the pause before the next try, which doubles
-	// with each. It is spread, so that agents that were refused together don't come again together.
+	// minRegisterDelay and maxRegisterDelay limit the delay between attempts, which doubles with each
+	// attempt. It is randomized, so that agents that were refused at the same time do not retry at the same
+	// time.
 	minRegisterDelay = 250 * time.Millisecond
 	maxRegisterDelay = 4 * time.Second
-	// maxEndedToRegister bounds the incarnations of one machine that the store is told
-	// of; runs of earlier ones have long been given up.
+	// maxEndedToRegister limits the ended incarnations of one machine that are written to the store. The runs
+	// of earlier ones have long been given up.
 	maxEndedToRegister = 8
 )
 
-// Register puts the agent's address into the store, where owners find it, and
-// again whenever an incarnation of the worker has ended. It tries until the store
-// has taken it or ctx ends.
+// Register writes the agent's record to the store, where owners find its address, and again whenever an
+// incarnation of the worker has ended. It retries until the store has accepted the record, and returns when
+// ctx ends.
 //
-// One append is on its way at a time, and one that waits its turn is waited for: a whole fleet may
-// register at once, and tries that are given up while they wait would make the line longer for all.
+// It makes one append at a time, and waits for one that is queued in the store. A whole fleet may register at
+// once: appends that were given up while queued would make the queue longer for all agents.
 func (agent *Agent) Register(ctx context.Context, store *platform.Store, address string) {
-	var taken *job.AgentRecord // by the store
-	retry := newRegisterBackoff()
+	var stored *job.AgentRecord // the last record that the store has accepted
+	delays := newRegisterBackoff()
 	for tries := 1; ctx.Err() == nil; tries++ {
-		record, asked := agent.newRecord(ctx, address)
-		if !asked {
+		record, ok := agent.newRecord(ctx, address)
+		if !ok {
 			return
 		}
-		if taken == nil || !proto.Equal(record, taken) {
+		if stored == nil || !proto.Equal(record, stored) {
 			if err := agent.registerOnce(ctx, store, record); err != nil {
 				agent.logRegisterFailure(ctx, tries, err)
-				agent.sleep(ctx, retry.NextBackOff())
+				agent.sleep(ctx, delays.NextBackOff())
 				continue
 			}
 			agent.options.Events.Log(ctx, event.AgentRegistered, slog.String("address", address),
 				slog.Int("ended", len(record.GetEnded())+len(record.GetOver())), slog.Int("tries", tries))
-			taken = record
+			stored = record
 		}
-		retry.Reset()
+		delays.Reset()
 		tries = 0
 		select {
 		case <-ctx.Done():
@@ -63,15 +64,16 @@
 	}
 }
 
+// newRegisterBackoff returns the delays between attempts to register.
 func newRegisterBackoff() *backoff.ExponentialBackOff {
-	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = minRegisterDelay
-	retry.Multiplier = 2
-	retry.MaxInterval = maxRegisterDelay
-	return retry
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = minRegisterDelay
+	delays.Multiplier = 2
+	delays.MaxInterval = maxRegisterDelay
+	return delays
 }
 
-// newRecord returns what the store is to know of the agent; false once the agent has ended.
+// newRecord returns the agent's record for the store, or false once the agent has ended.
 func (agent *Agent) newRecord(ctx context.Context, address string) (*job.AgentRecord, bool) {
 	var ended []incarnation.ID
 	if !agent.eventLoop.Ask(ctx, func(time.Time) { ended = slices.Clone(agent.endedToRegister) }) {
@@ -80,7 +82,7 @@
 	return job.NewAgentRecord(agent.options.Name, address, ended), true
 }
 
-// registerOnce appends the agent's record, with one try.
+// registerOnce appends the agent's record to the store, without a retry.
 func (agent *Agent) registerOnce(ctx context.Context, store *platform.Store, record *job.AgentRecord) error {
 	value, err := proto.Marshal(record)
 	if err != nil {
@@ -95,13 +97,14 @@
 	return err
 }
 
-// logRegisterFailure logs the first of the tries that fail in a row.
+// logRegisterFailure logs a failed attempt if it is the first one in a row.
 func (agent *Agent) logRegisterFailure(ctx context.Context, tries int, err error) {
 	if tries == 1 {
 		agent.options.Events.Log(ctx, event.StoreLost, slog.Any("error", err))
 	}
 }
 
+// sleep waits for the given time, or until ctx ends.
 func (agent *Agent) sleep(ctx context.Context, length time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -109,9 +112,9 @@
 	}
 }
 
-// registerEnded has the store told that an incarnation has ended for certain.
-func (agent *Agent) registerEnded(over incarnation.ID) {
-	agent.endedToRegister = append(agent.endedToRegister, over)
+// registerEnded has Register write to the store that an incarnation is certainly over.
+func (agent *Agent) registerEnded(id incarnation.ID) {
+	agent.endedToRegister = append(agent.endedToRegister, id)
 	if len(agent.endedToRegister) > maxEndedToRegister {
 		agent.endedToRegister = agent.endedToRegister[1:]
 	}
