--- a/agent/session.go
+++ b/agent/session.go
@@ -11,32 +11,34 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// outboxSize is how many messages may wait to be sent; an owner that lets
-// more wait is taken for gone.
+// outboxSize is how many messages to an owner may wait to be sent. An owner that lets more wait is considered
+// gone.
 const outboxSize = 64
 
-// session is one owner's stream.
+// session is the connection of one owner to the agent, with what the owner has been sent on it.
 type session struct {
 	ownerName string
-	// id counts the streams that owners have spoken on, for logs; number is the owner's
-	// own count of its connections to this agent, 0 for one of an earlier build.
+	// id identifies the session in logs: sessions are numbered in the order of their first messages.
+	// connectionNumber is the owner's own count of its connections to this agent, 0 for an owner of an earlier
+	// build.
 	id               int64
 	connectionNumber int64
-	// isSameDomain is set for an owner in the same failure domain.
+	// isSameDomain is set for an owner in the agent's failure domain.
 	isSameDomain  bool
 	lastMessageAt time.Time
 	outbox        chan *wire.AgentMessage
 	closed        chan struct{}
-	// isClosed is set once the stream has: a message of it may still wait its turn.
+	// isClosed is set once the stream is closed. Messages that were received before may still wait in the
+	// event loop.
 	isClosed bool
-	// handledSequence is the number of the owner's last message, answered that of the last one
-	// that it was told to be handled.
+	// handledSequence is the sequence number of the owner's last message that was handled,
+	// acknowledgedSequence that of the last one that was acknowledged to the owner.
 	handledSequence      int64
 	acknowledgedSequence int64
-	// acceptsChanges is set for an owner that needs no more than what has changed.
+	// acceptsChanges is set for an owner that needs to be sent only what has changed.
 	acceptsChanges bool
-	// statusEncoder is what the owner has been told of the worker, toldLearned what readings have
-	// taught.
+	// statusEncoder holds the status of the worker that the owner was last sent, sentEstimates the
+	// interference estimates.
 	statusEncoder status.Encoder
 	sentEstimates map[interference.Pair]interference.Estimate
 
@@ -48,19 +50,19 @@
 	runsSentAt    time.Time
 }
 
-// Attach implements wire.DRPCAgentServer.
+// Attach serves the stream of an owner until either side closes it. It implements wire.DRPCAgentServer.
 func (agent *Agent) Attach(stream wire.DRPCAgent_AttachStream) error {
-	owner := &session{outbox: make(chan *wire.AgentMessage, outboxSize), closed: make(chan struct{}), statusChanged: true, fullUpdateDue: true}
+	s := &session{outbox: make(chan *wire.AgentMessage, outboxSize), closed: make(chan struct{}), statusChanged: true, fullUpdateDue: true}
 	failed := make(chan error, 1)
-	go func() { failed <- agent.receive(stream, owner) }()
-	defer agent.eventLoop.Post(func(now time.Time) { agent.detach(owner) })
+	go func() { failed <- agent.receive(stream, s) }()
+	defer agent.eventLoop.Post(func(now time.Time) { agent.detach(s) })
 	for {
 		select {
-		case message := <-owner.outbox:
+		case message := <-s.outbox:
 			if err := stream.Send(message); err != nil {
 				return err
 			}
-		case <-owner.closed:
+		case <-s.closed:
 			return nil
 		case err := <-failed:
 			return err
@@ -68,52 +70,55 @@
 	}
 }
 
-func (agent *Agent) receive(stream wire.DRPCAgent_AttachStream, owner *session) error {
+// receive passes the messages of an owner to the event loop, until its stream fails.
+func (agent *Agent) receive(stream wire.DRPCAgent_AttachStream, s *session) error {
 	for {
 		message, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		agent.eventLoop.Post(func(now time.Time) { agent.handleOwnerMessage(owner, message, now) })
+		agent.eventLoop.Post(func(now time.Time) { agent.handleOwnerMessage(s, message, now) })
 	}
 }
 
-// logSession logs what becomes of an owner's connection.
-func (agent *Agent) logSession(code event.Code, owner *session, attributes ...slog.Attr) {
-	about := []slog.Attr{slog.String("owner", owner.ownerName), slog.Int64("connection", owner.id)}
-	agent.log(code, append(about, attributes...)...)
+// logSession logs an event about the connection of an owner.
+func (agent *Agent) logSession(code event.Code, s *session, attributes ...slog.Attr) {
+	common := []slog.Attr{slog.String("owner", s.ownerName), slog.Int64("connection", s.id)}
+	agent.log(code, append(common, attributes...)...)
 }
 
-func (agent *Agent) detach(owner *session) {
-	owner.isClosed = true
-	if !agent.sessions[owner] {
+// detach removes a session whose stream has ended.
+func (agent *Agent) detach(s *session) {
+	s.isClosed = true
+	if !agent.sessions[s] {
 		return
 	}
-	delete(agent.sessions, owner)
-	agent.logSession(event.OwnerLost, owner)
+	delete(agent.sessions, s)
+	agent.logSession(event.OwnerLost, s)
 }
 
-func (agent *Agent) handleOwnerMessage(owner *session, message *wire.OwnerMessage, now time.Time) {
-	if owner.isClosed {
+// handleOwnerMessage handles a message of an owner. The first one on a stream adds the session.
+func (agent *Agent) handleOwnerMessage(s *session, message *wire.OwnerMessage, now time.Time) {
+	if s.isClosed {
 		return
 	}
-	if !agent.sessions[owner] {
-		agent.sessions[owner] = true
-		owner.ownerName = message.GetOwner()
-		owner.isSameDomain = message.GetFailureDomain() == agent.options.FailureDomain
-		owner.acceptsChanges = message.GetTakesChanges()
-		owner.connectionNumber = message.GetConnection()
+	if !agent.sessions[s] {
+		agent.sessions[s] = true
+		s.ownerName = message.GetOwner()
+		s.isSameDomain = message.GetFailureDomain() == agent.options.FailureDomain
+		s.acceptsChanges = message.GetTakesChanges()
+		s.connectionNumber = message.GetConnection()
 		agent.sessionCount++
-		owner.id = agent.sessionCount
-		agent.logSession(event.OwnerAttached, owner)
+		s.id = agent.sessionCount
+		agent.logSession(event.OwnerAttached, s)
 	}
 	if message.GetOwned() {
-		agent.handleClaims(owner, message)
+		agent.handleClaims(s, message)
 	}
-	if owner.isClosed {
+	if s.isClosed {
 		return
 	}
-	agent.handleGrant(owner, message)
+	agent.handleGrant(s, message)
 	agent.handleEvacuations(message.GetEvacuations(), now)
 	for _, description := range message.GetRuns() {
 		agent.handleRunDescription(description)
@@ -127,7 +132,7 @@
 		agent.handlePreemptOrder(order, now)
 	}
 	for _, order := range message.GetStarts() {
-		agent.handleStartOrder(owner, order, now)
+		agent.handleStartOrder(s, order, now)
 	}
 	if len(message.GetStarts()) > 0 && message.GetEvacuations() == nil && agent.checkFailureDomain(now) == operator.Outdated {
 		agent.requestEvacuations()
@@ -135,10 +140,11 @@
 	for _, seen := range message.GetSeen() {
 		agent.handleEndSeen(seen, now)
 	}
-	owner.lastMessageAt = now
-	owner.handledSequence = message.GetSequence()
+	s.lastMessageAt = now
+	s.handledSequence = message.GetSequence()
 }
 
+// handleRunDescription sets the demand of a run if it is unknown, as it is for an adopted run.
 func (agent *Agent) handleRunDescription(description *wire.RunDescription) {
 	if agent.worker == nil {
 		return
@@ -150,12 +156,13 @@
 	}
 }
 
+// queueResult queues the outcome of a start for the owner of the run's shard.
 func (agent *Agent) queueResult(state *workerState, run *runState, outcome wire.StartOutcome) {
-	held, claimed := agent.claims[run.shard]
-	if !claimed || !agent.sessions[held.session] {
+	claim, claimed := agent.claims[run.shard]
+	if !claimed || !agent.sessions[claim.session] {
 		return
 	}
-	held.session.results = append(held.session.results, &wire.StartResult{
+	claim.session.results = append(claim.session.results, &wire.StartResult{
 		Task: run.task, Attempt: run.attempt, Worker: state.incarnation.WorkerID(), Born: state.incarnation.StartedMs(), Outcome: outcome,
 	})
 }
