--- a/agent/successor.go
+++ b/agent/successor.go
@@ -12,32 +12,32 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// probeRetryInterval keeps questions to a next life apart that is not clear of the life before yet: a stop takes
-// up to half a second.
+// probeRetryInterval is the delay between probes of a restarted worker that may still run orders of its
+// previous incarnation: a stop takes up to half a second.
 const probeRetryInterval = 100 * time.Millisecond
 
-// successor is an incarnation that has sent a heartbeat while another one is taken care
-// of. It may stand in that one's place by now, or have sent the heartbeat before it ended:
-// one that was held up on its way may arrive after that of its successor. Only the worker
-// itself can tell which of the two it is.
+// successor is an incarnation that has sent a heartbeat while the agent manages another one. It has either
+// replaced that one or sent the heartbeat before it ended itself: a delayed heartbeat may arrive after one of
+// the next incarnation. Only the worker itself can tell which of the two it is, so that the agent probes it.
 //
-// One that has another id is called by it, and refuses what was meant for the one before. Another life under
-// the same id does not: it knows no fencing token, so that a start without an answer may be carried out
-// there. It is therefore asked again under a token above all that the life before was sent, from which
-// on no such start is, and what was until then is stopped and told with its own end. Only then is the life
-// before over for certain: if its owners were told before, they would start such a task beside its run.
+// A successor with another worker ID is called by that ID, and refuses calls that were meant for the previous
+// incarnation. A successor with the same ID does not: it knows no fencing token, so that a start without an
+// answer may still be carried out there. It is therefore probed again with a token above all those that the
+// previous incarnation was sent. From then on it refuses such starts; the runs that it has started until then
+// are stopped, and reported with their own ends. Only then is the previous incarnation certainly over: owners
+// that were told so earlier would start such a task while it still runs.
 type successor struct {
 	heartbeat platform.Heartbeat
 	client    *platform.Worker
-	isProbing bool // a question is on its way
-	// fencingToken is the token of the questions once it is known to be the present life under an id that
-	// the one before has too; 0 until then.
+	isProbing bool // a probe has not been answered yet
+	// fencingToken is the token of further probes, once the successor is known to be the present incarnation
+	// under the ID that the previous one has too. It is 0 until then.
 	fencingToken int64
-	// probeAt is when it is asked again, while fence is set.
+	// probeAt is when the successor is probed again, while fencingToken is set.
 	probeAt time.Time
 }
 
-// handleSuccessorHeartbeat takes in a heartbeat of another incarnation than the one taken care of.
+// handleSuccessorHeartbeat handles a heartbeat of an incarnation other than the managed one, and probes it.
 func (agent *Agent) handleSuccessorHeartbeat(beat platform.Heartbeat) {
 	next := agent.successor
 	if next == nil || next.heartbeat.Incarnation != beat.Incarnation {
@@ -50,7 +50,7 @@
 	agent.probe(next)
 }
 
-// probe asks an incarnation whether it is the one at its address, and what it runs and has ended.
+// probe asks an incarnation whether it is the one at its address, and for its runs and ends.
 func (agent *Agent) probe(next *successor) {
 	if next.isProbing {
 		return
@@ -58,30 +58,30 @@
 	next.isProbing = true
 	token := max(agent.options.FirstToken, next.fencingToken)
 	if current := agent.worker; current != nil && next.heartbeat.Incarnation.IsOtherIncarnationOf(current.incarnation) {
-		// A call that was meant for the life before may have brought its token there.
+		// A call that was meant for the previous incarnation may have raised the token there.
 		token = max(token, current.token)
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(agent.ctx, callTimeout)
 		defer cancel()
-		// It renews and forgets nothing; another incarnation does not even look at it.
-		held, err := next.client.Hold(ctx, 0, 0, token, 0)
-		agent.eventLoop.Post(func(now time.Time) { agent.handleProbeAnswer(next, token, held, err, now) })
+		// This renews no lease and confirms no end. Another incarnation refuses the call in any case.
+		answer, err := next.client.Hold(ctx, 0, 0, token, 0)
+		agent.eventLoop.Post(func(now time.Time) { agent.handleProbeAnswer(next, token, answer, err, now) })
 	}()
 }
 
-// probeAgain goes on with a next life that is not clear of the life before yet.
+// probeAgain probes a restarted worker again that may still run orders of its previous incarnation.
 func (agent *Agent) probeAgain(now time.Time) {
 	if next := agent.successor; next != nil && next.fencingToken > 0 && !now.Before(next.probeAt) {
 		agent.probe(next)
 	}
 }
 
-// handleProbeAnswer takes in whether an incarnation is the one at its address. One with another id that
-// neither answers nor is denied takes over if the present one does not answer either and its
-// lease has run out: only then are its runs over for certain, whichever of the two stands
-// there. Else it is asked again with its next heartbeat.
-func (agent *Agent) handleProbeAnswer(next *successor, token int64, held platform.Held, err error, now time.Time) {
+// handleProbeAnswer handles the answer to a probe, or its error. If neither a successor with another worker
+// ID nor any other incarnation answers, the successor replaces the present incarnation, provided that the
+// latter does not answer either and its lease has expired: only then are its runs certainly over, whichever
+// of the two is on the machine. Otherwise, the successor is probed again at its next heartbeat.
+func (agent *Agent) handleProbeAnswer(next *successor, token int64, answer platform.Held, err error, now time.Time) {
 	next.isProbing = false
 	if agent.successor != next || agent.endedIncarnations[next.heartbeat.Incarnation] {
 		return
@@ -102,15 +102,15 @@
 			current.raiseProbeToken(next, err)
 			return
 		}
-		agent.handleRestartProbe(current, next, token, held, now)
+		agent.handleRestartProbe(current, next, token, answer, now)
 	case err == nil || current == nil || current.pollFailures > 0 && !now.Before(current.leaseOverBy):
 		agent.replaceWorker(next, now)
 	}
 }
 
-// raiseProbeToken raises the token of the questions to the next life where it refuses them for theirs: it has
-// seen that of an agent whose clock was ahead. Nobody looks at the life before any more, which would have found
-// that out.
+// raiseProbeToken raises the token of further probes if the restarted worker has refused one for its token,
+// because it has seen that of an agent whose clock was ahead. A poll would find that out too, but the
+// previous incarnation is no longer polled.
 func (state *workerState) raiseProbeToken(next *successor, err error) {
 	var refused *platform.StartError
 	if !state.isSuperseded || !errors.As(err, &refused) || refused.Reason() != platform.RefusedFence {
@@ -120,30 +120,32 @@
 	next.fencingToken = state.token + 1
 }
 
-// dropSuccessor drops an incarnation whose heartbeat was late.
+// dropSuccessor drops an incarnation that is over already, whose heartbeat was delayed.
 func (agent *Agent) dropSuccessor(next *successor) {
 	agent.successor = nil
-	about := append(next.heartbeat.Incarnation.LogAttributes(), slog.Int64("sequence", next.heartbeat.Sequence))
-	agent.log(event.HeartbeatStale, about...)
+	attributes := append(next.heartbeat.Incarnation.LogAttributes(), slog.Int64("sequence", next.heartbeat.Sequence))
+	agent.log(event.HeartbeatStale, attributes...)
 }
 
-// handleRestartProbe takes in the answer of the next life under the id of the present one.
-func (agent *Agent) handleRestartProbe(current *workerState, next *successor, token int64, held platform.Held, now time.Time) {
+// handleRestartProbe handles the answer to a probe of a worker that has restarted under the ID of the present
+// incarnation. The successor replaces the present incarnation once it has answered a probe with its fencing
+// token and lists no runs.
+func (agent *Agent) handleRestartProbe(current *workerState, next *successor, token int64, answer platform.Held, now time.Time) {
 	agent.markSuperseded(current, next.heartbeat.Incarnation, now)
 	if next.fencingToken == 0 || token < next.fencingToken {
 		next.fencingToken = current.token + 1
 		agent.probe(next)
 		return
 	}
-	if len(held.Running) > 0 {
-		agent.stopStaleRuns(next, held.Running)
+	if len(answer.Running) > 0 {
+		agent.stopStaleRuns(next, answer.Running)
 		return
 	}
-	// An owner that read in the store that the life before is over would release its run before it has heard
+	// If the store said that the previous incarnation is over, an owner might release its run before it is told
 	// of the end.
-	current.orderCarriedOver = len(held.Ended) > 0
-	for _, end := range held.Ended {
-		// It was carried out by the next life, which will list its end: it is not lost.
+	current.orderCarriedOver = len(answer.Ended) > 0
+	for _, end := range answer.Ended {
+		// The restarted worker has carried out this start and will list its end: the run is not lost.
 		if run, found := current.runs[end.Task]; found && run.attempt == end.Attempt {
 			delete(current.runs, end.Task)
 		}
@@ -152,23 +154,24 @@
 	agent.replaceWorker(next, now)
 }
 
-// stopStaleRuns stops what the next life has carried out of the orders of the life before.
+// stopStaleRuns stops the runs that a restarted worker has started by orders to its previous incarnation.
 func (agent *Agent) stopStaleRuns(next *successor, running []platform.Run) {
 	for _, run := range running {
 		agent.log(event.RunStopOrdered, slog.String("task", run.Task), slog.Int("attempt", int(run.Attempt)),
-			slog.String("reason", "ordered of the worker's life before"))
+			slog.String("reason", "ordered from the previous incarnation of the worker"))
 		go func() {
 			ctx, cancel := context.WithTimeout(agent.ctx, callTimeout)
 			defer cancel()
 			if _, err := next.client.Stop(ctx, run.Task, run.Attempt, next.fencingToken); err != nil {
-				// It is listed again, and stopped again.
+				// The next probe lists the run again, and it is stopped again.
 				agent.log(event.OrderUnsettled, slog.String("task", run.Task), slog.String("order", "stop"), slog.Any("error", err))
 			}
 		}()
 	}
 }
 
-// detectRestart reports whether an error says that another life than a state's has answered, and takes note of it.
+// detectRestart reports whether an error of a call says that another incarnation has answered, and marks the
+// state as superseded in that case.
 func (agent *Agent) detectRestart(state *workerState, err error, now time.Time) bool {
 	var other *platform.AnotherLifeError
 	if !errors.As(err, &other) {
@@ -178,8 +181,8 @@
 	return true
 }
 
-// markSuperseded notes that another life under a state's id has answered. Its heartbeat, which says what it is and
-// has, may be still to come.
+// markSuperseded records that another incarnation with the same worker ID has answered. That one's heartbeat,
+// which describes the worker, may not have arrived yet.
 func (agent *Agent) markSuperseded(state *workerState, by incarnation.ID, now time.Time) {
 	if state.isSuperseded {
 		return
@@ -195,7 +198,7 @@
 	}
 }
 
-// recordStartTime takes in when an incarnation started whose heartbeats don't say it, from its first answer.
+// recordStartTime sets the start time of an incarnation whose heartbeats lack it, from its first answer.
 func (agent *Agent) recordStartTime(state *workerState, answered incarnation.ID) {
 	if state.incarnation.HasStartTime() || !answered.HasStartTime() {
 		return
@@ -205,7 +208,8 @@
 	agent.markStatusChanged()
 }
 
-// replaceWorker has an incarnation take the place of the present one, which is over: one worker stands on a machine.
+// replaceWorker has a successor take the place of the present incarnation, which is over: there is one worker
+// on a machine.
 func (agent *Agent) replaceWorker(next *successor, now time.Time) {
 	if agent.worker != nil {
 		agent.endIncarnation(agent.worker.incarnation, causeReplaced, now)
@@ -213,15 +217,15 @@
 	agent.manageWorker(next.heartbeat, next.client, now)
 }
 
-// manageWorker begins to take care of an incarnation, while there is no other one. What was
-// asked about it until then has no effect any more.
-func (agent *Agent) manageWorker(beat platform.Heartbeat, calls *platform.Worker, now time.Time) {
+// manageWorker begins to manage an incarnation, while there is no other one. Answers to earlier probes have
+// no effect any more.
+func (agent *Agent) manageWorker(beat platform.Heartbeat, client *platform.Worker, now time.Time) {
 	agent.successor = nil
 	agent.logWorker(beat)
-	agent.worker = newWorkerState(beat, calls, agent.predecessor, now)
+	agent.worker = newWorkerState(beat, client, agent.predecessor, now)
 	if beat.Incarnation.IsOtherIncarnationOf(agent.predecessor.incarnation) {
-		// It may have been given a lease by a call that was meant for the life before. On its clock,
-		// which began anew, that ends as late as a lease can.
+		// A call that was meant for the previous incarnation may have given it a lease. Its clock has
+		// restarted since, so that this lease may end as late as any lease can.
 		agent.worker.leaseOverBy = now.Add(agent.maxLease())
 	}
 	agent.worker.updateLeaveTime(now)
