--- a/agent/updates.go
+++ b/agent/updates.go
@@ -10,122 +10,125 @@
 )
 
 const (
-	// statusInterval is how often an owner hears from the agent at least, and how soon each
-	// message of any owner is answered.
+	// statusInterval is the longest time between two messages to an owner that has shards, and until a
+	// message of any owner is acknowledged.
 	statusInterval = 500 * time.Millisecond
-	// runsInterval is how often the owner is told all runs, with checkpoints.
+	// runsInterval is how often an owner is sent all its runs, with their checkpoints.
 	runsInterval = time.Second
-	// idleSendInterval is the same for an owner without shards.
+	// idleSendInterval is the longest time between two messages to an owner that has no shards.
 	idleSendInterval = 3 * time.Second
-	// statusBatchDelay gathers changes of the room into one message.
+	// statusBatchDelay is how long changes of the status are collected before they are sent in one message.
 	statusBatchDelay = 15 * time.Millisecond
-	// ownerTimeout is how long an owner may be silent, which speaks twice a second, or
-	// each 3 s while it owns nothing: a connection may go silent for good without an
-	// end, and the owner's next one is a stream of its own.
+	// ownerTimeout is how long an owner may be silent before its session is closed. An owner sends a message
+	// twice a second, or every 3 s while it owns nothing. A connection may go silent for good without being
+	// closed; the owner's next one is a stream of its own.
 	ownerTimeout = 5 * time.Second
 )
 
-// markStatusChanged has all owners told what is free.
+// markStatusChanged has the status of the worker sent to all owners.
 func (agent *Agent) markStatusChanged() {
-	for owner := range agent.sessions {
-		owner.statusChanged = true
+	for s := range agent.sessions {
+		s.statusChanged = true
 	}
 }
 
-// sendUpdates sends each owner what it has not been told.
+// sendUpdates sends each owner the message that is due, and closes the sessions of owners that are silent or
+// don't read.
 func (agent *Agent) sendUpdates(now time.Time) {
 	var status *wire.WorkerStatus
-	for owner := range agent.sessions {
-		if now.Sub(owner.lastMessageAt) >= ownerTimeout {
-			agent.log(event.ConnectionSilent, slog.String("peer", owner.ownerName), slog.Duration("unanswered", now.Sub(owner.lastMessageAt)))
-			agent.closeSession(owner)
+	for s := range agent.sessions {
+		if now.Sub(s.lastMessageAt) >= ownerTimeout {
+			agent.log(event.ConnectionSilent, slog.String("peer", s.ownerName), slog.Duration("unanswered", now.Sub(s.lastMessageAt)))
+			agent.closeSession(s)
 			continue
 		}
-		if !agent.isUpdateDue(owner, now) {
+		if !agent.isUpdateDue(s, now) {
 			continue
 		}
 		if status == nil {
-			// Performance: it is the same for all owners, and its tolerances
-			// go over all pairs of images.
+			// The status is built once for all owners, since computing its tolerances goes over all pairs of
+			// images.
 			status = agent.workerStatus(now)
 		}
-		message := agent.nextMessage(owner, status, now)
+		message := agent.nextMessage(s, status, now)
 		select {
-		case owner.outbox <- message:
-			agent.traffic.NoteAgent(agent.ctx, message, owner.isSameDomain)
+		case s.outbox <- message:
+			agent.traffic.NoteAgent(agent.ctx, message, s.isSameDomain)
 		default:
-			// The owner does not read: it is as good as gone. It attaches
-			// anew and is told everything.
-			agent.closeSession(owner)
+			// The owner does not read, so it is considered gone. When it attaches again, it is sent
+			// everything.
+			agent.closeSession(s)
 		}
 	}
 }
 
-// closeSession ends an owner's stream.
-func (agent *Agent) closeSession(owner *session) {
-	owner.isClosed = true
-	delete(agent.sessions, owner)
-	close(owner.closed)
+// closeSession closes the stream of an owner.
+func (agent *Agent) closeSession(s *session) {
+	s.isClosed = true
+	delete(agent.sessions, s)
+	close(s.closed)
 }
 
-func (agent *Agent) isUpdateDue(owner *session, now time.Time) bool {
-	if len(owner.results) > 0 || len(owner.ends) > 0 || owner.fullUpdateDue {
+// isUpdateDue reports whether a message to the owner is due.
+func (agent *Agent) isUpdateDue(s *session, now time.Time) bool {
+	if len(s.results) > 0 || len(s.ends) > 0 || s.fullUpdateDue {
 		return true
 	}
-	since := now.Sub(owner.lastSentAt)
-	if owner.handledSequence > owner.acknowledgedSequence && since >= statusInterval {
-		return true // Only an answer proves to it that the connection is sound.
+	since := now.Sub(s.lastSentAt)
+	if s.handledSequence > s.acknowledgedSequence && since >= statusInterval {
+		return true // Only an acknowledgement shows the owner that the connection works.
 	}
-	if !agent.ownsShard(owner) {
+	if !agent.ownsShard(s) {
 		return since >= idleSendInterval
 	}
-	return since >= statusInterval || owner.statusChanged && since >= statusBatchDelay
+	return since >= statusInterval || s.statusChanged && since >= statusBatchDelay
 }
 
-// ownsShard reports whether an owner has claimed a shard.
-func (agent *Agent) ownsShard(owner *session) bool {
-	for _, held := range agent.claims {
-		if held.session == owner {
+// ownsShard reports whether the session holds the claim of a shard.
+func (agent *Agent) ownsShard(s *session) bool {
+	for _, claim := range agent.claims {
+		if claim.session == s {
 			return true
 		}
 	}
 	return false
 }
 
-func (agent *Agent) nextMessage(owner *session, of *wire.WorkerStatus, now time.Time) *wire.AgentMessage {
+// nextMessage returns the next message to an owner, and records its contents as sent.
+func (agent *Agent) nextMessage(s *session, status *wire.WorkerStatus, now time.Time) *wire.AgentMessage {
 	message := &wire.AgentMessage{
-		UptimeNanos: int64(agent.uptime(now)), Results: owner.results, Ends: owner.ends, Handled: owner.handledSequence,
+		UptimeNanos: int64(agent.uptime(now)), Results: s.results, Ends: s.ends, Handled: s.handledSequence,
 	}
-	if owner.lastSentAt.IsZero() || !owner.acceptsChanges {
+	if s.lastSentAt.IsZero() || !s.acceptsChanges {
 		message.Agent, message.KeepsLearned = agent.agentID, true
 	}
-	if owner.acceptsChanges {
-		owner.statusEncoder.Encode(message, of)
+	if s.acceptsChanges {
+		s.statusEncoder.Encode(message, status)
 	} else {
-		message.Status = of
+		message.Status = status
 	}
-	if owner.fullUpdateDue || now.Sub(owner.runsSentAt) >= runsInterval {
+	if s.fullUpdateDue || now.Sub(s.runsSentAt) >= runsInterval {
 		message.Complete = true
-		message.Runs = agent.runStatuses(owner)
-		if held, found := agent.claims[job.InterferenceShard]; found && held.session == owner {
-			message.Learned = owner.changedEstimates(agent.pacer.localEstimates())
+		message.Runs = agent.runStatuses(s)
+		if claim, found := agent.claims[job.InterferenceShard]; found && claim.session == s {
+			message.Learned = s.changedEstimates(agent.pacer.localEstimates())
 		}
-		owner.runsSentAt = now
+		s.runsSentAt = now
 	}
-	owner.results, owner.ends = nil, nil
-	owner.statusChanged, owner.fullUpdateDue = false, false
-	owner.lastSentAt, owner.acknowledgedSequence = now, owner.handledSequence
+	s.results, s.ends = nil, nil
+	s.statusChanged, s.fullUpdateDue = false, false
+	s.lastSentAt, s.acknowledgedSequence = now, s.handledSequence
 	return message
 }
 
-// runStatuses lists the runs of the owner's shards, and those that nobody owns.
-func (agent *Agent) runStatuses(owner *session) []*wire.RunStatus {
+// runStatuses returns the runs of the owner's shards, and those of shards that no owner has claimed.
+func (agent *Agent) runStatuses(s *session) []*wire.RunStatus {
 	var listed []*wire.RunStatus
 	if agent.worker == nil {
 		return nil
 	}
 	for _, run := range agent.worker.runs {
-		if held, claimed := agent.claims[run.shard]; claimed && held.session != owner {
+		if claim, claimed := agent.claims[run.shard]; claimed && claim.session != s {
 			continue
 		}
 		listed = append(listed, &wire.RunStatus{
@@ -135,6 +138,7 @@
 	return listed
 }
 
+// workerStatus returns the status of the worker for its owners.
 func (agent *Agent) workerStatus(now time.Time) *wire.WorkerStatus {
 	state := agent.worker
 	if state == nil {
