--- a/agent/worker.go
+++ b/agent/worker.go
@@ -8,49 +8,52 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// workerState is what the agent knows of one incarnation.
+// workerState is what the agent knows of one incarnation of the worker.
 type workerState struct {
-	// incarnation names the incarnation, by its answers where its heartbeats don't say when it started.
+	// incarnation identifies the incarnation. If its heartbeats lack the start time, that is taken from its
+	// answers.
 	incarnation incarnation.ID
 	heartbeat   platform.Heartbeat
 	client      *platform.Worker
 	token       int64
-	// isSuperseded is set once another life under the same id has answered: this one is over, and nothing
-	// may be asked in its name any more. What ran on it is told once the next one is taken care of.
+	// isSuperseded is set once another incarnation with the same worker ID has answered. This one is over
+	// then, and no call may be made for it any more. Its runs are reported as ended once the next one is
+	// managed.
 	isSuperseded bool
-	// orderCarriedOver is set where the next life has carried out an order of this one.
+	// orderCarriedOver is set if the next incarnation has carried out an order that was meant for this one.
 	orderCarriedOver bool
 
 	runs map[string]*runState
-	// pendingEnds are those that are not in the store yet, by number.
+	// pendingEnds holds the ends that are not in the store yet, by number.
 	pendingEnds map[int64]*pendingEnd
-	// givenUpRuns are runs that had just begun when the worker did not answer until its lease
-	// had ended; they were told as over, and it is not known yet whether it crashed.
+	// givenUpRuns holds runs that were new when the worker stopped answering, and were given up when its
+	// lease had expired. They were reported as ended, but it is not known yet whether the worker crashed.
 	givenUpRuns []*runState
-	// lastListedEnd is the highest number of an end that was read, seen the number up
-	// to which all are durable and the worker may forget them.
+	// lastListedEnd is the highest number of an end that the worker has listed. storedEnd is the number up to
+	// which all ends are in the store, and the worker may forget them.
 	lastListedEnd int64
 	storedEnd     int64
-	// endNumberOffset is added to the numbers of ends that owners are told; see [initialEndNumberOffset].
+	// endNumberOffset is added to the worker's end numbers to get those that owners are told; see
+	// [initialEndNumberOffset].
 	endNumberOffset int64
-	// storedAhead holds numbers above seen.
+	// storedAhead holds the numbers above storedEnd of ends that are in the store.
 	storedAhead map[int64]bool
 
-	provenAliveAt   time.Time // when the worker lived for certain
-	lastSignAt      time.Time // when the last sign of that was seen
-	runsKnown       bool      // the worker has told what runs under this agent's token
-	runsListedOnce  bool      // it has told so at least once
-	isPolling       bool      // a look is on its way
+	provenAliveAt   time.Time // the last time at which the worker was certainly alive
+	lastSignAt      time.Time // when the last sign of life was noticed
+	runsKnown       bool      // the worker has listed its runs in answer to the present token
+	runsListedOnce  bool      // the worker has listed its runs to this agent at least once
+	isPolling       bool      // a poll has not been answered yet
 	pollAt          time.Time
 	pollFailures    int
-	clock           time.Duration // the worker's clock when clockAt was read
+	clock           time.Duration // the last reading of the worker's clock, taken before clockReadAt
 	clockReadAt     time.Time
-	leaseOverBy     time.Time // when everything has ended if no lease is renewed
-	leavesAt        time.Time // when a draining worker may be gone; zero while not known
-	unsettledStarts int       // starts without an answer, to be settled by the next look
+	leaseOverBy     time.Time // when all runs have certainly ended if the lease is not renewed
+	leavesAt        time.Time // when a draining worker may leave, zero while not known
+	unsettledStarts int       // starts without an answer, which the next poll settles
 }
 
-// runState is one run on the worker.
+// runState is what the agent knows of one run on the worker.
 type runState struct {
 	task            string
 	attempt         int32
@@ -60,28 +63,29 @@
 	progressPercent int32
 	reading         int64
 	phase           runPhase
-	pacePercent     int32     // percent that the worker was last told, of a run that fills
-	paceUnknown     bool      // an earlier agent may have told another pace
-	paceRaisedAt    time.Time // when the pace last rose
-	slowedSince     time.Time // when the pace fell below slowedPercent, zero while above
-	confirmedAt     time.Time
-	startSentAt     time.Time // when the start was first sent, or the run found
-	// sessionID is the owner's on which the start was ordered, 0 for a run that was found.
+	pacePercent     int32     // pace that the worker was last sent, for a filling run
+	paceUnknown     bool      // an earlier agent may have sent another pace
+	paceRaisedAt    time.Time // when the pace was last raised
+	slowedSince     time.Time // when the pace fell below slowedPercent, zero while it is not below
+	confirmedAt     time.Time // when the worker answered the start or first listed the run
+	startSentAt     time.Time // when the start was first sent, or the run adopted
+	// sessionID is the session on which the start was ordered, 0 for an adopted run.
 	sessionID int64
-	// fromScratch is set for a run that began without a checkpoint: worked is then the time, at
-	// full speed, that it took for its progress up to workedAt.
+	// fromScratch is set for a run that started without a checkpoint. workDone is then the time, at full
+	// speed, that the run has needed for its progress until workUpdatedAt.
 	fromScratch   bool
 	workDone      time.Duration
 	workUpdatedAt time.Time
 	stopSentAt    time.Time
-	// adopted is set for a run that an agent that has just started found on its worker, suspect
-	// for one whose task a worker may have crashed for before.
+	// adopted is set for a run that the agent found on the worker without having ordered it, isSuspect for
+	// one whose task may have crashed a worker before.
 	adopted           bool
 	isSuspect         bool
-	targetMissedSince time.Time // when a serving run began to miss its target, zero while it keeps it
+	targetMissedSince time.Time // when a serving run began to miss its target, zero while it meets it
 	missedPolls       int
 }
 
+// runPhase is the phase that a run on the worker is in.
 type runPhase int
 
 const (
@@ -91,20 +95,20 @@
 	phaseStopping
 )
 
-// maxRunWithoutAgent is for how long a worker may run on at most by this process's clock, also if an agent
-// before this one renewed its lease last.
+// maxRunWithoutAgent is the longest time, on this process's clock, for which a worker runs on without its
+// agent, even if an earlier agent process renewed its lease last.
 const maxRunWithoutAgent = time.Duration(float64(leaseDuration) * (1 + maxClockDrift))
 
-func newWorkerState(beat platform.Heartbeat, calls *platform.Worker, after predecessor, now time.Time) *workerState {
+// newWorkerState returns the state of an incarnation of which only a heartbeat is known.
+func newWorkerState(beat platform.Heartbeat, client *platform.Worker, previous predecessor, now time.Time) *workerState {
 	return &workerState{
-		incarnation: beat.Incarnation, heartbeat: beat, client: calls, token: after.token, endNumberOffset: after.lastEndNumber,
+		incarnation: beat.Incarnation, heartbeat: beat, client: client, token: previous.token, endNumberOffset: previous.lastEndNumber,
 		runs: map[string]*runState{}, pendingEnds: map[int64]*pendingEnd{}, storedAhead: map[int64]bool{},
 		clockReadAt: now, leaseOverBy: now.Add(maxRunWithoutAgent), provenAliveAt: now, lastSignAt: now,
 	}
 }
 
-// knowsDemands reports whether the demand of every run is known, without which
-// room can't be judged.
+// knowsDemands reports whether the demand of every run is known. Otherwise the free resources are not.
 func (state *workerState) knowsDemands() bool {
 	for _, run := range state.runs {
 		if run.demand == nil {
@@ -114,12 +118,13 @@
 	return true
 }
 
-// knowsAllRuns reports whether the agent knows all that runs: the worker has listed it since the agent is there, or
-// whatever an agent before had started must have lapsed.
+// knowsAllRuns reports whether the agent knows all runs of the worker: the worker has listed them to this
+// agent, or the lease of everything that an earlier agent has started has certainly expired.
 func (state *workerState) knowsAllRuns(now time.Time) bool {
 	return state.runsListedOnce || !now.Before(state.leaseOverBy)
 }
 
+// isReady reports whether the worker can take starts: it answers, and its runs and their demands are known.
 func (state *workerState) isReady() bool {
 	return state.runsKnown && !state.isSuperseded && state.pollFailures == 0 && state.knowsDemands()
 }
