--- a/agent/agent.go
+++ b/agent/agent.go
@@ -13,8 +13,8 @@
 // # Orders without an answer
 //
 // A start that gets no answer may take effect seconds later. The agent then raises its fencing token and asks
-// the worker for its runs. The worker refuses lower tokens from then on, so that its answer tells for good
-// whether the run has started.
+// the worker for its runs. The worker refuses lower tokens from then on, so its answer settles whether the
+// run has started.
 //
 // # Worker restarts
 //
@@ -25,9 +25,9 @@
 //
 // # Eviction, pre-emption and draining
 //
-// Filling runs are slowed while they interfere with serving ones, and evicted where they would have to be
-// slowed too much. Less urgent runs are pre-empted for a task that its owner finds no room for. A run is
-// pre-empted only if it resumes elsewhere from a checkpoint, and evicted only if it does so or has made limited
+// Fill runs are slowed while they interfere with serving runs, and evicted where they would have to be slowed
+// too much. Less urgent runs are pre-empted for a task that its owner finds no room for. A run is pre-empted
+// only if it resumes elsewhere from a checkpoint, and evicted only if it does so or has made limited
 // progress. Runs that would not end before a draining worker leaves are stopped in time, whether they have a
 // checkpoint or not: they would be lost with the worker.
 //
@@ -35,15 +35,15 @@
 //
 // When a worker has crashed, the runs that had just started are suspected of having caused it, and are
 // reported as suspects. Runs that have survived their start are not. A worker is given a suspected task only
-// while no other one has just started there, which tells the task that causes crashes from those that happened
-// to start at the same time.
+// while no other one has just started there, which tells the task that causes crashes from those that
+// happened to start at the same time.
 //
 // # Evacuated failure domains
 //
 // The agent makes the last check before its worker is given anything. With each order, owners send which
-// failure domains operators have evacuated, and as of what time on the agent's clock they know that. The agent
-// refuses the order if this information is too old: if an evacuation had been requested right afterwards, the
-// run might start later than the evacuation deadline allows.
+// failure domains operators have evacuated, and as of what time on the agent's clock they know that. The
+// agent refuses the order if this information is too old: if an evacuation had been requested right
+// afterwards, the run might start later than the evacuation deadline allows.
 //
 // # Usage
 //
@@ -128,7 +128,7 @@
 	// the evacuated failure domain.
 	EvacuationDeadline time.Duration
 	// Connect returns a client for one incarnation of the worker.
-	Connect func(address string, of incarnation.ID) *platform.Worker
+	Connect func(address string, id incarnation.ID) *platform.Worker
 	// MaxLease is the longest lease that the worker accepts; it shortens a longer one to that.
 	MaxLease time.Duration
 	Clock    clockwork.Clock
