--- a/agent/worker.go
+++ b/agent/worker.go
@@ -63,7 +63,7 @@
 	progressPercent int32
 	reading         int64
 	phase           runPhase
-	pacePercent     int32     // pace that the worker was last sent, for a filling run
+	pacePercent     int32     // pace that the worker was last sent, for a fill run
 	paceUnknown     bool      // an earlier agent may have sent another pace
 	paceRaisedAt    time.Time // when the pace was last raised
 	slowedSince     time.Time // when the pace fell below slowedPercent, zero while it is not below
