--- a/agent/crash_test.go
+++ b/agent/crash_test.go
@@ -11,10 +11,10 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// waitForEnd waits for the last word on the task's run.
+// waitForEnd waits until the owner is sent an end with the given reason, and returns it.
 func (h *harness) waitForEnd(owner *ownerStream, reason wire.EndReason) *wire.RunEnd {
 	h.t.Helper()
-	told := func() *wire.RunEnd {
+	find := func() *wire.RunEnd {
 		message := owner.lastMatching(func(message *wire.AgentMessage) bool {
 			return len(message.GetEnds()) > 0 && message.GetEnds()[0].GetReason() == reason
 		})
@@ -23,17 +23,17 @@
 		}
 		return message.GetEnds()[0]
 	}
-	h.waitFor(func() bool { return told() != nil })
-	return told()
+	h.waitFor(func() bool { return find() != nil })
+	return find()
 }
 
-// crashWorker has the worker answer nothing any more.
+// crashWorker closes all connections to the worker and lets it answer no more calls.
 func (h *harness) crashWorker() {
 	h.worker.Fail(func(string) wireworker.Fault { return wireworker.FaultReset })
 	h.server.CloseClientConnections()
 }
 
-// replaceWorker has another incarnation stand in its place and send a heartbeat.
+// replaceWorker starts a worker with another ID in place of the first one, and sends its heartbeat.
 func (h *harness) replaceWorker() {
 	beat := h.firstHeartbeat()
 	beat.Incarnation = incarnation.New("i-2", 0)
@@ -46,37 +46,37 @@
 	h.agent.Beat(beat)
 }
 
-// TestCrashIsReported: a run that had just begun when its worker crashed may be why, one that had
-// outlived its start is not, nor one whose worker left.
+// TestCrashIsReported checks which runs are reported as possible causes when their worker crashes: those that
+// are new, but neither one that has survived its start nor one whose worker has left.
 func TestCrashIsReported(t *testing.T) {
 	tests := map[string]struct {
 		end    func(h *harness, owner *ownerStream)
 		want   wire.EndReason
 		proven bool
 	}{
-		"just begun": {func(h *harness, _ *ownerStream) {
+		"new run": {func(h *harness, _ *ownerStream) {
 			h.crashWorker()
 			h.advance(time.Second)
 			h.replaceWorker()
 		}, wire.EndReason_END_CRASHED, false},
-		"back only after the lease": {func(h *harness, owner *ownerStream) {
+		"new run, worker replaced after its lease has expired": {func(h *harness, owner *ownerStream) {
 			h.crashWorker()
 			h.waitForEnd(owner, wire.EndReason_END_LOST)
 			h.replaceWorker()
 		}, wire.EndReason_END_CRASHED, false},
-		"at work for a while, with nothing answered since": {func(h *harness, _ *ownerStream) {
+		"older run, no answer since its start": {func(h *harness, _ *ownerStream) {
 			h.advance(400 * time.Millisecond)
 			h.crashWorker()
 			h.advance(time.Second)
 			h.replaceWorker()
 		}, wire.EndReason_END_LOST, false},
-		"outlived its start": {func(h *harness, _ *ownerStream) {
+		"run that survived its start": {func(h *harness, _ *ownerStream) {
 			h.advance(3 * time.Second)
 			h.crashWorker()
 			h.advance(time.Second)
 			h.replaceWorker()
 		}, wire.EndReason_END_LOST, true},
-		"its worker left": {func(h *harness, owner *ownerStream) { h.agent.Left(workerID) }, wire.EndReason_END_LOST, false},
+		"worker left": {func(h *harness, owner *ownerStream) { h.agent.Left(workerID) }, wire.EndReason_END_LOST, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -85,14 +85,14 @@
 			test.end(h, owner)
 			end := h.waitForEnd(owner, test.want)
 			if end.GetProven() != test.proven {
-				t.Errorf("outlived its start: %v", end.GetProven())
+				t.Errorf("end is marked as proven: %v", end.GetProven())
 			}
 		})
 	}
 }
 
-// TestSilenceIsNoCrash: a worker that did not answer until its lease had ended, and then goes
-// on, has not crashed.
+// TestSilenceIsNoCrash checks that a worker which does not answer until its lease has expired, and then
+// answers again, is not considered crashed.
 func TestSilenceIsNoCrash(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 1000})
@@ -105,17 +105,17 @@
 	h.replaceWorker()
 	h.advance(time.Second)
 	if end := owner.firstEnd(); end.GetReason() != wire.EndReason_END_LOST {
-		t.Errorf("told %v", end.GetReason())
+		t.Errorf("the run was reported as %v", end.GetReason())
 	}
 	if owner.lastMatching(func(message *wire.AgentMessage) bool {
 		return len(message.GetEnds()) > 0 && message.GetEnds()[0].GetReason() == wire.EndReason_END_CRASHED
 	}) != nil {
-		t.Error("told as crashed")
+		t.Error("the run was reported as crashed")
 	}
 }
 
-// TestSuspectsAreStartedApart: of two suspects on one worker the second waits until the first
-// has outlived its start, other runs don't.
+// TestSuspectsAreStartedApart checks that a suspected task is refused while the run of another one on the
+// same worker is new, and that other tasks are not.
 func TestSuspectsAreStartedApart(t *testing.T) {
 	const other = "0123456789abcdef.0.0.1"
 	tests := map[string]struct {
@@ -125,7 +125,7 @@
 	}{
 		"another suspect at once": {true, 0, wire.StartOutcome_START_SUSPECT},
 		"another suspect later":   {true, time.Second, wire.StartOutcome_START_STARTED},
-		"any other run":           {false, 0, wire.StartOutcome_START_STARTED},
+		"not a suspect":           {false, 0, wire.StartOutcome_START_STARTED},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -139,28 +139,22 @@
 			second := newStartOrder(1)
 			second.Task, second.Suspect = other, test.suspect
 			owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{second}})
-			told := func(message *wire.AgentMessage) bool {
+			matches := func(message *wire.AgentMessage) bool {
 				return len(message.GetResults()) > 0 && message.GetResults()[0].GetTask() == other
 			}
-			h.waitFor(func() bool { return owner.lastMatching(told) != nil })
-			if got := owner.lastMatching(told).GetResults()[0].GetOutcome(); got != test.want {
-				t.Errorf("told %v", got)
+			h.waitFor(func() bool { return owner.lastMatching(matches) != nil })
+			if got := owner.lastMatching(matches).GetResults()[0].GetOutcome(); got != test.want {
+				t.Errorf("the start was answered %v", got)
 			}
 		})
 	}
 }
 
-// TestCrashBesideSuspectIsReported is a failure that showed on a day on which a tenth of the tasks
-// brought their workers down: two of them were started seven and eight times, and each time the
-// worker was gone 10 ms later.
-//
-// The order of events: a task that is suspected starts on a worker, and within a quarter of a second
-// another one that brings workers down too. The worker crashes. The agent names the suspected run
-// only, so that the crash of the other one counts for nothing; as long as others are suspected
-// before it, that goes on.
-//
-// The evidence: by the logs these runs were told as lost though they had lived for 12 and 27 ms, and a
-// run that was suspected before had begun on the same worker.
+// TestCrashBesideSuspectIsReported has a worker crash on which two runs are new: one of a suspected task, and
+// one of another task. Both must be reported. When the agent reported only the suspect, the crash did not
+// count for the other task. If that was the one that crashed workers, it was started again, as long as it was
+// started beside suspects: two such tasks were started seven and eight times, and their workers crashed 10 ms
+// later each time.
 func TestCrashBesideSuspectIsReported(t *testing.T) {
 	const other = "0123456789abcdef.0.0.1"
 	h := newHarness(t)
@@ -176,18 +170,18 @@
 	h.advance(time.Second)
 	h.replaceWorker()
 	h.advance(time.Second)
-	told := map[string]wire.EndReason{}
+	reasons := map[string]wire.EndReason{}
 	owner.mu.Lock()
 	for _, message := range owner.received {
 		for _, end := range message.GetEnds() {
-			told[end.GetTask()] = end.GetReason()
+			reasons[end.GetTask()] = end.GetReason()
 		}
 	}
 	owner.mu.Unlock()
-	if told[testTask] != wire.EndReason_END_CRASHED {
-		t.Errorf("the suspect was told as %v", told[testTask])
+	if reasons[testTask] != wire.EndReason_END_CRASHED {
+		t.Errorf("the suspect was reported as %v", reasons[testTask])
 	}
-	if told[other] != wire.EndReason_END_CRASHED_BESIDE {
-		t.Errorf("the run that had begun beside it was told as %v", told[other])
+	if reasons[other] != wire.EndReason_END_CRASHED_BESIDE {
+		t.Errorf("the new run beside it was reported as %v", reasons[other])
 	}
 }
