--- a/agent/drain_test.go
+++ b/agent/drain_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestRunsStopBeforeWorkerLeaves: a run that would not end before its worker is gone
-// is stopped in time to go on elsewhere, and not before.
+// TestRunsStopBeforeWorkerLeaves checks that a run which would not end before its worker leaves is stopped in
+// time to resume elsewhere, and not earlier.
 func TestRunsStopBeforeWorkerLeaves(t *testing.T) {
 	tests := map[string]struct {
 		remaining time.Duration
@@ -19,11 +19,11 @@
 	}{
 		"not yet":       {5 * time.Second, 10, &wire.Demand{MilliCpu: 1000}, 3 * time.Second, true},
 		"would not end": {5 * time.Second, 10, &wire.Demand{MilliCpu: 1000}, 4500 * time.Millisecond, false},
-		// At 95% the last quarter second of the notice would decide, and the clock of the test may run on by some
-		// tenths while a start is awaited.
-		"is about to end":      {5 * time.Second, 97, &wire.Demand{MilliCpu: 1000}, 4500 * time.Millisecond, true},
-		"lasts":                {5 * time.Second, 100, &wire.Demand{MilliCpu: 1000, Lasting: true}, 4500 * time.Millisecond, false},
-		"says nothing of time": {0, 10, &wire.Demand{MilliCpu: 1000}, 6 * time.Second, true},
+		// At 95%, it would depend on the last quarter of a second, while the test's clock may advance by some
+		// tenths of a second until the start is answered.
+		"is about to end":   {5 * time.Second, 97, &wire.Demand{MilliCpu: 1000}, 4500 * time.Millisecond, true},
+		"long-running":      {5 * time.Second, 100, &wire.Demand{MilliCpu: 1000, Lasting: true}, 4500 * time.Millisecond, false},
+		"no remaining time": {0, 10, &wire.Demand{MilliCpu: 1000}, 6 * time.Second, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -33,26 +33,26 @@
 			h.sendDrainNotice(test.remaining)
 			h.advance(test.after)
 			if runs := h.isRunning(); runs != test.runs {
-				t.Errorf("it runs: %v", runs)
+				t.Errorf("the run goes on: %v", runs)
 			}
 		})
 	}
 }
 
-// TestCancelledDrain: a notice that was taken back counts no more, also when
-// the worker drains again without saying for how long it stays.
+// TestCancelledDrain checks that the remaining time of a cancelled drain has no effect, even if the worker
+// drains again without a remaining time.
 func TestCancelledDrain(t *testing.T) {
 	h := newHarness(t)
 	h.attachOwnerWithRun(newStartOrder(1).GetDemand())
 	h.sendDrainNotice(5 * time.Second)
-	stays := h.firstHeartbeat()
-	stays.Sequence = 3
-	h.agent.Beat(stays)
-	drains := h.firstHeartbeat()
-	drains.Sequence, drains.Draining = 4, true
-	h.agent.Beat(drains)
+	cancelled := h.firstHeartbeat()
+	cancelled.Sequence = 3
+	h.agent.Beat(cancelled)
+	draining := h.firstHeartbeat()
+	draining.Sequence, draining.Draining = 4, true
+	h.agent.Beat(draining)
 	h.advance(6 * time.Second)
 	if !h.isRunning() {
-		t.Error("it was stopped for the first notice")
+		t.Error("the run was stopped for the cancelled drain")
 	}
 }
