--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// otherJob is a job of another shard.
+	// otherJob is a job whose shard is not testShard.
 	otherJob  = "fedcba9876543210"
 	otherTask = otherJob + ".0.0.0"
 )
 
-// TestPendingEndLimitsLease has an owner go silent that was not told yet that a run of it is done,
-// while another owner has a run on the same worker. Once the grant is over the silent one takes
-// the run for over and starts its task elsewhere; the end must not count any more by then, whoever
-// says later that it is in the store. (The story is told at owner.TestPartitionedTaskCompletesOnce.)
+// TestPendingEndLimitsLease lets an owner go silent before it is told that its run is done, while another
+// owner has a run on the same worker. Once its grant is over, the silent owner considers the run lost and
+// starts the task elsewhere. The end must not count from then on, whoever confirms later that it is in the
+// store. For the whole sequence of events see owner.TestPartitionedTaskCompletesOnce.
 func TestPendingEndLimitsLease(t *testing.T) {
 	otherShard := int32(job.ShardOf(otherJob, shardCount))
 	if otherShard == testShard {
-		t.Fatal("both jobs are of one shard")
+		t.Fatal("both jobs belong to the same shard")
 	}
 	h := newHarness(t)
-	noted := make(chan wireworker.Change, 8)
+	confirmed := make(chan wireworker.Change, 8)
 	h.worker.Watch(func(change wireworker.Change) {
 		if change.Kind == wireworker.Noted {
-			noted <- change
+			confirmed <- change
 		}
 	})
 	owner := h.attachReadyOwner(1)
@@ -38,9 +38,9 @@
 		Owner: "edge-2", Owned: true, Shards: []*wire.ShardEpoch{{Shard: otherShard, Epoch: 1}}, GrantUntilNanos: int64(time.Hour),
 	})
 	h.mustStart(owner, newStartOrder(1))
-	beside := newStartOrder(1)
-	beside.Task, beside.Shard = otherTask, otherShard
-	other.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{beside}})
+	order := newStartOrder(1)
+	order.Task, order.Shard = otherTask, otherShard
+	other.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{order}})
 	h.waitFor(func() bool { _, runs := h.worker.Running(otherTask); return runs })
 
 	h.worker.End(testTask, "done")
@@ -49,45 +49,45 @@
 		h.advance(2 * time.Second)
 		other.send(&wire.OwnerMessage{})
 	}
-	again := h.attachOwner(2)
-	h.waitFor(func() bool { return again.firstEnd() != nil })
-	again.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: again.firstEnd().GetNumber()}}})
+	nextOwner := h.attachOwner(2)
+	h.waitFor(func() bool { return nextOwner.firstEnd() != nil })
+	nextOwner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: nextOwner.firstEnd().GetNumber()}}})
 	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen >= 1 })
 	select {
-	case change := <-noted:
+	case change := <-confirmed:
 		if change.Task == testTask {
-			t.Fatalf("run %d of %s was noted as %s after its owner's grant", change.Attempt, change.Task, change.How)
+			t.Fatalf("run %d of %s was confirmed as %s after its owner's grant was over", change.Attempt, change.Task, change.How)
 		}
 	default:
 	}
 }
 
-// TestRunsBeyondEndListLimitAreNotLost has more runs end at once than a worker lists: those that are neither listed as
-// running nor among the ends are not lost, their ends come once the first are in the store.
+// TestRunsBeyondEndListLimitAreNotLost has more runs end at once than a worker lists ends. Runs that it lists
+// neither as running nor as ended are not lost: their ends are listed once the first ones are in the store.
 func TestRunsBeyondEndListLimitAreNotLost(t *testing.T) {
-	const many = platform.EndsListedMost + 20
+	const runCount = platform.EndsListedMost + 20
 	h := newHarness(t)
-	name := func(index int) string { return fmt.Sprintf("%s.0.0.%d", otherJob, index) }
-	for index := range many {
-		h.worker.Put(name(index), 1, time.Hour)
+	taskName := func(i int) string { return fmt.Sprintf("%s.0.0.%d", otherJob, i) }
+	for i := range runCount {
+		h.worker.Put(taskName(i), 1, time.Hour)
 	}
 	h.sendHeartbeat()
 	owner := h.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: int32(job.ShardOf(otherJob, shardCount)), Epoch: 1}}, GrantUntilNanos: int64(time.Hour),
 	})
-	lists := func(message *wire.AgentMessage) bool { return len(message.GetRuns()) == many }
-	h.waitFor(func() bool { return owner.lastMatching(lists) != nil })
-	for index := range many {
-		h.worker.End(name(index), "done")
+	listsAll := func(message *wire.AgentMessage) bool { return len(message.GetRuns()) == runCount }
+	h.waitFor(func() bool { return owner.lastMatching(listsAll) != nil })
+	for i := range runCount {
+		h.worker.End(taskName(i), "done")
 	}
 	h.advance(3 * time.Second)
 	lost, done := owner.countEnds(wire.EndReason_END_LOST), owner.countEnds(wire.EndReason_END_DONE)
 	if lost > 0 || done == 0 {
-		t.Errorf("%d runs told as lost, %d as done", lost, done)
+		t.Errorf("%d runs were reported as lost, %d as done", lost, done)
 	}
 }
 
-// countEnds counts the ends that were told with a reason.
+// countEnds returns the number of ends with the given reason that the owner was sent.
 func (owner *ownerStream) countEnds(reason wire.EndReason) int {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
