--- a/agent/owner_timeout_test.go
+++ b/agent/owner_timeout_test.go
@@ -7,15 +7,15 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestSilentOwnerIsDisconnected: the stream of an owner that has not spoken for long ends, and
-// a message of it that comes late does not bring it back. The case that forced the second
-// part is a stream that was dropped twice, which ended the process.
+// TestSilentOwnerIsDisconnected checks that the stream of an owner that is silent for too long is closed, and
+// that a late message on it does not bring the session back. If it does, the session is closed a second time,
+// which crashes the agent.
 func TestSilentOwnerIsDisconnected(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachReadyOwner(1)
-	ended := make(chan error, 1)
+	closed := make(chan error, 1)
 	second := &ownerStream{in: make(chan *wire.OwnerMessage, 64), ctx: h.ctx}
-	go func() { ended <- h.agent.Attach(second) }()
+	go func() { closed <- h.agent.Attach(second) }()
 	second.send(&wire.OwnerMessage{Owner: "edge-2"})
 	h.waitFor(func() bool {
 		return second.lastMatching(func(*wire.AgentMessage) bool { return true }) != nil
@@ -23,9 +23,9 @@
 	h.waitFor(func() bool {
 		owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 		select {
-		case err := <-ended:
+		case err := <-closed:
 			if err != nil {
-				t.Errorf("ended with %v", err)
+				t.Errorf("the stream was closed with %v", err)
 			}
 			return true
 		default:
@@ -33,7 +33,7 @@
 		}
 	})
 	second.send(&wire.OwnerMessage{Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard + 1, Epoch: 9}}})
-	// Long enough for the outbox of a stream that nobody reads to fill.
+	// This is long enough to fill the outbox of a stream that nobody reads.
 	for range 60 {
 		h.advance(time.Second)
 		owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
@@ -41,20 +41,20 @@
 	h.mustStart(owner, newStartOrder(1))
 }
 
-// TestEveryOwnerIsAcknowledged: also one that owns nothing is told soon that its message was
-// handled; by that it knows that its connection is sound.
+// TestEveryOwnerIsAcknowledged checks that the messages of an owner without shards are soon acknowledged too,
+// which shows it that the connection works.
 func TestEveryOwnerIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
 	owner := h.connectOwner(&wire.OwnerMessage{Owner: "edge-2"})
 	for range 4 {
 		h.advance(time.Second)
 		owner.send(&wire.OwnerMessage{})
-		told := h.clock.Now()
+		sentAt := h.clock.Now()
 		h.waitFor(func() bool {
 			return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetHandled() >= owner.sequence }) != nil
 		})
-		if took := h.clock.Now().Sub(told); took > time.Second {
-			t.Errorf("answered after %v", took)
+		if took := h.clock.Now().Sub(sentAt); took > time.Second {
+			t.Errorf("acknowledged after %v", took)
 		}
 	}
 }
