--- a/agent/replaced_connection_test.go
+++ b/agent/replaced_connection_test.go
@@ -7,17 +7,18 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// The story. An owner gave a connection up that its agent did not answer on, made another one and
-// claimed its shards there. The agent did not have a run whose order was still held up on the old
-// connection, and said so; the owner started the task elsewhere. Then the old connection carried
-// again, within the 5 s for which an agent keeps a silent one: the order was taken too, since it
-// named the shard's present epoch, and the task ran twice. On one core the older connection was
-// always read first.
+// The tests of this file guard against a task that runs twice because an order arrives late on a connection
+// that its owner has replaced. The owner gives up a connection on which the agent does not answer, opens another
+// one and claims its shards there. The agent truthfully reports that it does not have the run, whose order is
+// delayed on the old connection, and the owner starts the task elsewhere. The old connection may work again
+// within the 5 s for which an agent keeps a silent one. Unless the agent has closed it, the order is then
+// carried out too, since it has the present epoch of the shard.
 //
-// The evidence: in logs of real processes an agent took the order ("order taken") on connection 1,
-// 0.4 ms before its owner, attached by a newer one, found the run "not listed by its agent".
+// In one case, the agent accepted the order 0.4 ms before the owner found, on the newer connection, that the
+// run was not listed. On a single core, the older connection was always read first.
 
-// connectOwnerAs opens the nth connection of an owner, which claims the shard and grants it time.
+// connectOwnerAs opens the connection of an owner with the given number, claims the shard on it and grants it
+// time.
 func (h *harness) connectOwnerAs(number int64) *ownerStream {
 	return h.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard, Epoch: 1}},
@@ -25,7 +26,7 @@
 	})
 }
 
-// waitWorkerReady has the worker send a heartbeat and waits until an owner is told that it is ready.
+// waitWorkerReady sends a heartbeat of the worker and waits until the owner is told that the worker is ready.
 func (h *harness) waitWorkerReady(owner *ownerStream) {
 	h.sendHeartbeat()
 	h.waitFor(func() bool {
@@ -41,12 +42,12 @@
 	older.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{newStartOrder(1)}})
 	h.advance(time.Second)
 	if h.isRunning() {
-		t.Fatal("a start that came on an older connection was carried out")
+		t.Fatal("a start order on a replaced connection was carried out")
 	}
 }
 
-// TestLateClaimOnReplacedConnection has the claim on the older connection come after that on the
-// newer one, which is the one that its owner reads.
+// TestLateClaimOnReplacedConnection has the claim on the older connection arrive after that on the newer one,
+// which is the one that its owner reads.
 func TestLateClaimOnReplacedConnection(t *testing.T) {
 	h := newHarness(t)
 	newer := h.connectOwnerAs(2)
@@ -60,21 +61,21 @@
 	lists := func(message *wire.AgentMessage) bool { return message.GetComplete() }
 	h.waitFor(func() bool { return newer.lastMatching(lists) != nil })
 	if got := len(newer.lastMatching(lists).GetRuns()); got != 1 {
-		t.Errorf("the newer connection is told of %d runs, want 1", got)
+		t.Errorf("%d runs were listed on the newer connection, want 1", got)
 	}
 	h.worker.End(testTask, "done")
 	h.advance(time.Second)
 	if newer.firstEnd() == nil {
-		t.Error("the newer connection is not told the end of the run")
+		t.Error("the end of the run was not sent on the newer connection")
 	}
 }
 
-// TestReplacedConnectionStopsNothing has what would stop a run come on the older connection once the newer
-// one has claimed the shard.
+// TestReplacedConnectionStopsNothing sends orders that would stop a run on the older connection, after the
+// newer one has claimed the shard.
 func TestReplacedConnectionStopsNothing(t *testing.T) {
 	tests := map[string]*wire.OwnerMessage{
-		"a stop": {Stops: []*wire.StopOrder{{Shard: testShard, Epoch: 1, Task: testTask, Attempt: 1, Worker: workerID}}},
-		"a pre-emption": {Preempts: []*wire.PreemptOrder{{
+		"stop": {Stops: []*wire.StopOrder{{Shard: testShard, Epoch: 1, Task: testTask, Attempt: 1, Worker: workerID}}},
+		"pre-emption": {Preempts: []*wire.PreemptOrder{{
 			Shard: testShard, Epoch: 1, Worker: workerID, Demand: &wire.Demand{MilliCpu: 4000, MemoryMb: 1000},
 		}}},
 	}
@@ -90,7 +91,7 @@
 			older.send(late)
 			h.advance(time.Second)
 			if !h.isRunning() {
-				t.Error("the run was stopped by what came on an older connection")
+				t.Error("the run was stopped by an order on a replaced connection")
 			}
 		})
 	}
