--- a/agent/session_test.go
+++ b/agent/session_test.go
@@ -6,13 +6,13 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestHigherEpochReplacesOwner: once a later owner has claimed the shard, the earlier
-// one's orders have no effect.
+// TestHigherEpochReplacesOwner checks that an owner's orders have no effect once a later owner has claimed
+// the shard.
 func TestHigherEpochReplacesOwner(t *testing.T) {
 	h := newHarness(t)
-	before := h.attachReadyOwner(1)
+	earlier := h.attachReadyOwner(1)
 	h.attachOwner(2)
-	if got := h.orderStart(before, newStartOrder(1)); got != wire.StartOutcome_START_STALE {
-		t.Errorf("told %v", got)
+	if got := h.orderStart(earlier, newStartOrder(1)); got != wire.StartOutcome_START_STALE {
+		t.Errorf("the start was answered %v", got)
 	}
 }
