--- a/agent/status_test.go
+++ b/agent/status_test.go
@@ -7,26 +7,26 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestOwnerReceivesStatusChanges: an owner that takes changes is told the whole state once,
-// and knows the room by what has changed since.
+// TestOwnerReceivesStatusChanges checks that an owner which accepts changes is sent the full status once, and
+// learns of free resources from the changes that follow.
 func TestOwnerReceivesStatusChanges(t *testing.T) {
 	h := newHarness(t)
 	h.sendHeartbeat()
 	owner := h.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-1", TakesChanges: true, Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard, Epoch: 1}}, GrantUntilNanos: int64(grantDuration),
 	})
-	heard := status.NewDecoder()
+	decoder := status.NewDecoder()
 	next := 0
-	follow := func() *wire.WorkerStatus {
+	decode := func() *wire.WorkerStatus {
 		owner.mu.Lock()
 		defer owner.mu.Unlock()
 		for ; next < len(owner.received); next++ {
-			heard.Apply(owner.received[next])
+			decoder.Apply(owner.received[next])
 		}
-		return heard.Status()
+		return decoder.Status()
 	}
-	h.waitFor(func() bool { return follow().GetReady() })
-	wholes := func() int {
+	h.waitFor(func() bool { return decode().GetReady() })
+	countFull := func() int {
 		owner.mu.Lock()
 		defer owner.mu.Unlock()
 		count := 0
@@ -37,15 +37,15 @@
 		}
 		return count
 	}
-	before := wholes()
+	before := countFull()
 	h.mustStart(owner, newStartOrder(1))
-	h.waitFor(func() bool { return follow().GetFreeMilliCpu() == 3000 })
+	h.waitFor(func() bool { return decode().GetFreeMilliCpu() == 3000 })
 	h.worker.End(testTask, "done")
-	h.waitFor(func() bool { return follow().GetFreeMilliCpu() == 4000 })
-	if after := wholes(); after != before {
-		t.Errorf("%d whole states were told where the room changed", after-before)
+	h.waitFor(func() bool { return decode().GetFreeMilliCpu() == 4000 })
+	if after := countFull(); after != before {
+		t.Errorf("the full status was sent %d times for changes of the free resources", after-before)
 	}
 	if owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetAgent() != "" && message.GetKeepsLearned() }) == nil {
-		t.Error("the agent did not say who it is and what it keeps")
+		t.Error("the agent did not send its ID and that it keeps estimates")
 	}
 }
