--- a/agent/successor_test.go
+++ b/agent/successor_test.go
@@ -9,16 +9,16 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestHeartbeatOrder: the incarnation that stands at the address is taken care of, in whatever
-// order the heartbeats arrive, after a restart of the agent too. A heartbeat may be held
-// up until another incarnation has taken the place of the one that sent it.
+// TestHeartbeatOrder checks that the agent manages the incarnation at the worker's address, in whatever order
+// heartbeats arrive, also after a restart of the agent. A heartbeat may be delayed until its sender has been
+// replaced by another incarnation.
 func TestHeartbeatOrder(t *testing.T) {
 	const earlier = "i-0"
 	tests := map[string][]string{
-		"the present one alone":     {workerID},
-		"the earlier one first":     {earlier, workerID},
-		"the earlier one late":      {workerID, earlier},
-		"the earlier one and again": {workerID, earlier, workerID, earlier, earlier},
+		"present only":               {workerID},
+		"earlier first":              {earlier, workerID},
+		"earlier delayed":            {workerID, earlier},
+		"earlier delayed repeatedly": {workerID, earlier, workerID, earlier, earlier},
 	}
 	for name, order := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 			})
 			h.advance(time.Second)
 			if last := owner.lastMatching(func(*wire.AgentMessage) bool { return true }); last.GetStatus().GetWorker() != workerID {
-				t.Errorf("takes care of %q", last.GetStatus().GetWorker())
+				t.Errorf("the agent manages %q", last.GetStatus().GetWorker())
 			}
 			if !h.isRunning() {
 				t.Error("the run of the present incarnation is gone")
@@ -47,15 +47,14 @@
 	}
 }
 
-// TestSuccessorTakesOverOnce: the answer to whether an incarnation is the present one may
-// come after it has been taken care of for another reason. The case that forced it: the
-// answer ended the very incarnation that it was about, whose heartbeats were passed over from
-// then on and whose runs were told as lost.
+// TestSuccessorTakesOverOnce has the answer to a probe arrive when the agent already manages the probed
+// incarnation for another reason. When that was not handled, the answer ended the very incarnation that was
+// probed: its heartbeats were ignored from then on, and its runs were reported as lost.
 func TestSuccessorTakesOverOnce(t *testing.T) {
 	h := newHarness(t)
-	answer := make(chan struct{})
+	release := make(chan struct{})
 	h.worker.Fail(func(string) wireworker.Fault {
-		<-answer
+		<-release
 		return wireworker.FaultNone
 	})
 	owner := h.attachOwner(1)
@@ -65,9 +64,9 @@
 	h.agent.Beat(present)
 	h.agent.Left(earlier.Incarnation.WorkerID())
 	h.agent.Beat(present)
-	tells := func(message *wire.AgentMessage) bool { return message.GetStatus().GetWorker() == workerID }
-	h.waitFor(func() bool { return owner.lastMatching(tells) != nil })
-	close(answer)
+	isManaged := func(message *wire.AgentMessage) bool { return message.GetStatus().GetWorker() == workerID }
+	h.waitFor(func() bool { return owner.lastMatching(isManaged) != nil })
+	close(release)
 	h.waitFor(func() bool {
 		owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus().GetReady() }) != nil
@@ -79,9 +78,9 @@
 	})
 }
 
-// TestUnresponsiveWorkerIsNotReplaced has a heartbeat that was held up arrive from an incarnation that is long
-// gone while the present one is silent, so that neither of them answers. The present one may go on
-// until its lease has run out: its runs are not over before.
+// TestUnresponsiveWorkerIsNotReplaced sends a delayed heartbeat of an incarnation that is long over while the
+// present one does not answer, so that neither does. The present one may run on until its lease has expired:
+// its runs are not over before that.
 func TestUnresponsiveWorkerIsNotReplaced(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 1000})
@@ -91,25 +90,24 @@
 	}
 	h.server.CloseClientConnections()
 	h.advanceUnpolled(300 * time.Millisecond)
-	lapses := h.worker.LeaseEnd()
+	leaseEnd := h.worker.LeaseEnd()
 	late := h.firstHeartbeat()
 	late.Incarnation = incarnation.New("i-0", 0)
-	for h.worker.Clock() < lapses-100*time.Millisecond {
+	for h.worker.Clock() < leaseEnd-100*time.Millisecond {
 		h.agent.Beat(late)
 		h.advanceUnpolled(200 * time.Millisecond)
 		if end := owner.firstEnd(); end != nil {
-			t.Fatalf("told %v %v before the lease has run out", end.GetReason(), lapses-h.worker.Clock())
+			t.Fatalf("the run was reported as %v, %v before the end of its lease", end.GetReason(), leaseEnd-h.worker.Clock())
 		}
 	}
 }
 
-// TestAdoptedRunKeptUntilLeaseIsOver has the worker fall silent right after an agent that has just started
-// found a run there, whose lease an agent before it had renewed: the run goes on until that has run
-// out.
+// TestAdoptedRunKeptUntilLeaseIsOver has the worker stop answering right after a new agent has adopted a run
+// there, whose lease an earlier agent renewed. The run goes on until that lease has expired.
 func TestAdoptedRunKeptUntilLeaseIsOver(t *testing.T) {
 	h := newHarness(t)
 	h.worker.Put(testTask, 1, 4*time.Second)
-	lapses := h.worker.LeaseEnd()
+	leaseEnd := h.worker.LeaseEnd()
 	h.sendHeartbeat()
 	h.waitFor(func() bool { looks, _ := h.worker.Looks(); return looks > 1 })
 	if err := h.server.Listener.Close(); err != nil {
@@ -117,10 +115,10 @@
 	}
 	h.server.CloseClientConnections()
 	owner := h.attachOwner(1)
-	for h.worker.Clock() < lapses-100*time.Millisecond {
+	for h.worker.Clock() < leaseEnd-100*time.Millisecond {
 		h.advanceUnpolled(200 * time.Millisecond)
 		if end := owner.firstEnd(); end != nil {
-			t.Fatalf("told %v %v before the lease has run out", end.GetReason(), lapses-h.worker.Clock())
+			t.Fatalf("the run was reported as %v, %v before the end of its lease", end.GetReason(), leaseEnd-h.worker.Clock())
 		}
 	}
 	h.waitFor(func() bool { return owner.firstEnd() != nil })
