--- a/agent/restart_test.go
+++ b/agent/restart_test.go
@@ -19,26 +19,18 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// The tests of this file are of failures that users met.
+// The tests of this file guard against failures after a worker has restarted under the same ID. If the agent
+// takes the restarted worker for the previous incarnation, it applies to it all that it knows of that one: end
+// numbers, clock, lease, fencing token, heartbeats, runs, and whether it is over.
 //
-// What they saw: tasks that had ended as done were started again, and jobs that were accepted did
-// not end though most of the workers' room was free.
-//
-// The order of events: a worker with dozens of ends behind it is gone and starts again under its id. Its
-// agent takes it for the one before. The new life numbers its ends from 1; those up to the number that
-// the agent had read last are passed over unread, and the agent's word on how far it has read has
-// the worker forget them, which is the note that counts. Two looks later the run is missed and told as
-// lost. Its owner starts the task again: done twice, or again and again until the day is over, while
-// the steps after it wait.
-//
-// The cause: an id was taken for one life of a worker. Everything that is known of a worker was kept under
-// it: numbers of ends, clock, lease, fencing token, heartbeats, runs, who has ended.
-//
-// The evidence: after the restart the agent's log has no end until number 58, one above the last number of the
-// life before; in between two dozen runs ended as done for the worker and were lost to the agent. Of 1,867
-// lost runs of the other record all were on workers that had started again.
-
-// newDatedHarness is a bench whose worker says when it started.
+// The restarted worker numbers its ends from 1. The agent ignored ends up to the last number that it had read
+// before, 57 in a case with two dozen such ends, and also confirmed them, so that the worker forgot them and
+// they counted as stored. After two more polls the runs were missed and reported as lost, and their owners
+// started the tasks again, although they had ended as done. Tasks were done twice or never came to an end, and
+// jobs waited for them although most of the workers' resources were free. Of 1,867 runs that were reported as
+// lost, all were on workers that had restarted.
+
+// newDatedHarness returns a harness whose worker reports its start time.
 func newDatedHarness(t *testing.T) *harness {
 	h := newHarness(t)
 	h.worker = wireworker.NewDated(workerID, h.clock)
@@ -46,28 +38,29 @@
 	return h
 }
 
-// sendHeartbeatOf has a life of the worker send a heartbeat with a number.
-func (h *harness) sendHeartbeatOf(of *wireworker.Worker, sequence int, state string) {
+// sendHeartbeatOf sends a heartbeat of an incarnation of the worker, with a sequence number and a state.
+func (h *harness) sendHeartbeatOf(worker *wireworker.Worker, sequence int, state string) {
 	h.t.Helper()
-	if code := h.putHeartbeat(h.heartbeatJSON(of, sequence, state)); code != http.StatusOK {
+	if code := h.putHeartbeat(h.heartbeatJSON(worker, sequence, state)); code != http.StatusOK {
 		h.t.Fatalf("the heartbeat was answered %d", code)
 	}
 }
 
-// putHeartbeat sends a heartbeat as it stands and returns how it was answered.
+// putHeartbeat sends the body of a heartbeat to the agent and returns the status code of the response.
 func (h *harness) putHeartbeat(body string) int {
-	answer := httptest.NewRecorder()
+	response := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPut, "/v1/instances/"+workerID, strings.NewReader(body))
-	platform.BeatHandler(h.agent).ServeHTTP(answer, request)
-	return answer.Code
+	platform.BeatHandler(h.agent).ServeHTTP(response, request)
+	return response.Code
 }
 
-func (h *harness) heartbeatJSON(of *wireworker.Worker, sequence int, state string) string {
+// heartbeatJSON returns the body of a heartbeat of an incarnation of the worker.
+func (h *harness) heartbeatJSON(worker *wireworker.Worker, sequence int, state string) string {
 	return fmt.Sprintf(`{"service":"verbale","address":%q,"zone":%q,"state":%q,"capacity":{"cpu":4000,"mem_mb":8000},"seq":%d,"born":%d}`,
-		strings.TrimPrefix(h.server.URL, "http://"), testDomain, state, sequence, of.Born())
+		strings.TrimPrefix(h.server.URL, "http://"), testDomain, state, sequence, worker.Born())
 }
 
-// restartWorker has the worker start again under its id after it was away for a while.
+// restartWorker restarts the worker under the same ID, after it was away for the given time.
 func (h *harness) restartWorker(away time.Duration) {
 	h.t.Helper()
 	next := h.worker.StartAgain()
@@ -77,38 +70,39 @@
 	h.servedWorker.Store(next)
 }
 
-// attachOwnerTo connects an owner to the agent of a life that is ready, and has it grant time for the whole test.
-func (h *harness) attachOwnerTo(of *wireworker.Worker) *ownerStream {
+// attachOwnerTo connects an owner to the agent of an incarnation that is ready, and has it grant time for the
+// whole test.
+func (h *harness) attachOwnerTo(worker *wireworker.Worker) *ownerStream {
 	h.t.Helper()
-	h.sendHeartbeatOf(of, 1, "ready")
+	h.sendHeartbeatOf(worker, 1, "ready")
 	owner := h.attachOwner(1)
-	h.waitReadyAs(owner, of)
+	h.waitReadyAs(owner, worker)
 	owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 	return owner
 }
 
-// waitReadyAs waits until a life was asked what runs, and the owner is told that it is ready. That is told
-// without the moment of its start by a build that doesn't know lives apart.
-func (h *harness) waitReadyAs(owner *ownerStream, of *wireworker.Worker) {
+// waitReadyAs waits until an incarnation has been polled and the owner is told that it is ready. The status
+// has no start time in builds that don't distinguish incarnations.
+func (h *harness) waitReadyAs(owner *ownerStream, worker *wireworker.Worker) {
 	h.t.Helper()
 	h.waitFor(func() bool {
-		looks, _ := of.Looks()
+		looks, _ := worker.Looks()
 		status := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil }).GetStatus()
-		return looks > 0 && status.GetReady() && (status.GetBorn() == of.Born() || status.GetBorn() == 0)
+		return looks > 0 && status.GetReady() && (status.GetBorn() == worker.Born() || status.GetBorn() == 0)
 	})
 }
 
-// newStartOrderFor orders a run of a task on a life.
-func newStartOrderFor(of *wireworker.Worker, task string) *wire.StartOrder {
+// newStartOrderFor returns an order to start a run of a task on an incarnation.
+func newStartOrderFor(worker *wireworker.Worker, task string) *wire.StartOrder {
 	order := newStartOrder(1)
-	order.Task, order.Born = task, of.Born()
+	order.Task, order.Born = task, worker.Born()
 	return order
 }
 
-// numberedTask names a task of the job.
+// numberedTask returns the name of the job's task with the given number.
 func numberedTask(number int) string { return fmt.Sprintf("0123456789abcdef.0.0.%d", number) }
 
-// startRun has the owner order a run, and waits until it goes.
+// startRun has the owner order a run, and waits until it runs.
 func (h *harness) startRun(owner *ownerStream, order *wire.StartOrder) {
 	h.t.Helper()
 	owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{order}})
@@ -118,7 +112,7 @@
 	})
 }
 
-// endsOf returns the ends that the owner was told of a task.
+// endsOf returns the ends of a task that the owner was sent.
 func (owner *ownerStream) endsOf(task string) []*wire.RunEnd {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
@@ -133,12 +127,13 @@
 	return ends
 }
 
-// confirmEnd has the owner say that an end is in the store.
+// confirmEnd has the owner confirm that an end is in the store.
 func (owner *ownerStream) confirmEnd(end *wire.RunEnd) {
 	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: end.GetWorker(), Number: end.GetNumber(), Born: end.GetBorn()}}})
 }
 
-// finishRuns has runs on the worker end, waits until the owner is told, and has it note them.
+// finishRuns lets the given number of runs start and end one after another. The owner confirms each end, and
+// finishRuns returns when the worker has been told to forget them.
 func (h *harness) finishRuns(owner *ownerStream, count int) {
 	h.t.Helper()
 	for number := range count {
@@ -150,8 +145,9 @@
 	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == int64(count) })
 }
 
-// TestEndsAfterRestartAreReported: the owner hears of each end of the next life, whose numbers begin anew,
-// and the worker is told to forget none before its owner has noted it.
+// TestEndsAfterRestartAreReported checks that the owner is told each end after a restart, when the worker
+// numbers its ends from 1 again, and that the worker is told to forget none before the owner has confirmed
+// it.
 func TestEndsAfterRestartAreReported(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -165,37 +161,38 @@
 	}
 	h.advance(4 * time.Second)
 	if _, seen := h.worker.Looks(); seen != 0 {
-		t.Errorf("the worker was told to forget its ends up to %d, of which none was noted", seen)
+		t.Errorf("the worker was told to forget its ends up to %d, of which none was confirmed", seen)
 	}
 	for number := 3; number < 6; number++ {
 		ends := owner.endsOf(numberedTask(number))
 		if len(ends) != 1 || ends[0].GetReason() != wire.EndReason_END_DONE {
-			t.Errorf("the end of %s was told as %v", numberedTask(number), ends)
+			t.Errorf("the end of %s was reported as %v", numberedTask(number), ends)
 		}
 	}
 }
 
-// TestLateConfirmationForPredecessor: that an end of the life before is in the store has no effect on the next one,
-// also where it is an owner of an earlier build that says it, which knows of ids alone.
+// TestLateConfirmationForPredecessor checks that the confirmation of an end of the previous incarnation has
+// no effect on the restarted worker, also if it comes from an owner of an earlier build, which identifies
+// workers by their ID alone.
 func TestLateConfirmationForPredecessor(t *testing.T) {
-	for name, dated := range map[string]bool{"of this build": true, "of an earlier build": false} {
+	for name, hasStartTime := range map[string]bool{"of this build": true, "of an earlier build": false} {
 		t.Run(name, func(t *testing.T) {
 			h := newDatedHarness(t)
 			owner := h.attachOwnerTo(h.worker)
 			h.startRun(owner, newStartOrderFor(h.worker, numberedTask(0)))
 			h.worker.End(numberedTask(0), "done")
 			h.waitFor(func() bool { return len(owner.endsOf(numberedTask(0))) > 0 })
-			before := owner.endsOf(numberedTask(0))[0]
+			end := owner.endsOf(numberedTask(0))[0]
 			h.restartWorker(300 * time.Millisecond)
 			h.sendHeartbeatOf(h.worker, 1, "ready")
 			h.waitReadyAs(owner, h.worker)
 			h.startRun(owner, newStartOrderFor(h.worker, numberedTask(1)))
 			h.worker.End(numberedTask(1), "done")
 			h.advance(time.Second)
-			if !dated {
-				before.Born = 0
+			if !hasStartTime {
+				end.Born = 0
 			}
-			owner.confirmEnd(before)
+			owner.confirmEnd(end)
 			h.advance(2 * time.Second)
 			if _, seen := h.worker.Looks(); seen != 0 {
 				t.Errorf("the worker was told to forget its ends up to %d", seen)
@@ -204,8 +201,9 @@
 	}
 }
 
-// TestConfirmationForEarlierAgent: an owner keeps what it has to say until it has connected anew, and may
-// say it to another process of the agent. What that one was told by the worker may have another number.
+// TestConfirmationForEarlierAgent checks the confirmation of an end that an earlier agent process had
+// reported. An owner keeps its messages until it has reconnected, and may then send them to a new agent
+// process, for which the same end may have another number.
 func TestConfirmationForEarlierAgent(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -219,27 +217,27 @@
 	h.stopAgent()
 	h.advance(200 * time.Millisecond)
 	h.startAgent()
-	again := h.attachOwnerTo(h.worker)
+	nextOwner := h.attachOwnerTo(h.worker)
 	for number := 4; number < 8; number++ {
-		h.startRun(again, newStartOrderFor(h.worker, numberedTask(number)))
+		h.startRun(nextOwner, newStartOrderFor(h.worker, numberedTask(number)))
 		h.worker.End(numberedTask(number), "done")
 	}
-	h.waitFor(func() bool { return len(again.endsOf(numberedTask(7))) > 0 })
-	again.confirmEnd(owner.endsOf(numberedTask(3))[0]) // It was the fourth of that process, and is the first of its life.
+	h.waitFor(func() bool { return len(nextOwner.endsOf(numberedTask(7))) > 0 })
+	nextOwner.confirmEnd(owner.endsOf(numberedTask(3))[0]) // Fourth end of the earlier agent, first one of its incarnation.
 	for number := 3; number < 6; number++ {
-		again.confirmEnd(again.endsOf(numberedTask(number))[0])
+		nextOwner.confirmEnd(nextOwner.endsOf(numberedTask(number))[0])
 	}
 	h.advance(2 * time.Second)
 	if _, seen := h.worker.Looks(); seen != 3 {
 		t.Errorf("the worker was told to forget its ends up to %d", seen)
 	}
 	for number := 6; number < 8; number++ {
-		again.confirmEnd(again.endsOf(numberedTask(number))[0])
+		nextOwner.confirmEnd(nextOwner.endsOf(numberedTask(number))[0])
 	}
 	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == 5 })
 }
 
-// TestWorkerRestartsAfterLeaving: it may start again under its id.
+// TestWorkerRestartsAfterLeaving checks that a worker may restart under the same ID after it has left.
 func TestWorkerRestartsAfterLeaving(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -252,7 +250,8 @@
 	h.startRun(owner, newStartOrderFor(h.worker, numberedTask(0)))
 }
 
-// TestHeartbeatSequenceRestarts: their numbers begin anew, and what they say holds.
+// TestHeartbeatSequenceRestarts checks that heartbeats after a restart are accepted, though their sequence
+// numbers start again from 1.
 func TestHeartbeatSequenceRestarts(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -267,14 +266,15 @@
 	})
 }
 
-// TestLateHeartbeatOfPredecessor: it may arrive after that of the next one, and changes nothing.
+// TestLateHeartbeatOfPredecessor checks that heartbeats of earlier incarnations change nothing if they arrive
+// after one of the restarted worker.
 func TestLateHeartbeatOfPredecessor(t *testing.T) {
 	h := newDatedHarness(t)
 	first := h.worker
 	owner := h.attachOwnerTo(first)
 	h.restartWorker(200 * time.Millisecond)
 	second := h.worker
-	h.restartWorker(200 * time.Millisecond) // Twice within one heartbeat.
+	h.restartWorker(200 * time.Millisecond) // The second restart is within the same heartbeat interval.
 	h.sendHeartbeatOf(h.worker, 1, "ready")
 	h.waitReadyAs(owner, h.worker)
 	h.startRun(owner, newStartOrderFor(h.worker, numberedTask(0)))
@@ -285,15 +285,16 @@
 	}
 	h.advance(2 * time.Second)
 	if ends := owner.endsOf(numberedTask(0)); len(ends) > 0 {
-		t.Errorf("the run was told as over: %v", ends)
+		t.Errorf("the run was reported as over: %v", ends)
 	}
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
 	if last.GetStatus().GetBorn() != h.worker.Born() || last.GetStatus().GetDraining() {
-		t.Errorf("takes care of %v", last.GetStatus())
+		t.Errorf("the agent manages %v", last.GetStatus())
 	}
 }
 
-// TestOrdersForPredecessorAreIgnored: none of them has any effect on the next one.
+// TestOrdersForPredecessorAreIgnored checks that orders for the previous incarnation have no effect on a
+// restarted worker.
 func TestOrdersForPredecessorAreIgnored(t *testing.T) {
 	h := newDatedHarness(t)
 	first := h.worker
@@ -311,11 +312,12 @@
 	}}})
 	h.advance(time.Second)
 	if _, runs := h.worker.Running(numberedTask(1)); !runs {
-		t.Error("the run of the present life was stopped")
+		t.Error("the run of the present incarnation was stopped")
 	}
 }
 
-// TestLeaseAfterRestart: its clock begins again, so that a lease is reckoned on readings of it alone.
+// TestLeaseAfterRestart checks that the lease of a restarted worker is computed from readings of its own
+// clock, which starts again.
 func TestLeaseAfterRestart(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -333,8 +335,8 @@
 	}
 }
 
-// restartDuringStart has the owner order a start that gets no answer and is still on its way when the worker
-// starts again.
+// restartDuringStart has the owner order a start that gets no answer, and restarts the worker while the start
+// is in transit.
 func (h *harness) restartDuringStart(owner *ownerStream) {
 	h.t.Helper()
 	h.worker.Fail(func(path string) wireworker.Fault {
@@ -348,16 +350,16 @@
 	h.restartWorker(100 * time.Millisecond)
 }
 
-// TestLateStartReachesRestartedWorker: a start without an answer may be carried out by the next life, which has seen
-// no fencing token. Its owner is not told that it did not start while it goes, nor that it is lost once it
-// has ended: the task would be started beside it, or after its end.
+// TestLateStartReachesRestartedWorker checks a start without an answer that the restarted worker carries out,
+// since it has seen no fencing token. While it runs, its owner must not be told that it has not started, and
+// once it has ended, not that it is lost: the owner would start the task beside the run, or after its end.
 func TestLateStartReachesRestartedWorker(t *testing.T) {
 	tests := map[string]struct {
-		goes func(h *harness)
+		act  func(h *harness)
 		want wire.EndReason
 	}{
-		"it goes":      {func(*harness) {}, wire.EndReason_END_STOPPED},
-		"it has ended": {func(h *harness) { h.worker.End(testTask, "done") }, wire.EndReason_END_DONE},
+		"running": {func(*harness) {}, wire.EndReason_END_STOPPED},
+		"ended":   {func(h *harness) { h.worker.End(testTask, "done") }, wire.EndReason_END_DONE},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -368,28 +370,28 @@
 			if !h.isRunning() {
 				t.Fatal("the late start was not carried out")
 			}
-			test.goes(h)
+			test.act(h)
 			h.sendHeartbeatOf(h.worker, 1, "ready")
 			h.waitReadyAs(owner, h.worker)
 			h.waitFor(func() bool { return len(owner.endsOf(testTask)) > 0 })
 			h.advance(time.Second)
 			ends := owner.endsOf(testTask)
 			if len(ends) != 1 || ends[0].GetReason() != test.want {
-				t.Errorf("told as over by %v", ends)
+				t.Errorf("the ends were reported as %v", ends)
 			}
 			if owner.startOutcome() == wire.StartOutcome_START_WORKER_FAILED {
-				t.Error("told as not started")
+				t.Error("the run was reported as not started")
 			}
 			h.worker.CarryOut()
 			if h.isRunning() {
-				t.Error("it goes again")
+				t.Error("the run was started again")
 			}
 		})
 	}
 }
 
-// TestLateStartAfterReplacement: once owners have been told that a life is over, the next one obeys no
-// order of it any more.
+// TestLateStartAfterReplacement checks that a restarted worker refuses the orders to its previous incarnation
+// once owners have been told that that one is over.
 func TestLateStartAfterReplacement(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -400,12 +402,12 @@
 	})
 	h.worker.CarryOut()
 	if h.isRunning() {
-		t.Error("the start was carried out after its owner was told that it is over")
+		t.Error("the start was carried out after its owner was told that the run is over")
 	}
 }
 
-// TestCrashWithRestartUnderSameID: a run that had just begun when its worker went down may be why, also where the worker
-// starts again under its id.
+// TestCrashWithRestartUnderSameID checks that a run that was new when its worker crashed is a suspect, also
+// if the worker restarts under the same ID.
 func TestCrashWithRestartUnderSameID(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -415,8 +417,9 @@
 	h.waitForEnd(owner, wire.EndReason_END_CRASHED)
 }
 
-// TestRestartDetectedByAnswer: the worker may be found to have started again by its answer, before it sends a
-// heartbeat. Nothing more is asked of it then as of the life before, and owners give it nothing.
+// TestRestartDetectedByAnswer checks a restart that the agent notices by an answer of the worker, before it
+// has sent a heartbeat. From then on, no call is made for the previous incarnation, and owners are told that
+// the worker is not ready.
 func TestRestartDetectedByAnswer(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -428,29 +431,29 @@
 	}
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
 	if last.GetStatus().GetReady() {
-		t.Error("told as ready")
+		t.Error("the worker was reported as ready")
 	}
 	h.sendHeartbeatOf(h.worker, 1, "ready")
 	h.waitReadyAs(owner, h.worker)
 }
 
-// TestInvalidStartTime: a worker that does not say when it started is used as before, and one that
-// says it in one heartbeat is not taken for another one by a heartbeat that lacks it.
+// TestInvalidStartTime checks that heartbeats with an invalid start time are refused, and that one without a
+// start time is ignored if the worker has sent its start time before.
 func TestInvalidStartTime(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
 	h.startRun(owner, newStartOrderFor(h.worker, testTask))
-	foreign := map[string]string{
-		"missing":    `"seq":9`,
-		"a text":     `"seq":9,"born":"1700000000000"`,
-		"not whole":  `"seq":9,"born":1700000000000.5`,
-		"no number":  `"seq":9,"born":null`,
-		"not a date": `"seq":9,"born":-4`,
-		"a list":     `"seq":9,"born":[1]`,
-	}
-	sound := h.heartbeatJSON(h.worker, 9, "draining")
-	for name, tail := range foreign {
-		before, _, _ := strings.Cut(sound, `"seq"`)
+	invalid := map[string]string{
+		"missing":  `"seq":9`,
+		"string":   `"seq":9,"born":"1700000000000"`,
+		"fraction": `"seq":9,"born":1700000000000.5`,
+		"null":     `"seq":9,"born":null`,
+		"negative": `"seq":9,"born":-4`,
+		"list":     `"seq":9,"born":[1]`,
+	}
+	valid := h.heartbeatJSON(h.worker, 9, "draining")
+	for name, tail := range invalid {
+		before, _, _ := strings.Cut(valid, `"seq"`)
 		body := before + tail + "}"
 		if code := h.putHeartbeat(body); name != "missing" && code != http.StatusBadRequest {
 			t.Errorf("%s: answered %d", name, code)
@@ -459,12 +462,12 @@
 	h.advance(2 * time.Second)
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
 	if last.GetStatus().GetDraining() || last.GetStatus().GetBorn() != h.worker.Born() || !h.isRunning() {
-		t.Errorf("takes care of %v", last.GetStatus())
+		t.Errorf("the agent manages %v", last.GetStatus())
 	}
 }
 
-// TestRestartWithoutStartTimeInHeartbeats: the lives of a worker whose heartbeats don't say when it started are told apart
-// by its answers.
+// TestRestartWithoutStartTimeInHeartbeats checks that the incarnations of a worker whose heartbeats lack the
+// start time are distinguished by its answers.
 func TestRestartWithoutStartTimeInHeartbeats(t *testing.T) {
 	h := newDatedHarness(t)
 	h.sendHeartbeat()
@@ -479,9 +482,10 @@
 	}
 }
 
-// TestRestartedWorkerWithHigherToken: a look for the life before, under a token that was raised since the agent
-// started, may reach the next life first. That one is taken care of all the same. The case that forced it: the
-// next life refused each question for its token, and its room stood unused for good.
+// TestRestartedWorkerWithHigherToken checks that a restarted worker is managed even if it has seen a higher
+// fencing token than that of the probes. A poll for the previous incarnation, with a token that was raised
+// after the agent started, may reach it first. When that was not handled, it refused every probe for its
+// token, and its resources were never used.
 func TestRestartedWorkerWithHigherToken(t *testing.T) {
 	tests := map[string]time.Duration{"raised by this agent": 0, "raised by an agent whose clock was ahead": time.Minute}
 	for name, ahead := range tests {
@@ -501,8 +505,8 @@
 			h.waitFor(func() bool { looks, _ := h.worker.Looks(); return looks > 0 })
 			h.worker.RaiseToken(ahead)
 			h.advance(500 * time.Millisecond)
-			for beat := range 3 {
-				h.sendHeartbeatOf(h.worker, beat+1, "ready")
+			for i := range 3 {
+				h.sendHeartbeatOf(h.worker, i+1, "ready")
 				h.advance(500 * time.Millisecond)
 			}
 			h.waitReadyAs(owner, h.worker)
@@ -511,57 +515,59 @@
 	}
 }
 
-// TestAccounted: an agent knows all that runs once its worker has listed it, also while that is silent
-// later, and without any worker once every lease that an agent before may have renewed is over.
+// TestAccounted checks that an agent knows all runs once its worker has listed them, even if the worker does
+// not answer later, and without any worker once every lease that an earlier agent may have renewed has
+// expired.
 func TestAccounted(t *testing.T) {
-	accounts := func(owner *ownerStream) bool {
+	knowsAllRuns := func(owner *ownerStream) bool {
 		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil }).GetStatus().GetAccounted()
 	}
-	speaks := func(h *harness, owner *ownerStream, length time.Duration) {
+	grantFor := func(h *harness, owner *ownerStream, length time.Duration) {
 		for begin := h.clock.Now(); h.clock.Now().Sub(begin) < length; {
 			owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 			h.advanceUnpolled(500 * time.Millisecond)
 		}
 	}
-	t.Run("no worker has come", func(t *testing.T) {
+	t.Run("no worker", func(t *testing.T) {
 		h := newHarness(t)
 		owner := h.attachOwner(1)
-		speaks(h, owner, 3*time.Second)
-		if accounts(owner) {
-			t.Error("accounts for runs whose lease may go on")
+		grantFor(h, owner, 3*time.Second)
+		if knowsAllRuns(owner) {
+			t.Error("reports that it knows all runs while a lease may go on")
 		}
-		speaks(h, owner, 3*time.Second)
-		if !accounts(owner) {
-			t.Error("accounts for nothing though every lease is over")
+		grantFor(h, owner, 3*time.Second)
+		if !knowsAllRuns(owner) {
+			t.Error("reports unknown runs although every lease has expired")
 		}
 	})
-	t.Run("the worker is silent from the start", func(t *testing.T) {
+	t.Run("worker never answers", func(t *testing.T) {
 		h := newHarness(t)
 		h.crashWorker()
 		h.sendHeartbeat()
 		owner := h.attachOwner(1)
-		speaks(h, owner, 3*time.Second)
-		if accounts(owner) {
-			t.Error("accounts for runs whose lease may go on")
+		grantFor(h, owner, 3*time.Second)
+		if knowsAllRuns(owner) {
+			t.Error("reports that it knows all runs while a lease may go on")
 		}
-		speaks(h, owner, 3*time.Second)
-		if !accounts(owner) {
-			t.Error("accounts for nothing though every lease is over")
+		grantFor(h, owner, 3*time.Second)
+		if !knowsAllRuns(owner) {
+			t.Error("reports unknown runs although every lease has expired")
 		}
 	})
-	t.Run("the worker falls silent", func(t *testing.T) {
+	t.Run("worker stops answering", func(t *testing.T) {
 		h := newHarness(t)
 		owner := h.attachReadyOwner(1)
 		h.crashWorker()
-		speaks(h, owner, time.Second)
-		if !accounts(owner) {
-			t.Error("does not account for what the worker had listed")
+		grantFor(h, owner, time.Second)
+		if !knowsAllRuns(owner) {
+			t.Error("reports unknown runs although the worker has listed them")
 		}
 	})
 }
 
-// isRegisteredAsEnded returns what the store has of the agent, once it has been told that a life is over or a while has passed.
-func (h *harness) isRegisteredAsEnded(store *wirestore.Store, over *wireworker.Worker) bool {
+// isRegisteredAsEnded reports whether the agent's record in the store says within 2 s that an incarnation is
+// over.
+func (h *harness) isRegisteredAsEnded(store *wirestore.Store, ended *wireworker.Worker) bool {
 	h.t.Helper()
 	for range 40 {
 		h.advanceUnpolled(50 * time.Millisecond)
@@ -573,18 +579,19 @@
 		if err := proto.Unmarshal(value, record); err != nil {
 			h.t.Fatal(err)
 		}
-		if slices.Contains(record.EndedIncarnations(), incarnation.New(workerID, over.Born())) {
+		if slices.Contains(record.EndedIncarnations(), incarnation.New(workerID, ended.Born())) {
 			return true
 		}
 	}
 	return false
 }
 
-// TestCarriedOverOrderDelaysRegistration: owners read from the store that a life is over, and release its runs. Where
-// the next life has carried out an order of it, the end of that run is still to reach its owner. The case that
-// forced it: six tasks were started again some milliseconds before their ends as done were heard.
+// TestCarriedOverOrderDelaysRegistration checks that an incarnation is not registered as ended if the
+// restarted worker has carried out one of its orders, since the end of that run has yet to reach its owner.
+// Owners read from the store that an incarnation is over, and release its runs. Without this rule, six tasks
+// were started again some milliseconds before their owners were told that they had ended as done.
 func TestCarriedOverOrderDelaysRegistration(t *testing.T) {
-	for name, carriedOut := range map[string]bool{"carried out by the next life": true, "not carried out": false} {
+	for name, carriedOut := range map[string]bool{"carried out by the restarted worker": true, "not carried out": false} {
 		t.Run(name, func(t *testing.T) {
 			h := newDatedHarness(t)
 			store := wirestore.New(shardCount, h.clock.Now)
@@ -603,8 +610,8 @@
 			}
 			h.sendHeartbeatOf(h.worker, 1, "ready")
 			h.waitReadyAs(owner, h.worker)
-			if over := h.isRegisteredAsEnded(store, first); over == carriedOut {
-				t.Errorf("said to be over: %v", over)
+			if ended := h.isRegisteredAsEnded(store, first); ended == carriedOut {
+				t.Errorf("registered as ended: %v", ended)
 			}
 		})
 	}
