--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -1,15 +1,17 @@
-// Package incarnation names the lives of workers.
+// Package incarnation identifies the incarnations of workers.
 //
-// A worker has an id, and may start again under it. It then runs nothing and knows nothing of
-// before: no run, no end, no lease and no fencing token of an earlier life means anything to it,
-// and its numbers and its clock begin anew. The moment of its start tells the lives apart. A
-// worker that doesn't say it has a new id in each life, and so has what builds sent that knew ids
-// alone; such a name may stand for any life under its id.
+// A worker has an ID and may restart under the same ID. Each start is a new incarnation, which keeps nothing of
+// the previous one: runs, reported ends, leases and fencing tokens of an earlier incarnation are meaningless to
+// it, and its sequence numbers and its clock start over. The start time tells the incarnations of a worker apart.
+//
+// A worker that doesn't report its start time has to use a new ID for every incarnation. The same holds for data
+// written by earlier builds, which stored the worker ID alone. An ID without a start time may stand for any
+// incarnation of the worker.
 //
 // # Usage
 //
-//	present := incarnation.New("i-1", 1_790_000_000_000)
-//	if order.Incarnation().MayBe(present) { ... }
+//	current := incarnation.New("i-1", 1_790_000_000_000)
+//	if order.Incarnation().MayEqual(current) { ... }
 package incarnation
 
 import (
@@ -17,49 +19,51 @@
 	"log/slog"
 )
 
-// ID names one life of a worker. It is comparable: two names are equal only if they name the same
-// life by the same words. The zero Name names none.
+// ID identifies one incarnation of a worker. The zero ID identifies none.
+//
+// IDs can be compared with ==, which also distinguishes an ID with a start time from one without. Use
+// [ID.MayEqual] to ask whether two IDs may denote the same incarnation.
 type ID struct {
 	workerID  string
 	startedMs int64
 }
 
-// New returns the name of the life that began at a moment, in milliseconds since 1970 by the worker's
-// clock; 0 where that is not known.
-func New(id string, born int64) ID { return ID{workerID: id, startedMs: born} }
+// New returns the ID of the incarnation of a worker that started at startedMs, in Unix milliseconds by the
+// worker's clock. startedMs is 0 if the start time is unknown.
+func New(workerID string, startedMs int64) ID { return ID{workerID: workerID, startedMs: startedMs} }
 
-// WorkerID returns what the worker calls itself, empty for no worker.
-func (name ID) WorkerID() string { return name.workerID }
+// WorkerID returns the ID that the worker reports, or "" for the zero ID.
+func (id ID) WorkerID() string { return id.workerID }
 
-// StartedMs returns when the life began, in milliseconds since 1970; 0 where that is not known.
-func (name ID) StartedMs() int64 { return name.startedMs }
+// StartedMs returns the start time in Unix milliseconds, or 0 if it is unknown.
+func (id ID) StartedMs() int64 { return id.startedMs }
 
-// HasStartTime reports whether it is known when the life began.
-func (name ID) HasStartTime() bool { return name.startedMs != 0 }
+// HasStartTime reports whether the start time is known.
+func (id ID) HasStartTime() bool { return id.startedMs != 0 }
 
-// IsZero reports whether the name names no worker.
-func (name ID) IsZero() bool { return name.workerID == "" }
+// IsZero reports whether the ID identifies no worker.
+func (id ID) IsZero() bool { return id.workerID == "" }
 
-// MayEqual reports whether both names may stand for one life: the ids are equal, and the starts are
-// unless one of them is not known. Where it is false, they are two lives for certain.
-func (name ID) MayEqual(other ID) bool {
-	return name.workerID == other.workerID && (name.startedMs == other.startedMs || !name.HasStartTime() || !other.HasStartTime())
+// MayEqual reports whether both IDs may denote the same incarnation: the worker IDs are equal, and so are the
+// start times unless one of them is unknown. If it returns false, the incarnations are certainly different.
+func (id ID) MayEqual(other ID) bool {
+	return id.workerID == other.workerID && (id.startedMs == other.startedMs || !id.HasStartTime() || !other.HasStartTime())
 }
 
-// IsOtherIncarnationOf reports whether both names have the id of one worker, and stand for two of its lives.
-func (name ID) IsOtherIncarnationOf(other ID) bool {
-	return name.workerID == other.workerID && !name.MayEqual(other)
+// IsOtherIncarnationOf reports whether the IDs certainly denote two different incarnations of the same worker.
+func (id ID) IsOtherIncarnationOf(other ID) bool {
+	return id.workerID == other.workerID && !id.MayEqual(other)
 }
 
-// String returns the name as messages to people have it.
-func (name ID) String() string {
-	if !name.HasStartTime() {
-		return name.workerID
+// String formats the ID for messages to people.
+func (id ID) String() string {
+	if !id.HasStartTime() {
+		return id.workerID
 	}
-	return fmt.Sprintf("%s started at %d", name.workerID, name.startedMs)
+	return fmt.Sprintf("%s started at %d", id.workerID, id.startedMs)
 }
 
-// LogAttributes returns what log lines say of the life.
-func (name ID) LogAttributes() []slog.Attr {
-	return []slog.Attr{slog.String("worker", name.workerID), slog.Int64("born", name.startedMs)}
+// LogAttributes returns the attributes that identify the incarnation in log lines.
+func (id ID) LogAttributes() []slog.Attr {
+	return []slog.Attr{slog.String("worker", id.workerID), slog.Int64("born", id.startedMs)}
 }
