--- a/status/decoder.go
+++ b/status/decoder.go
@@ -2,82 +2,83 @@
 
 import "ambertiller.example/ambertiller/wire"
 
-// Decoder is what has been heard of a worker on one stream after another.
+// Decoder holds the status of one worker as received on successive streams.
 type Decoder struct {
 	status     *wire.WorkerStatus
 	tolerances map[string]int64 // by image
 }
 
-// NewDecoder returns the state of a worker of which nothing has been heard.
+// NewDecoder returns a decoder that has received nothing and holds an empty status.
 func NewDecoder() *Decoder {
 	return &Decoder{status: &wire.WorkerStatus{}, tolerances: map[string]int64{}}
 }
 
-// Status returns the worker's state. It changes with the next message.
-func (heard *Decoder) Status() *wire.WorkerStatus { return heard.status }
+// Status returns the worker's status. The next call of Apply may modify it.
+func (decoder *Decoder) Status() *wire.WorkerStatus { return decoder.status }
 
-// Tolerance returns how many more processors of a filling image the worker's serving
-// tasks bear, in thousandths.
-func (heard *Decoder) Tolerance(image string) int64 {
-	if tolerated, known := heard.tolerances[image]; known {
-		return tolerated
+// Tolerance returns how many more processors, in thousandths, tasks of a filling image may use before the
+// worker's serving tasks miss their targets. A negative value says how much those would suffer, and is only meant
+// to be compared with others.
+func (decoder *Decoder) Tolerance(image string) int64 {
+	if tolerance, found := decoder.tolerances[image]; found {
+		return tolerance
 	}
-	return heard.status.GetToleratedMilliCpu()
+	return decoder.status.GetToleratedMilliCpu()
 }
 
-// Apply takes in what a message says of the worker: its whole state, or what has changed
-// of it. It reports whether there may be room now where there was none.
-func (heard *Decoder) Apply(message *wire.AgentMessage) (roomGrew bool) {
-	if whole := message.GetStatus(); whole != nil {
-		return heard.applyFull(whole)
+// Apply updates the status from a message, which carries a full status, a change or neither. It reports whether
+// the worker may now accept tasks that it had no resources for before.
+func (decoder *Decoder) Apply(message *wire.AgentMessage) (hasMoreFree bool) {
+	if full := message.GetStatus(); full != nil {
+		return decoder.applyFull(full)
 	}
 	if change := message.GetChange(); change != nil {
-		return heard.applyChange(change)
+		return decoder.applyChange(change)
 	}
 	return false
 }
 
-func (heard *Decoder) applyFull(whole *wire.WorkerStatus) bool {
-	before := heard.status
-	heard.status = whole
-	heard.tolerances = make(map[string]int64, len(whole.GetTolerances()))
-	for _, known := range whole.GetTolerances() {
-		heard.tolerances[known.GetImage()] = known.GetMilliCpu()
+func (decoder *Decoder) applyFull(full *wire.WorkerStatus) bool {
+	before := decoder.status
+	decoder.status = full
+	decoder.tolerances = make(map[string]int64, len(full.GetTolerances()))
+	for _, tolerance := range full.GetTolerances() {
+		decoder.tolerances[tolerance.GetImage()] = tolerance.GetMilliCpu()
 	}
-	return whole.GetFreeMilliCpu() > before.GetFreeMilliCpu() || whole.GetFreeMemoryMb() > before.GetFreeMemoryMb() ||
-		whole.GetReady() && !before.GetReady() || whole.Incarnation() != before.Incarnation()
+	return full.GetFreeMilliCpu() > before.GetFreeMilliCpu() || full.GetFreeMemoryMb() > before.GetFreeMemoryMb() ||
+		full.GetReady() && !before.GetReady() || full.Incarnation() != before.Incarnation()
 }
 
-func (heard *Decoder) applyChange(change *wire.StatusChange) bool {
-	whole := heard.status
-	grew := change.GetFreeMilliCpu() > whole.GetFreeMilliCpu() || change.GetFreeMemoryMb() > whole.GetFreeMemoryMb()
-	whole.FreeMilliCpu, whole.FreeMemoryMb, whole.FreeAccelerators = change.GetFreeMilliCpu(), change.GetFreeMemoryMb(), change.GetFreeAccelerators()
-	whole.FillMilliCpu, whole.ServingMilliCpu = change.GetFillMilliCpu(), change.GetServingMilliCpu()
-	whole.ToleratedMilliCpu = change.GetToleratedMilliCpu()
-	heard.applyToleranceChanges(change)
+func (decoder *Decoder) applyChange(change *wire.StatusChange) bool {
+	status := decoder.status
+	hasMoreFree := change.GetFreeMilliCpu() > status.GetFreeMilliCpu() || change.GetFreeMemoryMb() > status.GetFreeMemoryMb()
+	status.FreeMilliCpu, status.FreeMemoryMb, status.FreeAccelerators = change.GetFreeMilliCpu(), change.GetFreeMemoryMb(), change.GetFreeAccelerators()
+	status.FillMilliCpu, status.ServingMilliCpu = change.GetFillMilliCpu(), change.GetServingMilliCpu()
+	status.ToleratedMilliCpu = change.GetToleratedMilliCpu()
+	decoder.applyToleranceChanges(change)
 	if change.GetServing() {
-		whole.ServingImages = change.GetServingImages()
+		status.ServingImages = change.GetServingImages()
 	}
 	if change.GetReclaimed() {
-		whole.Reclaimable = change.GetReclaimable()
+		status.Reclaimable = change.GetReclaimable()
 	}
-	return grew
+	return hasMoreFree
 }
 
-// applyToleranceChanges takes in the tolerances that have changed. A number that the stream has
-// not told of is passed over: the two lists are of one length in a sound message.
-func (heard *Decoder) applyToleranceChanges(change *wire.StatusChange) {
-	known := heard.status.GetTolerances()
-	changed := change.GetToleranceMilliCpu()
-	for position, number := range change.GetTolerance() {
-		if position >= len(changed) || number < 0 || int(number) >= len(known) {
+// applyToleranceChanges updates the tolerances that have changed. Entries with a number that the stream has not
+// introduced, or without a value, are ignored: in a valid message both lists have the same length.
+func (decoder *Decoder) applyToleranceChanges(change *wire.StatusChange) {
+	tolerances := decoder.status.GetTolerances()
+	values := change.GetToleranceMilliCpu()
+	for index, number := range change.GetTolerance() {
+		if index >= len(values) || number < 0 || int(number) >= len(tolerances) {
 			continue
 		}
-		known[number].MilliCpu = changed[position]
-		heard.tolerances[known[number].GetImage()] = changed[position]
+		tolerances[number].MilliCpu = values[index]
+		decoder.tolerances[tolerances[number].GetImage()] = values[index]
 	}
 	for _, added := range change.GetAdded() {
-		heard.status.Tolerances = append(heard.status.Tolerances, added)
-		heard.tolerances[added.GetImage()] = added.GetMilliCpu()
+		decoder.status.Tolerances = append(decoder.status.Tolerances, added)
+		decoder.tolerances[added.GetImage()] = added.GetMilliCpu()
 	}
 }
--- a/status/doc.go
+++ b/status/doc.go
@@ -1,23 +1,23 @@
-// Package status carries the state of a worker from its agent to the owners of shards:
-// whole once a stream, and then only what has changed.
+// Package status encodes the status of a worker on the streams from its agent to the owners of shards.
 //
-// A stream keeps the order of its messages and loses none before it ends, so what was put
-// into one has been told. A stream that ends is followed by another, on which everything
-// is told again; nothing has to be acknowledged. A state that differs in what a change
-// can't tell, such as another incarnation of the worker, is told whole as well.
+// The first message of a stream carries the full status, the following ones only what has changed. A stream keeps
+// the order of its messages and loses none before it ends, so the encoder may assume that everything it has
+// written arrives, and nothing has to be acknowledged. When a stream ends, its successor starts with a full status
+// again. A full status is also sent when a field changes that wire.StatusChange lacks, such as the incarnation of
+// the worker.
 //
-// Tolerances that hardly moved are not told anew, so that what is heard may be off by a tenth,
-// or by a 640th of the worker's processors where that is more.
+// Small changes of a tolerance are not sent, so a decoded tolerance may differ from the actual one by a tenth, or
+// by 1/640 of the worker's processors if that is more.
 //
 // # Usage
 //
-//	var told status.Encoder // one for each stream
+//	var encoder status.Encoder // one for each stream
 //	message := &wire.AgentMessage{}
-//	told.Tell(message, present)
+//	encoder.Encode(message, current)
 //
-//	heard := status.NewDecoder()
-//	if heard.Note(message) {
-//		// look for places
+//	decoder := status.NewDecoder()
+//	if decoder.Apply(message) {
+//		// resources were freed: retry placement
 //	}
-//	room := heard.Whole().GetFreeMilliCpu()
+//	free := decoder.Status().GetFreeMilliCpu()
 package status
--- a/status/encoder.go
+++ b/status/encoder.go
@@ -10,64 +10,64 @@
 )
 
 const (
-	// relativeToleranceStep is the share of itself by which a tolerance has to differ from what was
-	// told to be told anew, and minToleranceStep the share of the worker's processors
-	// below which that does not sink. Tolerances move with each reading of a tail, 2.5
-	// times a second, and small ones decide.
+	// A tolerance is sent again if it differs from the value sent before by more than relativeToleranceStep
+	// of that value, but by at least minToleranceStep of the worker's processors. Tolerances change with each
+	// reading of a tail latency, 2.5 times a second. Placement depends on the small ones, so
+	// the step is relative to the value.
 	relativeToleranceStep = 0.1
 	minToleranceStep      = 1.0 / 640
 )
 
-// Encoder is what has been told of a worker on one stream. The zero value has told nothing.
+// Encoder holds the status of a worker as last sent on one stream. The zero value has sent nothing.
 type Encoder struct {
-	sent *wire.WorkerStatus // as the other side has it; nil before the first message
+	sent *wire.WorkerStatus // as the receiver has it; nil before the first message
 }
 
-// Encode puts into a message what has not been told of the worker: everything on a stream
-// that is new or where something has changed that a change can't tell, nothing where
-// nothing has changed.
-func (told *Encoder) Encode(message *wire.AgentMessage, now *wire.WorkerStatus) {
-	if told.sent == nil || !canSendChange(told.sent, now) {
-		message.Status = now
-		told.sent = proto.CloneOf(now)
+// Encode adds to a message what the receiver doesn't know of the worker's status. It adds the full status to the
+// first message of a stream and whenever a field has changed that wire.StatusChange lacks, a change
+// otherwise, and nothing if nothing has changed.
+func (encoder *Encoder) Encode(message *wire.AgentMessage, current *wire.WorkerStatus) {
+	if encoder.sent == nil || !canSendChange(encoder.sent, current) {
+		message.Status = current
+		encoder.sent = proto.CloneOf(current)
 		return
 	}
-	message.Change = told.encodeChange(now)
+	message.Change = encoder.encodeChange(current)
 }
 
-// canSendChange reports whether two states of a worker differ only in what a change can tell.
-func canSendChange(before, now *wire.WorkerStatus) bool {
-	return before.Incarnation() == now.Incarnation() && before.GetService() == now.GetService() &&
-		before.GetFailureDomain() == now.GetFailureDomain() && before.GetMachine() == now.GetMachine() &&
-		slices.Equal(before.GetLabels(), now.GetLabels()) &&
-		before.GetMilliCpu() == now.GetMilliCpu() && before.GetMemoryMb() == now.GetMemoryMb() &&
-		before.GetAccelerators() == now.GetAccelerators() &&
-		before.GetDraining() == now.GetDraining() && before.GetRemainingMs() == now.GetRemainingMs() &&
-		before.GetReady() == now.GetReady() && before.GetAccounted() == now.GetAccounted()
+// canSendChange reports whether two statuses of a worker differ only in fields that wire.StatusChange has.
+func canSendChange(before, current *wire.WorkerStatus) bool {
+	return before.Incarnation() == current.Incarnation() && before.GetService() == current.GetService() &&
+		before.GetFailureDomain() == current.GetFailureDomain() && before.GetMachine() == current.GetMachine() &&
+		slices.Equal(before.GetLabels(), current.GetLabels()) &&
+		before.GetMilliCpu() == current.GetMilliCpu() && before.GetMemoryMb() == current.GetMemoryMb() &&
+		before.GetAccelerators() == current.GetAccelerators() &&
+		before.GetDraining() == current.GetDraining() && before.GetRemainingMs() == current.GetRemainingMs() &&
+		before.GetReady() == current.GetReady() && before.GetAccounted() == current.GetAccounted()
 }
 
-// encodeChange returns what has changed of the worker since it was last told, nil for nothing,
-// and notes it as told.
-func (told *Encoder) encodeChange(now *wire.WorkerStatus) *wire.StatusChange {
-	before := told.sent
+// encodeChange returns what has changed since the last message and updates the sent status accordingly. It
+// returns nil if nothing has changed.
+func (encoder *Encoder) encodeChange(current *wire.WorkerStatus) *wire.StatusChange {
+	before := encoder.sent
 	change := &wire.StatusChange{
-		FreeMilliCpu: now.GetFreeMilliCpu(), FreeMemoryMb: now.GetFreeMemoryMb(), FreeAccelerators: now.GetFreeAccelerators(),
-		FillMilliCpu: now.GetFillMilliCpu(), ServingMilliCpu: now.GetServingMilliCpu(), ToleratedMilliCpu: before.GetToleratedMilliCpu(),
+		FreeMilliCpu: current.GetFreeMilliCpu(), FreeMemoryMb: current.GetFreeMemoryMb(), FreeAccelerators: current.GetFreeAccelerators(),
+		FillMilliCpu: current.GetFillMilliCpu(), ServingMilliCpu: current.GetServingMilliCpu(), ToleratedMilliCpu: before.GetToleratedMilliCpu(),
 	}
-	if toleranceChanged(before.GetToleratedMilliCpu(), now.GetToleratedMilliCpu(), now.GetMilliCpu()) {
-		change.ToleratedMilliCpu = now.GetToleratedMilliCpu()
+	if toleranceChanged(before.GetToleratedMilliCpu(), current.GetToleratedMilliCpu(), current.GetMilliCpu()) {
+		change.ToleratedMilliCpu = current.GetToleratedMilliCpu()
 	}
-	same := sameResources(before, change)
-	told.encodeToleranceChanges(change, now)
-	if !slices.Equal(before.GetServingImages(), now.GetServingImages()) {
-		change.Serving, change.ServingImages = true, now.GetServingImages()
-		before.ServingImages = now.GetServingImages()
+	resourcesEqual := sameResources(before, change)
+	encoder.encodeToleranceChanges(change, current)
+	if !slices.Equal(before.GetServingImages(), current.GetServingImages()) {
+		change.Serving, change.ServingImages = true, current.GetServingImages()
+		before.ServingImages = current.GetServingImages()
 	}
-	if !slices.EqualFunc(before.GetReclaimable(), now.GetReclaimable(), func(a, b *wire.Reclaimable) bool { return proto.Equal(a, b) }) {
-		change.Reclaimed, change.Reclaimable = true, now.GetReclaimable()
-		before.Reclaimable = now.GetReclaimable()
+	if !slices.EqualFunc(before.GetReclaimable(), current.GetReclaimable(), func(a, b *wire.Reclaimable) bool { return proto.Equal(a, b) }) {
+		change.Reclaimed, change.Reclaimable = true, current.GetReclaimable()
+		before.Reclaimable = current.GetReclaimable()
 	}
-	if same && len(change.GetTolerance())+len(change.GetAdded()) == 0 && !change.GetServing() && !change.GetReclaimed() {
+	if resourcesEqual && len(change.GetTolerance())+len(change.GetAdded()) == 0 && !change.GetServing() && !change.GetReclaimed() {
 		return nil
 	}
 	before.FreeMilliCpu, before.FreeMemoryMb, before.FreeAccelerators = change.GetFreeMilliCpu(), change.GetFreeMemoryMb(), change.GetFreeAccelerators()
@@ -76,46 +76,46 @@
 	return change
 }
 
-// sameResources reports whether the figures of a change are those told before.
+// sameResources reports whether the amounts in a change are equal to those sent before.
 func sameResources(before *wire.WorkerStatus, change *wire.StatusChange) bool {
 	return before.GetFreeMilliCpu() == change.GetFreeMilliCpu() && before.GetFreeMemoryMb() == change.GetFreeMemoryMb() &&
 		before.GetFreeAccelerators() == change.GetFreeAccelerators() && before.GetFillMilliCpu() == change.GetFillMilliCpu() &&
 		before.GetServingMilliCpu() == change.GetServingMilliCpu() && before.GetToleratedMilliCpu() == change.GetToleratedMilliCpu()
 }
 
-// encodeToleranceChanges adds the tolerances that have moved, by the number under which the
-// owner knows them, and those of images that it does not know.
-func (told *Encoder) encodeToleranceChanges(change *wire.StatusChange, now *wire.WorkerStatus) {
-	known := make(map[string]int, len(told.sent.GetTolerances()))
-	for number, each := range told.sent.GetTolerances() {
-		known[each.GetImage()] = number
+// encodeToleranceChanges adds the tolerances that have changed to the change, identified by their position in the
+// receiver's list, and those of images that the receiver doesn't know yet.
+func (encoder *Encoder) encodeToleranceChanges(change *wire.StatusChange, current *wire.WorkerStatus) {
+	numbers := make(map[string]int, len(encoder.sent.GetTolerances()))
+	for number, tolerance := range encoder.sent.GetTolerances() {
+		numbers[tolerance.GetImage()] = number
 	}
-	for _, each := range now.GetTolerances() {
-		number, found := known[each.GetImage()]
+	for _, tolerance := range current.GetTolerances() {
+		number, found := numbers[tolerance.GetImage()]
 		if !found {
-			change.Added = append(change.Added, each)
-			told.sent.Tolerances = append(told.sent.Tolerances, proto.CloneOf(each))
+			change.Added = append(change.Added, tolerance)
+			encoder.sent.Tolerances = append(encoder.sent.Tolerances, proto.CloneOf(tolerance))
 			continue
 		}
-		before := told.sent.GetTolerances()[number]
-		if toleranceChanged(before.GetMilliCpu(), each.GetMilliCpu(), now.GetMilliCpu()) {
+		before := encoder.sent.GetTolerances()[number]
+		if toleranceChanged(before.GetMilliCpu(), tolerance.GetMilliCpu(), current.GetMilliCpu()) {
 			change.Tolerance = append(change.Tolerance, int32(number))
-			change.ToleranceMilliCpu = append(change.ToleranceMilliCpu, each.GetMilliCpu())
-			before.MilliCpu = each.GetMilliCpu()
+			change.ToleranceMilliCpu = append(change.ToleranceMilliCpu, tolerance.GetMilliCpu())
+			before.MilliCpu = tolerance.GetMilliCpu()
 		}
 	}
 }
 
-// toleranceChanged reports whether a tolerance differs enough from what was told. Beyond
-// all the processors that the worker has, and on the other side of zero, it does not
-// matter by how much.
-func toleranceChanged(before, now, whole int64) bool {
-	if before >= whole && now >= whole {
+// toleranceChanged reports whether a tolerance differs enough from the value sent before to be sent again. A
+// change of sign always does. Two values that are both at least workerMilliCPU, all the processors of the worker,
+// are equivalent.
+func toleranceChanged(before, current, workerMilliCPU int64) bool {
+	if before >= workerMilliCPU && current >= workerMilliCPU {
 		return false
 	}
-	if (before < 0) != (now < 0) {
+	if (before < 0) != (current < 0) {
 		return true
 	}
-	step := max(relativeToleranceStep*math.Abs(float64(before)), minToleranceStep*float64(whole))
-	return math.Abs(float64(now-before)) > step
+	step := max(relativeToleranceStep*math.Abs(float64(before)), minToleranceStep*float64(workerMilliCPU))
+	return math.Abs(float64(current-before)) > step
 }
--- a/status/status_test.go
+++ b/status/status_test.go
@@ -13,7 +13,7 @@
 
 const workerMilliCPU = 32_000
 
-// newWorker returns the state of a worker with tolerances for a few images.
+// newWorker returns the status of a worker with tolerances for two images.
 func newWorker() *wire.WorkerStatus {
 	return &wire.WorkerStatus{
 		Worker: "i-1", Service: "verbale", FailureDomain: "torino", Labels: []string{"a", "r1-3"},
@@ -24,7 +24,7 @@
 	}
 }
 
-// roundTrip passes a message on as a stream does.
+// roundTrip returns the message as it arrives at the other end of a stream.
 func roundTrip(t *testing.T, message *wire.AgentMessage) *wire.AgentMessage {
 	t.Helper()
 	data, err := proto.Marshal(message)
@@ -38,123 +38,128 @@
 	return passed
 }
 
+// TestEncode checks for each kind of change whether it is sent as a full status, as a change or not at all, and
+// what the decoder makes of it.
 func TestEncode(t *testing.T) {
 	tests := map[string]struct {
-		change          func(now *wire.WorkerStatus)
-		whole, asChange bool
-		grew            bool
+		change               func(current *wire.WorkerStatus)
+		sentFull, sentChange bool
+		hasMoreFree          bool
 	}{
-		"nothing":                    {func(*wire.WorkerStatus) {}, false, false, false},
-		"room that is taken":         {func(now *wire.WorkerStatus) { now.FreeMilliCpu = 1000 }, false, true, false},
-		"room that is given back":    {func(now *wire.WorkerStatus) { now.FreeMemoryMb = 110_000 }, false, true, true},
-		"a tolerance":                {func(now *wire.WorkerStatus) { now.Tolerances[1].MilliCpu = 2000 }, false, true, false},
-		"a tolerance, hardly":        {func(now *wire.WorkerStatus) { now.Tolerances[1].MilliCpu = 4300 }, false, false, false},
-		"a tolerance, without end":   {func(now *wire.WorkerStatus) { now.Tolerances[0].MilliCpu = 40_000 }, false, false, false},
-		"a tolerance, below zero":    {func(now *wire.WorkerStatus) { now.Tolerances[1].MilliCpu = -1 }, false, true, false},
-		"an image that is new":       {func(now *wire.WorkerStatus) { now.Tolerances = append(now.Tolerances, &wire.Tolerance{Image: "new"}) }, false, true, false},
-		"images that serve":          {func(now *wire.WorkerStatus) { now.ServingImages = nil }, false, true, false},
-		"runs that can be stopped":   {func(now *wire.WorkerStatus) { now.Reclaimable = nil }, false, true, false},
-		"a worker that drains":       {func(now *wire.WorkerStatus) { now.Draining = true }, true, false, false},
-		"a worker that is not heard": {func(now *wire.WorkerStatus) { now.Ready = false }, true, false, false},
-		"another incarnation":        {func(now *wire.WorkerStatus) { now.Worker = "i-2" }, true, false, true},
+		"no change":                             {func(*wire.WorkerStatus) {}, false, false, false},
+		"resources taken":                       {func(current *wire.WorkerStatus) { current.FreeMilliCpu = 1000 }, false, true, false},
+		"resources freed":                       {func(current *wire.WorkerStatus) { current.FreeMemoryMb = 110_000 }, false, true, true},
+		"tolerance halved":                      {func(current *wire.WorkerStatus) { current.Tolerances[1].MilliCpu = 2000 }, false, true, false},
+		"tolerance changed by less than a step": {func(current *wire.WorkerStatus) { current.Tolerances[1].MilliCpu = 4300 }, false, false, false},
+		"tolerance beyond all processors":       {func(current *wire.WorkerStatus) { current.Tolerances[0].MilliCpu = 40_000 }, false, false, false},
+		"tolerance turns negative":              {func(current *wire.WorkerStatus) { current.Tolerances[1].MilliCpu = -1 }, false, true, false},
+		"tolerance for a new image": {func(current *wire.WorkerStatus) {
+			current.Tolerances = append(current.Tolerances, &wire.Tolerance{Image: "new"})
+		}, false, true, false},
+		"serving images":        {func(current *wire.WorkerStatus) { current.ServingImages = nil }, false, true, false},
+		"reclaimable resources": {func(current *wire.WorkerStatus) { current.Reclaimable = nil }, false, true, false},
+		"draining":              {func(current *wire.WorkerStatus) { current.Draining = true }, true, false, false},
+		"not ready":             {func(current *wire.WorkerStatus) { current.Ready = false }, true, false, false},
+		"other incarnation":     {func(current *wire.WorkerStatus) { current.Worker = "i-2" }, true, false, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var told status.Encoder
-			heard := status.NewDecoder()
+			var encoder status.Encoder
+			decoder := status.NewDecoder()
 			first := &wire.AgentMessage{}
-			told.Encode(first, newWorker())
-			if !heard.Apply(roundTrip(t, first)) {
-				t.Error("the first message brought no room")
+			encoder.Encode(first, newWorker())
+			if !decoder.Apply(roundTrip(t, first)) {
+				t.Error("Apply reported no free resources for the first message")
 			}
-			now := newWorker()
-			test.change(now)
+			current := newWorker()
+			test.change(current)
 			second := &wire.AgentMessage{}
-			told.Encode(second, now)
-			if whole := second.GetStatus() != nil; whole != test.whole {
-				t.Errorf("told whole: %v", whole)
+			encoder.Encode(second, current)
+			if sent := second.GetStatus() != nil; sent != test.sentFull {
+				t.Errorf("sent a full status: %v", sent)
 			}
-			if changed := second.GetChange() != nil; changed != test.asChange {
-				t.Errorf("told as a change: %v", changed)
+			if sent := second.GetChange() != nil; sent != test.sentChange {
+				t.Errorf("sent a change: %v", sent)
 			}
-			if grew := heard.Apply(roundTrip(t, second)); grew != test.grew {
-				t.Errorf("room grew: %v", grew)
+			if got := decoder.Apply(roundTrip(t, second)); got != test.hasMoreFree {
+				t.Errorf("Apply reported more free resources: %v", got)
 			}
-			expectEqualStatus(t, heard, now)
+			expectEqualStatus(t, decoder, current)
 		})
 	}
 }
 
-// expectEqualStatus fails where what was heard differs from what is by more than a tolerance
-// that hardly moved.
-func expectEqualStatus(t *testing.T, heard *status.Decoder, now *wire.WorkerStatus) {
+// expectEqualStatus fails the test if the decoded status differs from the current one by more than the step below
+// which tolerances are not sent.
+func expectEqualStatus(t *testing.T, decoder *status.Decoder, current *wire.WorkerStatus) {
 	t.Helper()
-	for _, known := range now.GetTolerances() {
-		got, want := heard.Tolerance(known.GetImage()), known.GetMilliCpu()
-		beyond := got >= workerMilliCPU && want >= workerMilliCPU
-		most := max(workerMilliCPU/640, max(got, -got)/10)
-		if off := max(got-want, want-got); !beyond && (off > most || (got < 0) != (want < 0)) {
-			t.Errorf("%s: heard of %d, is %d", known.GetImage(), got, want)
+	for _, tolerance := range current.GetTolerances() {
+		got, want := decoder.Tolerance(tolerance.GetImage()), tolerance.GetMilliCpu()
+		unlimited := got >= workerMilliCPU && want >= workerMilliCPU
+		maxDifference := max(workerMilliCPU/640, max(got, -got)/10)
+		if difference := max(got-want, want-got); !unlimited && (difference > maxDifference || (got < 0) != (want < 0)) {
+			t.Errorf("%s: decoded tolerance %d, want %d", tolerance.GetImage(), got, want)
 		}
 	}
-	got, want := proto.CloneOf(heard.Status()), proto.CloneOf(now)
+	got, want := proto.CloneOf(decoder.Status()), proto.CloneOf(current)
 	got.Tolerances, want.Tolerances = nil, nil
 	got.ToleratedMilliCpu, want.ToleratedMilliCpu = 0, 0
 	if !proto.Equal(got, want) {
-		t.Errorf("heard of %v, is %v", got, want)
+		t.Errorf("decoded %v, want %v", got, want)
 	}
 }
 
-// TestDecoderFollowsWorker: whatever changes, in whatever order, and wherever a stream
-// ends and another begins, what is heard is what is.
+// TestDecoderFollowsWorker checks that the decoded status stays equal to the worker's through random changes in any
+// order, and through streams that end and are replaced at any point.
 func TestDecoderFollowsWorker(t *testing.T) {
 	for seed := range uint64(50) {
-		draws := rand.New(rand.NewPCG(seed, 7))
-		var told status.Encoder
-		heard := status.NewDecoder()
-		now := newWorker()
+		random := rand.New(rand.NewPCG(seed, 7))
+		var encoder status.Encoder
+		decoder := status.NewDecoder()
+		current := newWorker()
 		for range 200 {
-			now = randomChange(now, draws)
-			if draws.IntN(20) == 0 {
-				told = status.Encoder{}
+			current = randomChange(current, random)
+			if random.IntN(20) == 0 {
+				encoder = status.Encoder{}
 			}
 			message := &wire.AgentMessage{}
-			told.Encode(message, now)
-			heard.Apply(roundTrip(t, message))
-			expectEqualStatus(t, heard, now)
+			encoder.Encode(message, current)
+			decoder.Apply(roundTrip(t, message))
+			expectEqualStatus(t, decoder, current)
 		}
 	}
 }
 
-// randomChange returns a worker of which something has changed.
-func randomChange(before *wire.WorkerStatus, draws *rand.Rand) *wire.WorkerStatus {
-	now := proto.CloneOf(before)
-	switch draws.IntN(7) {
+// randomChange returns a copy of the status with one random field changed.
+func randomChange(before *wire.WorkerStatus, random *rand.Rand) *wire.WorkerStatus {
+	current := proto.CloneOf(before)
+	switch random.IntN(7) {
 	case 0:
-		now.FreeMilliCpu = draws.Int64N(workerMilliCPU)
+		current.FreeMilliCpu = random.Int64N(workerMilliCPU)
 	case 1:
-		now.Tolerances[draws.IntN(len(now.Tolerances))].MilliCpu = draws.Int64N(2*workerMilliCPU) - 1000
+		current.Tolerances[random.IntN(len(current.Tolerances))].MilliCpu = random.Int64N(2*workerMilliCPU) - 1000
 	case 2:
-		now.Tolerances = append(now.Tolerances, &wire.Tolerance{Image: fmt.Sprint(len(now.Tolerances)), MilliCpu: draws.Int64N(workerMilliCPU)})
+		current.Tolerances = append(current.Tolerances, &wire.Tolerance{Image: fmt.Sprint(len(current.Tolerances)), MilliCpu: random.Int64N(workerMilliCPU)})
 	case 3:
-		now.ServingImages = append(now.ServingImages, fmt.Sprint(draws.IntN(9)))
+		current.ServingImages = append(current.ServingImages, fmt.Sprint(random.IntN(9)))
 	case 4:
-		now.Worker = fmt.Sprint("i-", draws.IntN(3))
+		current.Worker = fmt.Sprint("i-", random.IntN(3))
 	case 5:
-		now.Draining = !now.Draining
+		current.Draining = !current.Draining
 	case 6:
-		now.Reclaimable = []*wire.Reclaimable{{Priority: draws.Int32N(3), MilliCpu: draws.Int64N(5000)}}
+		current.Reclaimable = []*wire.Reclaimable{{Priority: random.Int32N(3), MilliCpu: random.Int64N(5000)}}
 	}
-	return now
+	return current
 }
 
-// TestInvalidToleranceNumberIgnored: numbers that the stream has not told of change nothing.
+// TestInvalidToleranceNumberIgnored checks that a change with tolerance numbers that the stream has not introduced,
+// or with more numbers than values, changes no tolerance.
 func TestInvalidToleranceNumberIgnored(t *testing.T) {
-	heard := status.NewDecoder()
-	heard.Apply(&wire.AgentMessage{Status: newWorker()})
-	heard.Apply(&wire.AgentMessage{Change: &wire.StatusChange{
+	decoder := status.NewDecoder()
+	decoder.Apply(&wire.AgentMessage{Status: newWorker()})
+	decoder.Apply(&wire.AgentMessage{Change: &wire.StatusChange{
 		FreeMilliCpu: 30_000, FreeMemoryMb: 100_000, ToleratedMilliCpu: 9000,
 		Tolerance: []int32{9, -1, 1}, ToleranceMilliCpu: []int64{1, 2},
 	}})
-	expectEqualStatus(t, heard, newWorker())
+	expectEqualStatus(t, decoder, newWorker())
 }
