--- a/owner/advice.go
+++ b/owner/advice.go
@@ -63,7 +63,7 @@
 	if task.Job().Submission().GetAdvice() == nil {
 		return "", true
 	}
-	known, found := owner.advised.steps[stepName(task)]
+	known, found := owner.advice.steps[stepName(task)]
 	if !found {
 		return "", false
 	}
@@ -80,28 +80,28 @@
 		return
 	}
 	name := stepName(task)
-	known, found := owner.advised.steps[name]
+	known, found := owner.advice.steps[name]
 	if !found {
 		known = &stepAdvice{timing: task.Job().Submission().GetAdvice(), service: task.Job().Submission().GetService()}
-		owner.advised.steps[name] = known
+		owner.advice.steps[name] = known
 	}
 	if known.pending || now.Sub(known.queriedAt) < adviceRetryInterval {
 		return
 	}
 	known.pending = true
-	owner.advised.queue = append(owner.advised.queue, name)
+	owner.advice.queue = append(owner.advice.queue, name)
 	owner.requestNextAdvice(now)
 }
 
 // requestNextAdvice asks the next question of the queue that can be asked, if none is on its
 // way.
 func (owner *Owner) requestNextAdvice(now time.Time) {
-	for !owner.advised.inFlight && len(owner.advised.queue) > 0 {
-		name := owner.advised.queue[0]
-		owner.advised.queue = owner.advised.queue[1:]
+	for !owner.advice.inFlight && len(owner.advice.queue) > 0 {
+		name := owner.advice.queue[0]
+		owner.advice.queue = owner.advice.queue[1:]
 		// A step whose ticket a worker refused while the question waited is
 		// forgotten; it is queued anew when one of its tasks finds no place.
-		if known, wanted := owner.advised.steps[name]; wanted {
+		if known, wanted := owner.advice.steps[name]; wanted {
 			owner.requestAdvice(name, known, now)
 		}
 	}
@@ -116,14 +116,14 @@
 		known.queried = nil
 		return
 	}
-	owner.advised.inFlight = true
+	owner.advice.inFlight = true
 	limit := known.expectedDuration(len(workers)) + adviceTimeoutMargin
 	go func() {
 		ctx, cancel := context.WithTimeout(owner.ctx, limit)
 		defer cancel()
 		advice, err := owner.options.Advisor.Advise(ctx, name, workerIDs(workers))
-		owner.decisions.Post(func(now time.Time) {
-			owner.advised.inFlight = false
+		owner.eventLoop.Post(func(now time.Time) {
+			owner.advice.inFlight = false
 			known.pending = false
 			owner.handleAdvice(name, known, workers, advice, err, now)
 			owner.requestNextAdvice(now)
@@ -147,9 +147,9 @@
 
 // expireAdvice drops the steps that were last asked about long ago.
 func (owner *Owner) expireAdvice(now time.Time) {
-	for name, known := range owner.advised.steps {
+	for name, known := range owner.advice.steps {
 		if !known.pending && now.Sub(known.queriedAt) > adviceRetention && now.After(known.expiresAt) {
-			delete(owner.advised.steps, name)
+			delete(owner.advice.steps, name)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	var workers []incarnation.ID
 	for _, view := range owner.agents {
 		status := view.status()
-		if view.link == nil || !status.GetReady() || status.GetDraining() || status.GetService() != known.service || known.queried[view.incarnation()] {
+		if view.conn == nil || !status.GetReady() || status.GetDraining() || status.GetService() != known.service || known.queried[view.incarnation()] {
 			continue
 		}
 		workers = append(workers, view.incarnation())
@@ -186,12 +186,12 @@
 			known.tickets[worker] = ticket{token: text, expiresAt: known.expiresAt}
 		}
 	}
-	owner.lookout.addAll()
+	owner.placementChanges.addAll()
 	owner.log(event.AdviceTaken, slog.String("step", name), slog.Int("asked", len(workers)),
 		slog.Int("good", len(advice.Tickets)), slog.Duration("valid", advice.Valid))
 }
 
 // dropAdvice forgets the tickets of a step that a worker did not take.
 func (owner *Owner) dropAdvice(task *job.Task) {
-	delete(owner.advised.steps, stepName(task))
+	delete(owner.advice.steps, stepName(task))
 }
--- a/owner/advice_test.go
+++ b/owner/advice_test.go
@@ -23,8 +23,8 @@
 		t.Fatal("placed without a ticket")
 	}
 	now := made.clock.Now()
-	made.owner.advised.steps[jobID+".0.0"] = &stepAdvice{tickets: map[incarnation.ID]ticket{incarnation.New(workerID, 0): {token: "c81e", expiresAt: now.Add(3 * time.Second)}}, expiresAt: now.Add(3 * time.Second)}
-	made.owner.lookout.addAll()
+	made.owner.advice.steps[jobID+".0.0"] = &stepAdvice{tickets: map[incarnation.ID]ticket{incarnation.New(workerID, 0): {token: "c81e", expiresAt: now.Add(3 * time.Second)}}, expiresAt: now.Add(3 * time.Second)}
+	made.owner.placementChanges.addAll()
 	made.step()
 	made.awaitWrites()
 	made.step()
@@ -41,14 +41,14 @@
 	made.attach()
 	now := made.clock.Now()
 	made.owner.options.Advisor = platform.NewAdvisor("127.0.0.1:1", platform.Transport())
-	made.owner.advised.steps["no worker"] = &stepAdvice{timing: adviceTiming(), service: "another", pending: true}
-	made.owner.advised.steps["last"] = &stepAdvice{timing: adviceTiming(), service: "verbale", pending: true}
-	made.owner.advised.queue = []string{"forgotten", "no worker", "last"}
+	made.owner.advice.steps["no worker"] = &stepAdvice{timing: adviceTiming(), service: "another", pending: true}
+	made.owner.advice.steps["last"] = &stepAdvice{timing: adviceTiming(), service: "verbale", pending: true}
+	made.owner.advice.queue = []string{"forgotten", "no worker", "last"}
 	made.owner.requestNextAdvice(now)
-	if !made.owner.advised.inFlight || made.owner.advised.steps["last"].queriedAt != now {
+	if !made.owner.advice.inFlight || made.owner.advice.steps["last"].queriedAt != now {
 		t.Error("the last question was not asked")
 	}
-	if made.owner.advised.steps["no worker"].pending {
+	if made.owner.advice.steps["no worker"].pending {
 		t.Error("a step without workers to ask about goes on waiting")
 	}
 }
@@ -57,11 +57,11 @@
 func TestOldAdviceExpires(t *testing.T) {
 	made := newHarness(t)
 	now := made.clock.Now()
-	made.owner.advised.steps["old"] = &stepAdvice{queriedAt: now.Add(-2 * adviceRetention)}
-	made.owner.advised.steps["asked for"] = &stepAdvice{queriedAt: now.Add(-2 * adviceRetention), pending: true}
-	made.owner.advised.steps["new"] = &stepAdvice{queriedAt: now}
+	made.owner.advice.steps["old"] = &stepAdvice{queriedAt: now.Add(-2 * adviceRetention)}
+	made.owner.advice.steps["asked for"] = &stepAdvice{queriedAt: now.Add(-2 * adviceRetention), pending: true}
+	made.owner.advice.steps["new"] = &stepAdvice{queriedAt: now}
 	made.owner.expireAdvice(now)
-	if len(made.owner.advised.steps) != 2 || made.owner.advised.steps["old"] != nil {
-		t.Errorf("kept %v", made.owner.advised.steps)
+	if len(made.owner.advice.steps) != 2 || made.owner.advice.steps["old"] != nil {
+		t.Errorf("kept %v", made.owner.advice.steps)
 	}
 }
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -44,7 +44,7 @@
 		server.Close()
 	})
 	return New(Options{
-		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: 8, Grant: 6 * time.Second, Silent: 1500 * time.Millisecond,
+		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: 8, GrantDuration: 6 * time.Second, MemberTimeout: 1500 * time.Millisecond,
 		Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport()), Clock: clock, Events: event.Discard(),
 	})
 }
@@ -56,12 +56,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	made.owner.ctx = ctx
-	made.owner.joinedAt = clock.Now()
+	made.owner.lastJoinAt = clock.Now()
 	number := job.ShardOf(jobID, 8)
 	made.shard = newShard(ctx, number, 3, clock.Now())
-	made.shard.active = true
+	made.shard.loaded = true
 	made.owner.shards[number] = made.shard
-	made.agent = newView(agentAddress)
+	made.agent = newAgentView(agentAddress)
 	made.owner.agents[agentAddress] = made.agent
 	return made
 }
@@ -82,7 +82,7 @@
 }
 
 func (made *harness) readRecords(records ...platform.Record) {
-	made.owner.noteTail(made.shard, platform.Tail{Records: records}, made.clock.Now())
+	made.owner.applyRecords(made.shard, platform.Tail{Records: records}, made.clock.Now())
 }
 
 // submit has the owner read the job.
@@ -99,7 +99,7 @@
 }
 
 func (made *harness) attach() {
-	made.owner.noteAttached(made.agent, &link{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
+	made.owner.handleConnected(made.agent, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
 	made.receive(&wire.AgentMessage{})
 }
 
@@ -117,7 +117,7 @@
 		message.Status = idleWorkerStatus()
 	}
 	message.Handled = made.handledSequence
-	made.owner.noteAgent(made.agent, made.agent.link, message, made.clock.Now())
+	made.owner.handleAgentMessage(made.agent, made.agent.conn, message, made.clock.Now())
 }
 
 // takeSent returns what has gone out to the agent, which then has handled it.
@@ -125,7 +125,7 @@
 	var messages []*wire.OwnerMessage
 	for {
 		select {
-		case message := <-made.agent.link.outbox:
+		case message := <-made.agent.conn.outbox:
 			messages = append(messages, message)
 			made.handledSequence = message.GetSequence()
 		default:
@@ -145,7 +145,7 @@
 // awaitWrites waits until what is on its way to the store has come back.
 func (made *harness) awaitWrites() {
 	for made.shard.writing {
-		made.owner.decisions.RunOne(made.clock.Now())
+		made.owner.eventLoop.RunOne(made.clock.Now())
 	}
 }
 
@@ -168,5 +168,5 @@
 }
 
 func (made *harness) step() {
-	made.owner.step(made.clock.Now())
+	made.owner.tick(made.clock.Now())
 }
--- a/owner/cancelled_test.go
+++ b/owner/cancelled_test.go
@@ -8,8 +8,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// stopsFor counts the stops that have gone out for the first task.
-func stopsFor(messages []*wire.OwnerMessage) int {
+// countStops counts the stops that have gone out for the first task.
+func countStops(messages []*wire.OwnerMessage) int {
 	count := 0
 	for _, message := range messages {
 		for _, order := range message.GetStops() {
@@ -21,8 +21,8 @@
 	return count
 }
 
-// listed has the agent list a run of the first task.
-func (made *harness) listed() {
+// listFirstRun has the agent list a run of the first task.
+func (made *harness) listFirstRun() {
 	made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1, Percent: 1}}})
 }
 
@@ -37,7 +37,7 @@
 		"it runs": func(made *harness) {
 			made.submit()
 			made.attachAndStart()
-			made.listed()
+			made.listFirstRun()
 			cancel(made)
 		},
 		"it is begun late, after its end was taken for certain": func(made *harness) {
@@ -50,14 +50,14 @@
 			made.awaitWrites()
 			made.takeSent()
 			made.clock.Advance(5 * time.Second)
-			made.owner.joinedAt = made.clock.Now()
-			made.listed()
+			made.owner.lastJoinAt = made.clock.Now()
+			made.listFirstRun()
 		},
 		"its owner is gone for good": func(made *harness) {
 			made.adoptRun(workerID)
 			cancel(made)
 			made.attach()
-			made.listed()
+			made.listFirstRun()
 		},
 		"the cancellation is read before the job": func(made *harness) {
 			cancel(made)
@@ -66,7 +66,7 @@
 			made.step()
 			made.awaitWrites()
 			made.takeSent()
-			made.listed()
+			made.listFirstRun()
 		},
 	}
 	for name, prepare := range tests {
@@ -74,7 +74,7 @@
 			made := newHarness(t)
 			prepare(made)
 			made.step()
-			if count := stopsFor(made.takeSent()); count != 1 {
+			if count := countStops(made.takeSent()); count != 1 {
 				t.Errorf("%d stops ordered", count)
 			}
 		})
--- a/owner/candidate.go
+++ b/owner/candidate.go
@@ -44,13 +44,13 @@
 	var workers []*candidate
 	for view := range views {
 		status := view.status()
-		if view.link == nil || !status.GetReady() || status.GetDraining() || now.Before(view.avoidUntil) || now.Sub(view.heardAt) > 2*grantEvery {
+		if view.conn == nil || !status.GetReady() || status.GetDraining() || now.Before(view.avoidUntil) || now.Sub(view.lastMessageAt) > 2*grantInterval {
 			continue
 		}
 		worker := newCandidate(view)
 		worker.evacuated = owner.isEvacuated(view)
-		worker.hasSuspect = now.Before(view.suspectUntil)
-		worker.hasTrialRun = view.onTrial(now)
+		worker.hasSuspect = now.Before(view.noSuspectsUntil)
+		worker.hasTrialRun = view.hasProbationRun(now)
 		workers = append(workers, worker)
 	}
 	return workers
@@ -63,10 +63,10 @@
 		view: view, free: admission.NewResources(status.GetFreeMilliCpu(), status.GetFreeMemoryMb(), status.GetFreeAccelerators()),
 		fillMilliCPU: status.GetFillMilliCpu(), servingMilliCPU: status.GetServingMilliCpu(),
 		servingImages: slices.Clone(status.GetServingImages()),
-		onProbation:   view.failures >= failuresBeforeDoubt,
+		onProbation:   view.consecutiveFailures >= failuresBeforeProbation,
 	}
 	for _, entry := range view.runs {
-		if !entry.reflected {
+		if !entry.inAgentStatus {
 			worker.reserve(entry.demand)
 		}
 	}
@@ -147,7 +147,7 @@
 // toleratedMilliCPU returns how many more processors of a filling image the worker's
 // serving tasks bear, at most what is idle; below zero, how much they would suffer.
 func (worker *candidate) toleratedMilliCPU(image string) int64 {
-	return min(worker.idleMilliCPU(), worker.view.heard.Tolerance(image)-worker.unreportedFillMilliCPU)
+	return min(worker.idleMilliCPU(), worker.view.statusDecoder.Tolerance(image)-worker.unreportedFillMilliCPU)
 }
 
 // fitsTwice reports whether the worker has what a task holds twice over.
--- a/owner/learned.go
+++ b/owner/learned.go
@@ -129,7 +129,7 @@
 // learnedTable returns the table of the shared shard, nil if it is not owned.
 func (owner *Owner) learnedTable() *learnedTable {
 	held, owned := owner.shards[job.InterferenceShard]
-	if !owned || !held.active {
+	if !owned || !held.loaded {
 		return nil
 	}
 	return held.learned
--- a/owner/lookout.go
+++ b/owner/lookout.go
@@ -10,7 +10,7 @@
 //
 // A task that has just found no place finds one only where something has changed: at the workers whose room has grown, or
 // for a task that was not ready then. So a look goes over the jobs that changed on all workers, and over all
-// jobs on the workers that grew; all jobs on all workers once in stepEvery, since pauses, doubts and the patience of jobs end
+// jobs on the workers that grew; all jobs on all workers once in tickInterval, since pauses, doubts and the patience of jobs end
 // without an event. What a look costs follows from what has changed, not from the fleet.
 type placementChanges struct {
 	jobs    map[*job.Job]bool
@@ -35,7 +35,7 @@
 
 // isDue reports whether places are to be looked for.
 func (seen *placementChanges) isDue(now time.Time) bool {
-	return seen.full || len(seen.jobs)+len(seen.workers) > 0 || now.Sub(seen.fullPassAt) >= stepEvery
+	return seen.full || len(seen.jobs)+len(seen.workers) > 0 || now.Sub(seen.fullPassAt) >= tickInterval
 }
 
 // take returns what has changed, and begins anew.
@@ -43,7 +43,7 @@
 	taken := *seen
 	*seen = newPlacementChanges()
 	seen.fullPassAt = taken.fullPassAt
-	taken.full = taken.full || now.Sub(taken.fullPassAt) >= stepEvery
+	taken.full = taken.full || now.Sub(taken.fullPassAt) >= tickInterval
 	if taken.full {
 		seen.fullPassAt = now
 	}
--- a/owner/place_test.go
+++ b/owner/place_test.go
@@ -20,8 +20,8 @@
 		made.step()
 		made.awaitWrites()
 		made.clock.Advance(95 * time.Millisecond)
-		made.owner.joinedAt = made.clock.Now()
-		made.agent.heardAt = made.clock.Now()
+		made.owner.lastJoinAt = made.clock.Now()
+		made.agent.lastMessageAt = made.clock.Now()
 	}
 	if got := of.Tasks()[0].Attempt(); got != 2 {
 		t.Errorf("after 0.8 s it is at attempt %d", got)
@@ -37,7 +37,7 @@
 	status := idleWorkerStatus()
 	status.Tolerances = []*wire.Tolerance{{Image: "loud", MilliCpu: 0}}
 	hear := func() {
-		made.owner.joinedAt = made.clock.Now()
+		made.owner.lastJoinAt = made.clock.Now()
 		made.receive(&wire.AgentMessage{Status: status})
 		made.step()
 	}
--- a/owner/share.go
+++ b/owner/share.go
@@ -12,26 +12,26 @@
 // all that others have learned.
 func (owner *Owner) addLearned(view *agentView, now time.Time) {
 	table := owner.learnedTable()
-	if table == nil || !view.greeted || now.Sub(view.sharedAt) < learnedSendInterval {
+	if table == nil || !view.heardOnConn || now.Sub(view.learnedSentAt) < learnedSendInterval {
 		return
 	}
-	view.sharedAt = now
+	view.learnedSentAt = now
 	if !view.keepsLearned {
-		view.message.Learned = table.meansExcluding(view)
+		view.nextMessage.Learned = table.meansExcluding(view)
 		return
 	}
 	owner.publishLearned(table, now)
-	if view.sharedVersion < table.version {
-		view.message.LearnedByAll = table.changedSince(view.sharedVersion)
-		view.sharedVersion = table.version
+	if view.learnedSentVersion < table.version {
+		view.nextMessage.LearnedByAll = table.changedSince(view.learnedSentVersion)
+		view.learnedSentVersion = table.version
 	}
 }
 
 // publishLearned begins a new version of the table where that is due: once for all agents.
 func (owner *Owner) publishLearned(table *learnedTable, now time.Time) {
-	if now.Sub(owner.publishedAt) < learnedSendInterval {
+	if now.Sub(owner.learnedPublishedAt) < learnedSendInterval {
 		return
 	}
-	owner.publishedAt = now
+	owner.learnedPublishedAt = now
 	table.publish()
 }
