--- a/owner/agents.go
+++ b/owner/agents.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// agentAddress returns the view of the agent at an address, and begins to connect to
+// ensureAgent returns the view of the agent at an address, and begins to connect to
 // one that is new.
 func (owner *Owner) ensureAgent(address string) *agentView {
 	if view, known := owner.agents[address]; known || address == "" || owner.agentsDropped {
