--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,16 +1,15 @@
-// Package placement decides which worker a task goes to.
+// Package placement selects the worker that a task runs on.
 //
-// A decision has two steps. Constraints leave out the workers that can't take
-// the task: those that leave, are drained, silent or suspected, lie in another
-// failure domain, or lack processors, memory or accelerators. The operators'
-// policy then scores the rest, and the highest score wins. The decision counts
-// the workers left out for each constraint, so that it can be explained.
+// A decision has two steps. First, constraints rule out the workers that can't run the task: those that are
+// shutting down, draining, silent or suspected, are in another failure domain, or lack processors, memory or
+// accelerators. Then the operators' policy scores the remaining workers, and the highest score wins. The decision
+// counts the workers ruled out by each constraint, so that it can be explained.
 //
 // # Usage
 //
-//	board := placement.NewWorkerSet(workers)
-//	decision := board.Decide(runner, policies, task)
-//	if decision.Placed() { board.Take(decision.Worker(), task.Spec) }
+//	set := placement.NewWorkerSet(workers)
+//	decision := set.Decide(runner, policies, task)
+//	if decision.IsPlaced() { set.Reserve(decision.Worker(), task.Spec) }
 package placement
 
 import (
@@ -23,10 +22,11 @@
 	"ambertiller.example/ambertiller/record"
 )
 
-// Constraint is a reason why a worker can't take a task.
+// Constraint is a reason why a worker can't run a task.
 type Constraint string
 
-// The constraints, in the order in which they are checked.
+// The constraints. [WorkerSet.Decide] checks all but OverQuota, which callers check and pass to
+// [WorkerSet.RejectAll]. The texts are part of the API and of the log.
 const (
 	NotReady      Constraint = "worker not ready"
 	Draining      Constraint = "worker draining"
@@ -41,17 +41,17 @@
 	OverQuota     Constraint = "team over its quota"
 )
 
-// Resources is a share of a worker.
+// Resources is an amount of processors, memory and accelerators.
 type Resources struct {
 	MilliCPU     int64
 	MemoryBytes  int64
 	Accelerators int64
 }
 
-// ResourcesOf returns what a task asks for.
+// ResourcesOf returns the resources that a task requests.
 func ResourcesOf(spec *record.TaskSpec) Resources {
-	asked := spec.GetResources()
-	return Resources{MilliCPU: asked.GetMilliCpu(), MemoryBytes: asked.GetMemoryBytes(), Accelerators: asked.GetAccelerators()}
+	requested := spec.GetResources()
+	return Resources{MilliCPU: requested.GetMilliCpu(), MemoryBytes: requested.GetMemoryBytes(), Accelerators: requested.GetAccelerators()}
 }
 
 func (amount Resources) add(other Resources) Resources {
@@ -62,35 +62,35 @@
 	}
 }
 
-// Worker is what is known of one worker when placing.
+// Worker describes a worker at the time of a decision.
 type Worker struct {
 	Name          string
 	Incarnation   string
 	FailureDomain string
 	Rack          string
 	Capacity      Resources
-	Committed     Resources
-	UsedMilliCPU  int64
+	Committed     Resources // requested by the tasks placed on the worker
+	UsedMilliCPU  int64     // as measured
 	Tasks         int
-	Load          float64
+	Load          float64 // share of the slots in use
 	Latency       time.Duration
-	StartFailures int
-	// BlockedBy is why the worker takes no task at all now, empty when it does.
+	StartFailures int // recent ones
+	// BlockedBy is the reason why the worker accepts no task at all at the moment, or "" if it accepts tasks.
 	BlockedBy Constraint
 }
 
-// Task is what is known of the task to place.
+// Task describes the task to place.
 type Task struct {
 	ID       string
 	Spec     *record.TaskSpec
 	Class    string
 	Attempts uint64
 	Waited   time.Duration
-	// RefusedBy names the workers that refused the task lately.
+	// RefusedBy lists the workers that recently refused the task.
 	RefusedBy []string
 }
 
-// Decision is the outcome for one task.
+// Decision is the result of placing one task.
 type Decision struct {
 	worker        string
 	score         float64
@@ -102,92 +102,92 @@
 	workerCount   int
 }
 
-// IsPlaced reports whether a worker was found.
+// IsPlaced reports whether a worker was selected.
 func (decision *Decision) IsPlaced() bool { return decision.worker != "" }
 
-// Worker returns the worker, empty when none was found.
+// Worker returns the name of the selected worker, or "" if there is none.
 func (decision *Decision) Worker() string { return decision.worker }
 
-// Score returns the policy's score of that worker.
+// Score returns the policy's score of the selected worker.
 func (decision *Decision) Score() float64 { return decision.score }
 
-// RunnerUp returns the next best worker and its score.
+// RunnerUp returns the name and the score of the worker with the second highest score.
 func (decision *Decision) RunnerUp() (string, float64) {
 	return decision.runnerUp, decision.runnerUpScore
 }
 
-// Policy returns the name and version of the policy that decided.
+// Policy returns the name and version of the policy that made the decision.
 func (decision *Decision) Policy() string { return decision.policy }
 
-// PolicyError returns why the published policy was not used, nil when it was.
+// PolicyError returns the error of the policy in force that made the decision fall back to the built-in policy, or
+// nil.
 func (decision *Decision) PolicyError() error { return decision.policyErr }
 
-// Rejected returns how many workers were left out for each constraint.
+// Rejected returns the number of workers ruled out by each constraint.
 func (decision *Decision) Rejected() map[Constraint]int { return decision.rejected }
 
-// WorkerCount returns how many workers were looked at.
+// WorkerCount returns the number of workers considered.
 func (decision *Decision) WorkerCount() int { return decision.workerCount }
 
-// IsImpossible reports whether no known worker could take the task even empty.
+// IsImpossible reports whether none of the workers could run the task even if it ran nothing else.
 func (decision *Decision) IsImpossible() bool {
 	return decision.workerCount > 0 && decision.rejected[TooSmall]+decision.rejected[OtherDomain] == decision.workerCount
 }
 
-// WorkerSet holds the workers for one round of decisions.
+// WorkerSet holds the workers of one round of decisions.
 type WorkerSet struct {
 	workers []*Worker
 	byName  map[string]*Worker
 }
 
-// NewWorkerSet returns a board of workers, which it may change.
+// NewWorkerSet returns a set of the workers. It sorts the slice, and [WorkerSet.Reserve] modifies the workers.
 func NewWorkerSet(workers []*Worker) *WorkerSet {
-	board := &WorkerSet{workers: workers, byName: make(map[string]*Worker, len(workers))}
+	set := &WorkerSet{workers: workers, byName: make(map[string]*Worker, len(workers))}
 	slices.SortFunc(workers, func(a, b *Worker) int { return cmp.Compare(a.Name, b.Name) })
-	for _, each := range workers {
-		board.byName[each.Name] = each
+	for _, worker := range workers {
+		set.byName[worker.Name] = worker
 	}
-	return board
+	return set
 }
 
-// Worker returns a worker of the board, nil when there is none of that name.
-func (board *WorkerSet) Worker(name string) *Worker { return board.byName[name] }
+// Worker returns the worker with a name, or nil if the set has none.
+func (set *WorkerSet) Worker(name string) *Worker { return set.byName[name] }
 
-// Reserve counts a task on a worker for the rest of the round.
-func (board *WorkerSet) Reserve(worker string, spec *record.TaskSpec) {
-	taker := board.byName[worker]
-	taker.Committed = taker.Committed.add(ResourcesOf(spec))
-	taker.Tasks++
+// Reserve adds a task and its resources to a worker for the remaining decisions of the round.
+func (set *WorkerSet) Reserve(worker string, spec *record.TaskSpec) {
+	target := set.byName[worker]
+	target.Committed = target.Committed.add(ResourcesOf(spec))
+	target.Tasks++
 }
 
-// Policies are the programs that a decision may use.
+// Policies holds the programs that a decision may use.
 type Policies struct {
 	InForce document.Policy
 	BuiltIn document.Policy
 }
 
-// Decide finds the worker for a task. When the policy in force fails on any
-// worker, the whole decision is made by the built-in one, so that scores of
-// two programs are never compared.
-func (board *WorkerSet) Decide(runner *policy.Runner, policies Policies, task *Task) *Decision {
-	decision := board.decideWith(runner, policies.InForce, task)
+// Decide selects the worker for a task. If the policy in force fails for any worker, the built-in policy makes the
+// whole decision, so that scores of two different programs are never compared.
+func (set *WorkerSet) Decide(runner *policy.Runner, policies Policies, task *Task) *Decision {
+	decision := set.decideWith(runner, policies.InForce, task)
 	if decision.policyErr == nil {
 		return decision
 	}
-	fallback := board.decideWith(runner, policies.BuiltIn, task)
+	fallback := set.decideWith(runner, policies.BuiltIn, task)
 	fallback.policyErr = decision.policyErr
 	return fallback
 }
 
-func (board *WorkerSet) decideWith(runner *policy.Runner, inForce document.Policy, task *Task) *Decision {
-	decision := &Decision{policy: inForce.String(), rejected: map[Constraint]int{}, workerCount: len(board.workers)}
+func (set *WorkerSet) decideWith(runner *policy.Runner, active document.Policy, task *Task) *Decision {
+	decision := &Decision{policy: active.String(), rejected: map[Constraint]int{}, workerCount: len(set.workers)}
 	inputs := &policy.Inputs{Task: taskInput(task)}
-	for _, candidate := range board.workers {
+	for _, candidate := range set.workers {
 		if constraint := rejectionReason(candidate, task); constraint != "" {
 			decision.rejected[constraint]++
 			continue
 		}
 		inputs.Worker = workerInput(candidate)
-		score, err := runner.Score(inForce.Program(), inputs)
+		score, err := runner.Score(active.Program(), inputs)
 		if err != nil {
 			decision.policyErr = err
 			return decision
@@ -207,13 +207,14 @@
 	}
 }
 
-// rejectionReason returns the first constraint that leaves the worker out.
+// rejectionReason returns the first constraint that rules the worker out, or "". Constraints that hold even for
+// an empty worker come first, since [Decision.IsImpossible] counts them.
 func rejectionReason(candidate *Worker, task *Task) Constraint {
-	asked := ResourcesOf(task.Spec)
+	requested := ResourcesOf(task.Spec)
 	switch {
-	case asked.MilliCPU > candidate.Capacity.MilliCPU,
-		asked.MemoryBytes > candidate.Capacity.MemoryBytes,
-		asked.Accelerators > candidate.Capacity.Accelerators:
+	case requested.MilliCPU > candidate.Capacity.MilliCPU,
+		requested.MemoryBytes > candidate.Capacity.MemoryBytes,
+		requested.Accelerators > candidate.Capacity.Accelerators:
 		return TooSmall
 	case task.Spec.GetFailureDomain() != "" && task.Spec.GetFailureDomain() != candidate.FailureDomain:
 		return OtherDomain
@@ -221,11 +222,11 @@
 		return candidate.BlockedBy
 	case slices.Contains(task.RefusedBy, candidate.Name):
 		return Refused
-	case asked.MilliCPU > candidate.Capacity.MilliCPU-candidate.Committed.MilliCPU:
+	case requested.MilliCPU > candidate.Capacity.MilliCPU-candidate.Committed.MilliCPU:
 		return NoProcessor
-	case asked.MemoryBytes > candidate.Capacity.MemoryBytes-candidate.Committed.MemoryBytes:
+	case requested.MemoryBytes > candidate.Capacity.MemoryBytes-candidate.Committed.MemoryBytes:
 		return NoMemory
-	case asked.Accelerators > candidate.Capacity.Accelerators-candidate.Committed.Accelerators:
+	case requested.Accelerators > candidate.Capacity.Accelerators-candidate.Committed.Accelerators:
 		return NoAccelerator
 	}
 	return ""
@@ -237,15 +238,15 @@
 )
 
 func taskInput(task *Task) policy.Task {
-	asked := ResourcesOf(task.Spec)
+	requested := ResourcesOf(task.Spec)
 	return policy.Task{
 		Team:           task.Spec.GetTeam(),
 		Kind:           task.Spec.GetKind(),
 		Class:          task.Class,
 		Priority:       float64(task.Spec.GetPriority()),
-		Processors:     float64(asked.MilliCPU) / milli,
-		MemoryGiB:      float64(asked.MemoryBytes) / gibibyte,
-		Accelerators:   float64(asked.Accelerators),
+		Processors:     float64(requested.MilliCPU) / milli,
+		MemoryGiB:      float64(requested.MemoryBytes) / gibibyte,
+		Accelerators:   float64(requested.Accelerators),
 		RunTimeSeconds: time.Duration(task.Spec.GetRunTimeNanos()).Seconds(),
 		WaitSeconds:    task.Waited.Seconds(),
 		Attempts:       float64(task.Attempts),
@@ -276,12 +277,11 @@
 	}
 }
 
-// RejectAll returns the decision that every worker is left out, for a
-// constraint that is not about workers.
-func (board *WorkerSet) RejectAll(policies Policies, constraint Constraint) *Decision {
+// RejectAll returns a decision that rules out every worker, for a constraint that does not depend on the worker.
+func (set *WorkerSet) RejectAll(policies Policies, constraint Constraint) *Decision {
 	return &Decision{
 		policy:      policies.InForce.String(),
-		rejected:    map[Constraint]int{constraint: len(board.workers)},
-		workerCount: len(board.workers),
+		rejected:    map[Constraint]int{constraint: len(set.workers)},
+		workerCount: len(set.workers),
 	}
 }
