--- a/job/agents.go
+++ b/job/agents.go
@@ -2,28 +2,28 @@
 
 import "ambertiller.example/ambertiller/incarnation"
 
-// NewAgentRecord returns the record of the agent that is reached at an address, beside a worker of which
-// some incarnations have ended for certain.
+// NewAgentRecord returns the record of the agent with a name and an address, and of the incarnations of its worker
+// that have certainly ended.
 func NewAgentRecord(name, address string, ended []incarnation.ID) *AgentRecord {
 	record := &AgentRecord{Name: name, Address: address}
-	for _, over := range ended {
-		if !over.HasStartTime() {
-			record.Ended = append(record.Ended, over.WorkerID())
+	for _, id := range ended {
+		if !id.HasStartTime() {
+			record.Ended = append(record.Ended, id.WorkerID())
 			continue
 		}
-		record.Over = append(record.Over, &Incarnation{Id: over.WorkerID(), Born: over.StartedMs()})
+		record.Over = append(record.Over, &Incarnation{Id: id.WorkerID(), Born: id.StartedMs()})
 	}
 	return record
 }
 
-// EndedIncarnations returns the incarnations that have ended for certain.
+// EndedIncarnations returns the incarnations of the worker that have certainly ended.
 func (record *AgentRecord) EndedIncarnations() []incarnation.ID {
 	var ended []incarnation.ID
-	for _, id := range record.GetEnded() {
-		ended = append(ended, incarnation.New(id, 0))
+	for _, workerID := range record.GetEnded() {
+		ended = append(ended, incarnation.New(workerID, 0))
 	}
-	for _, over := range record.GetOver() {
-		ended = append(ended, incarnation.New(over.GetId(), over.GetBorn()))
+	for _, dated := range record.GetOver() {
+		ended = append(ended, incarnation.New(dated.GetId(), dated.GetBorn()))
 	}
 	return ended
 }
--- a/job/doc.go
+++ b/job/doc.go
@@ -1,18 +1,17 @@
-// Package job holds jobs of steps and tasks: what was handed in, which tasks may
-// start, and what has become of each. It decides nothing about places and reads
-// no clock.
+// Package job holds jobs, which consist of steps and tasks: the submission, which tasks may start, and the state of
+// each task. It does not select workers and does not read the clock.
 //
-// A job is a Submission, which never changes, and its tasks. A task is one index
-// of one step of one round. It waits until the steps before it are done, is
-// started under an attempt that rises with each start, and ends done, or waits
-// again, or has failed for good.
+// A job has a Submission, which never changes, and tasks. A task is identified by its round, its step and its index
+// within the step. It waits until the steps that its step depends on are done, and is then started. Each start has a
+// higher attempt number than the one before. When a run ends, the task is done, has failed permanently, or waits to
+// be started again.
 //
 // # Usage
 //
-//	made := job.New(submission, job.ShardOf(submission.GetId(), parts))
-//	for _, task := range made.Ready(now) {
-//		made.Start(task, place, now)
+//	made := job.New(submission, job.ShardOf(submission.GetId(), shards))
+//	for _, task := range made.ReadyTasks(now) {
+//		made.StartRun(task, place, now)
 //	}
-//	changed := made.End(task, attempt, job.EndDone, checkpoint, now)
+//	changed := made.EndRun(task, attempt, job.EndDone, checkpoint, now)
 //	progress := made.Progress()
 package job
--- a/job/keys.go
+++ b/job/keys.go
@@ -2,43 +2,46 @@
 
 import "strings"
 
-// The topics that hold jobs. Entries write jobs and cancellations, the owner of
-// a shard writes runs; only the owner reads the first from end to end, so its own
-// records don't wake it.
+// The topics of the store. Entries append submissions and cancellations to TopicJobs, and the owner of a shard
+// appends the progress of its jobs to TopicRuns. The topics are separate because the owner follows TopicJobs with
+// blocking reads, which its own records must not wake.
 const (
 	TopicJobs   = "keyed.jobs"
 	TopicRuns   = "keyed.runs"
 	TopicAgents = "keyed.agents"
-	// TopicInterference holds what has been learned of interference.
+	// TopicInterference holds the interference estimates of all agents.
 	TopicInterference = "keyed.learned"
 )
 
-// maxAgentPartitions bounds the partitions that agents register in. A partition takes its
-// appends in turn, and all agents of a fleet may register at once: several make the last of
-// them known sooner, and each is one more read that every reader waits in.
+// maxAgentPartitions limits the number of partitions that agents register in. A partition handles one append at a
+// time, and all agents of a fleet may register at once, so more partitions make the last agent known sooner. But
+// each partition costs every reader one more blocking read.
 const maxAgentPartitions = 4
 
-// AgentPartitions returns how many partitions of TopicAgents are used, of so many that a topic has.
-func AgentPartitions(parts int) int { return min(parts, maxAgentPartitions) }
+// AgentPartitions returns how many partitions of TopicAgents are used if each topic has the given number of
+// partitions.
+func AgentPartitions(partitions int) int { return min(partitions, maxAgentPartitions) }
 
 // AgentPartition returns the partition of TopicAgents that holds an agent's record.
-func AgentPartition(agent string, parts int) int { return ShardOf(agent, AgentPartitions(parts)) }
+func AgentPartition(agent string, partitions int) int {
+	return ShardOf(agent, AgentPartitions(partitions))
+}
 
-// InterferenceKey is the key of the only record of TopicInterference, which lies in the
-// partition with the number of InterferenceShard.
+// InterferenceKey is the key of the only record of TopicInterference. The record is in partition InterferenceShard.
 const InterferenceKey = "interference"
 
-// InterferenceShard is the shard whose owner puts together what the agents have learned
-// of interference, so that one of the owners does.
+// InterferenceShard is the shard whose owner combines the interference estimates of all agents, so that exactly one
+// of the owners does.
 const InterferenceShard = 0
 
-// OwnersGroup is the group that deals shards to entries.
+// OwnersGroup is the group in which the store assigns shards to entries.
 const OwnersGroup = "owners"
 
-// SeatsGroup is the group that deals seats to entries: those that have one join OwnersGroup.
+// SeatsGroup is the group in which the store assigns seats to entries. Only an entry with a seat joins OwnersGroup,
+// unless owners are missing; see package candidacy.
 const SeatsGroup = "seats"
 
-// SeatTopics are the topics whose partitions stand for seats.
+// SeatTopics returns the topics whose partitions serve as seats, one seat for each partition.
 func SeatTopics() []string { return []string{TopicJobs, TopicRuns} }
 
 const (
@@ -52,8 +55,8 @@
 // CancellationKey returns the key of a job's cancellation.
 func CancellationKey(id string) string { return cancellationPrefix + id }
 
-// IsSubmissionKey reports whether the key holds a submission.
+// IsSubmissionKey reports whether a key is that of a submission.
 func IsSubmissionKey(key string) bool { return strings.HasPrefix(key, submissionPrefix) }
 
-// IsCancellationKey reports whether the key holds a cancellation.
+// IsCancellationKey reports whether a key is that of a cancellation.
 func IsCancellationKey(key string) bool { return strings.HasPrefix(key, cancellationPrefix) }
