--- a/job/crash.go
+++ b/job/crash.go
@@ -5,48 +5,50 @@
 	"time"
 )
 
-// maxCrashes is under how many of its runs in a row a worker may crash just after the start
-// until a task is given up: each crash costs all that the worker runs, and the worker for
-// seconds. Chance victims are many, since every run on a crashed worker is lost with it: where
-// one task brought its workers down others were lost up to six times. Two crashes in a row
-// gave up one on a day on which a fifth of the workers crashed every 3 s or so.
+// maxCrashes is the number of runs in a row under which the worker crashes just after the start that makes the task
+// fail permanently. Each crash costs everything that the worker runs, and the worker itself for seconds.
+//
+// The limit must spare tasks that are not the cause. They are lost often, since every run on a crashed worker is
+// lost with it: where one task crashed its workers, other tasks were lost up to six times. A limit of 2 made such a
+// task fail when a fifth of the workers crashed about every 3 s.
 const maxCrashes = 3
 
-// maxTotalCrashes bounds the crashes together with those that a suspect beside the run is the likelier cause
-// of. Such a crash makes the task a suspect too, which is started apart from others from then on: so a
-// task that brings its workers down has one of them, and is given up at the fourth crash. A victim
-// would have to begin just before a crash five times in a row.
+// maxTotalCrashes limits the sum of crashes and ambiguous crashes. A crash is ambiguous if another suspect, which
+// had just started on the same worker, is the more likely cause. An ambiguous crash makes the task a suspect as well,
+// and from then on it is not started together with other suspects. So a task that does crash its workers has at most
+// one ambiguous crash, and fails at the fourth crash in all. A task that is not the cause fails only if it starts
+// just before a crash five times in a row.
 const maxTotalCrashes = 5
 
-// Crashes counts the runs of the task under which a worker may have crashed because of it,
-// since the last one that outlived its start.
+// Crashes returns the number of runs under which a worker may have crashed because of the task, since the last run
+// that survived its start.
 func (task *Task) Crashes() int { return len(task.crashedAttempts) }
 
-// AmbiguousCrashes counts the runs of the task, since then, under which a worker crashed while a suspect had just
-// begun beside them.
+// AmbiguousCrashes returns the number of runs, since the last one that survived its start, under which a worker
+// crashed on which another suspect had just started as well.
 func (task *Task) AmbiguousCrashes() int { return len(task.ambiguousAttempts) }
 
 // IsSuspect reports whether a worker may have crashed because of the task.
 func (task *Task) IsSuspect() bool { return task.Crashes()+task.AmbiguousCrashes() > 0 }
 
-// HasCrashedWorkerOf reports whether the worker beside an agent crashed under a run of the task while
-// its shard was with its present owner.
-func (task *Task) HasCrashedWorkerOf(agent string) bool {
-	return slices.Contains(task.crashedAgents, agent)
+// HasCrashedWorkerOf reports whether the worker of the agent at an address crashed under a run of the task. Only
+// crashes during the current ownership of the shard are known.
+func (task *Task) HasCrashedWorkerOf(agentAddress string) bool {
+	return slices.Contains(task.crashedAgents, agentAddress)
 }
 
-// MarkSurvivedStart notes that a run went on after its start: a task that brings down each worker that
-// starts it would not have, so crashes up to then had another cause.
+// MarkSurvivedStart records that a run continued after its start. A task that crashes every worker that starts it
+// would not have, so crashes up to that run had another cause and no longer count.
 func (task *Task) MarkSurvivedStart(attempt int32) {
 	task.survivedAttempt = max(task.survivedAttempt, attempt)
-	innocent := func(crashed int32) bool { return crashed <= task.survivedAttempt }
-	task.crashedAttempts = slices.DeleteFunc(task.crashedAttempts, innocent)
-	task.ambiguousAttempts = slices.DeleteFunc(task.ambiguousAttempts, innocent)
+	hasOtherCause := func(crashed int32) bool { return crashed <= task.survivedAttempt }
+	task.crashedAttempts = slices.DeleteFunc(task.crashedAttempts, hasOtherCause)
+	task.ambiguousAttempts = slices.DeleteFunc(task.ambiguousAttempts, hasOtherCause)
 }
 
-// recordCrash notes that a worker crashed under a run and may have done so because of it. The
-// recordCrash counts when it is heard late too, after the run was found to be over or another one
-// has begun: an owner that takes the shard over may hear of the end of the incarnation first.
+// recordCrash records that a worker crashed under a run and may have done so because of it. It reports whether
+// anything changed. The crash counts even if it is reported late, after the run was found to be over or the next one
+// has started: an owner that takes over the shard may learn of the end of the incarnation first.
 func (job *Job) recordCrash(task *Task, attempt int32, reason EndReason, now time.Time) bool {
 	counts := attempt > task.survivedAttempt && !slices.Contains(task.crashedAttempts, attempt) && !slices.Contains(task.ambiguousAttempts, attempt)
 	if counts && reason == EndCrashed {
--- a/job/job.go
+++ b/job/job.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Job is one job and its tasks.
+// Job holds the state of one job and of its tasks.
 type Job struct {
 	submission *Submission
 	shard      int
 	state      State
 	tasks      []*Task
-	// remaining counts, for each round and step, the tasks that are not done.
+	// remaining is the number of tasks that are not done, for each step of each round.
 	remaining   []int
 	runningAt   time.Time
 	endedAt     time.Time
 	submittedAt time.Time
 	objective   time.Time
-	// idleSince is when nothing of the job was first seen running.
+	// idleSince is when the job was first seen without a running task, or zero if it had one when last seen.
 	idleSince time.Time
 }
 
-// New returns a job none of whose tasks has started.
+// New returns a job of which no task has started.
 func New(submission *Submission, shard int) *Job {
 	job := &Job{submission: submission, shard: shard, submittedAt: time.UnixMilli(submission.GetSubmittedMs())}
 	steps := submission.GetSteps()
@@ -38,44 +38,44 @@
 	return job
 }
 
-// ID returns the job's ID.
+// ID returns the ID of the job.
 func (job *Job) ID() string { return job.submission.GetId() }
 
-// Submission returns what was handed in.
+// Submission returns the job as it was submitted.
 func (job *Job) Submission() *Submission { return job.submission }
 
-// Shard returns the job's shard.
+// Shard returns the shard that the job belongs to.
 func (job *Job) Shard() int { return job.shard }
 
-// State returns what the job's client is told.
+// State returns the state that clients see.
 func (job *Job) State() State { return job.state }
 
-// Tasks returns the job's tasks.
+// Tasks returns the tasks of all rounds and steps.
 func (job *Job) Tasks() []*Task { return job.tasks }
 
-// Objective returns when the job should have ended.
+// Objective returns the time by which the job should have ended. It is not enforced.
 func (job *Job) Objective() time.Time { return job.objective }
 
-// EndedAt returns when the job ended.
+// EndedAt returns the time at which the job ended, or the zero time.
 func (job *Job) EndedAt() time.Time { return job.endedAt }
 
-// Rounds returns how many times the steps run.
+// Rounds returns the number of times that the steps run.
 func (job *Job) Rounds() int { return max(1, int(job.submission.GetRounds())) }
 
-// IsScheduled reports whether the job runs at times of its own.
+// IsScheduled reports whether the rounds of the job start at times set by a schedule.
 func (job *Job) IsScheduled() bool { return job.submission.GetRounds() > 0 }
 
-// IsLasting reports whether the job has tasks that run until it is cancelled.
+// IsLasting reports whether the job has tasks that run until the job is cancelled.
 func (job *Job) IsLasting() bool {
 	return slices.ContainsFunc(job.submission.GetSteps(), (*StepSpec).GetLasting)
 }
 
-// HasEnded reports whether nothing of the job will start again.
+// HasEnded reports whether the job has completed, failed or been cancelled, so that no task will start again.
 func (job *Job) HasEnded() bool {
 	return job.state == State_STATE_COMPLETED || job.state == State_STATE_FAILED || job.state == State_STATE_CANCELLED
 }
 
-// Task returns the task with the name, or nil.
+// Task returns the task that a reference denotes, or nil.
 func (job *Job) Task(ref TaskRef) *Task {
 	for _, task := range job.tasks {
 		if task.round == ref.Round && task.step == ref.Step && task.index == ref.Index {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// RunningTasks returns the tasks that are started.
+// RunningTasks returns the tasks in state TASK_STARTED, whose start has been ordered.
 func (job *Job) RunningTasks() []*Task {
 	var running []*Task
 	for _, task := range job.tasks {
--- a/job/keys.go
+++ b/job/keys.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// The topics of the store. Entries append submissions and cancellations to TopicJobs, and the owner of a shard
-// appends the progress of its jobs to TopicRuns. The topics are separate because the owner follows TopicJobs with
-// blocking reads, which its own records must not wake.
+// The topics that store jobs, agents and interference estimates. Entries append submissions and cancellations to
+// TopicJobs, and the owner of a shard appends the progress of its jobs to TopicRuns. These two are separate because
+// the owner follows TopicJobs with blocking reads, which its own records must not wake.
 const (
 	TopicJobs   = "keyed.jobs"
 	TopicRuns   = "keyed.runs"
--- a/job/outcome.go
+++ b/job/outcome.go
@@ -5,36 +5,35 @@
 	"time"
 )
 
-// EndReason says how a run ended.
+// EndReason is the reason why a run ended.
 type EndReason int
 
-// The ways in which a run ends. Only EndFailed counts against the attempts.
+// The reasons why a run ends. Only EndFailed counts against the number of attempts that the submission allows.
 const (
 	EndDone EndReason = iota + 1
 	EndFailed
-	EndInterrupted // stopped, lapsed, or lost with its worker
+	EndInterrupted // stopped, lease expired, or lost with its worker
 	EndCrashed     // lost with a worker that crashed just after the start
-	// EndCrashedBesideSuspect is the same where a suspect had just begun there too, which is the likelier
-	// cause.
+	// EndCrashedBesideSuspect is like EndCrashed, but a suspect had just started on the worker as well and is
+	// the more likely cause.
 	EndCrashedBesideSuspect
 )
 
 const (
-	// failureBackoff keeps a task that fails at once from being started over
-	// and over; it is short against the objectives, which are seconds.
+	// failureBackoff keeps a task that fails immediately from being restarted in a tight loop. It is short
+	// compared to the objectives of jobs, which are seconds.
 	failureBackoff = 50 * time.Millisecond
-	// lastingBackoff is the same for lasting tasks, which have no bound on
-	// attempts.
+	// lastingBackoff is the same for lasting tasks, whose number of attempts is not limited.
 	lastingBackoff = 200 * time.Millisecond
 )
 
-// IsCrash reports whether a worker crashed under the run.
+// IsCrash reports whether the worker crashed under the run.
 func (reason EndReason) IsCrash() bool {
 	return reason == EndCrashed || reason == EndCrashedBesideSuspect
 }
 
-// StartRun notes that a task is started at a place, under the next attempt. The
-// members of a gang are started one after another under the attempt of the first.
+// StartRun records that a task is started at a place, under the next attempt number. The members of a gang are
+// started one after another, under the attempt number of the first.
 func (job *Job) StartRun(task *Task, place Place, now time.Time) {
 	task.attempt = job.nextAttempt(task)
 	task.state = TaskState_TASK_STARTED
@@ -43,8 +42,7 @@
 	task.unplacedSince, task.obstacle = time.Time{}, ""
 }
 
-// MarkRunning notes that a run has started for certain and reports whether it is the
-// job's first.
+// MarkRunning records that a run of the job has certainly started. It reports whether it is the first one.
 func (job *Job) MarkRunning(now time.Time) bool {
 	if job.state != State_STATE_QUEUED {
 		return false
@@ -68,8 +66,8 @@
 	return highest + 1
 }
 
-// Requeue notes that the present run never was, or is over for certain without
-// an end: the task waits again.
+// Requeue makes a started task wait again, because its current run never started or is certainly over without a
+// reported end.
 func (job *Job) Requeue(task *Task, now time.Time) {
 	if task.state != TaskState_TASK_STARTED {
 		return
@@ -78,7 +76,7 @@
 	task.retryAt = now
 }
 
-// SetCheckpoint notes the newest checkpoint of the present run.
+// SetCheckpoint records the newest checkpoint of the current run. It reports whether anything changed.
 func (job *Job) SetCheckpoint(task *Task, attempt int32, checkpoint string) bool {
 	if task.attempt != attempt || checkpoint == "" || task.checkpoint == checkpoint {
 		return false
@@ -87,9 +85,9 @@
 	return true
 }
 
-// ResumeCheckpoint returns the checkpoint that a start of the task brings: its own,
-// or for a gang the one that all members bring. Checkpoints begin with the work
-// done, so the greatest is the newest.
+// ResumeCheckpoint returns the checkpoint from which the next run of the task resumes. All members of a gang resume
+// from the newest checkpoint of any member. Checkpoints start with the amount of work done, so the greatest string
+// is the newest checkpoint.
 func (job *Job) ResumeCheckpoint(task *Task) string {
 	if !task.Spec().GetGang() {
 		return task.checkpoint
@@ -101,35 +99,36 @@
 	return newest
 }
 
-// EndRun notes that a run ended and reports whether anything changed. The end of
-// an earlier run than the present one counts where it can't be doubted: a
-// failure counts against the attempts, a crash of the worker against the task, and a
-// task that waits and turns out to be done is done.
+// EndRun records that a run ended. It reports whether anything changed.
+//
+// The end may be that of an earlier run than the current one. It is taken into account as far as it is conclusive: a
+// failure counts against the allowed attempts, a crash of the worker counts against the task, and a task that waits
+// is done if an earlier run turns out to have completed it.
 func (job *Job) EndRun(task *Task, attempt int32, reason EndReason, checkpoint string, now time.Time) bool {
-	present := attempt == task.attempt
+	isCurrent := attempt == task.attempt
 	if task.state == TaskState_TASK_DONE || task.state == TaskState_TASK_FAILED {
 		return false
 	}
-	if present && task.state != TaskState_TASK_STARTED && reason != EndDone && !reason.IsCrash() {
+	if isCurrent && task.state != TaskState_TASK_STARTED && reason != EndDone && !reason.IsCrash() {
 		return false
 	}
-	if checkpoint != "" && present {
+	if checkpoint != "" && isCurrent {
 		task.checkpoint = checkpoint
 	}
 	job.MarkRunning(now)
 	switch reason {
 	case EndDone:
-		return job.recordSuccess(task, present, now)
+		return job.recordSuccess(task, isCurrent, now)
 	case EndFailed:
 		if slices.Contains(task.failedAttempts, attempt) {
-			// Ends are told again until they are known to be in the store.
+			// Agents report an end repeatedly until they know that it is stored.
 			return false
 		}
 		task.failedAttempts = append(task.failedAttempts, attempt)
-		job.recordFailure(task, present, now)
+		job.recordFailure(task, isCurrent, now)
 		return true
 	case EndInterrupted:
-		if !present {
+		if !isCurrent {
 			return false
 		}
 		job.recordInterruption(task, now)
@@ -140,9 +139,9 @@
 	return false
 }
 
-func (job *Job) recordSuccess(task *Task, present bool, now time.Time) bool {
-	if !present && task.state == TaskState_TASK_STARTED {
-		// The present run goes on: its own end decides.
+func (job *Job) recordSuccess(task *Task, isCurrent bool, now time.Time) bool {
+	if !isCurrent && task.state == TaskState_TASK_STARTED {
+		// The current run goes on, and its own end decides.
 		return false
 	}
 	if task.Spec().GetLasting() {
@@ -150,11 +149,11 @@
 		task.retryAt = now.Add(lastingBackoff)
 		return true
 	}
-	finished := []*Task{task}
+	members := []*Task{task}
 	if task.Spec().GetGang() {
-		finished = job.StepTasks(task)
+		members = job.StepTasks(task)
 	}
-	for _, member := range finished {
+	for _, member := range members {
 		job.markDone(member)
 	}
 	if job.allDone() && !job.HasEnded() {
@@ -180,8 +179,8 @@
 	return true
 }
 
-func (job *Job) recordFailure(task *Task, present bool, now time.Time) {
-	if present {
+func (job *Job) recordFailure(task *Task, isCurrent bool, now time.Time) {
+	if isCurrent {
 		job.Requeue(task, now)
 		task.retryAt = now.Add(failureBackoff)
 	}
@@ -195,7 +194,7 @@
 	job.failPermanently(task, now)
 }
 
-// failPermanently notes that a task will not be started again, and with it its job.
+// failPermanently records that a task will not be started again, and thereby fails its job.
 func (job *Job) failPermanently(task *Task, now time.Time) {
 	task.state = TaskState_TASK_FAILED
 	if !job.HasEnded() {
@@ -208,7 +207,7 @@
 	job.Requeue(task, now)
 }
 
-// failureCount counts the failures of the task, or of its gang.
+// failureCount returns the number of failed attempts of the task, or of its gang.
 func (job *Job) failureCount(task *Task) int {
 	if !task.Spec().GetGang() {
 		return len(task.failedAttempts)
@@ -221,8 +220,7 @@
 	return len(slices.Compact(attempts))
 }
 
-// Cancel notes that the client cancelled the job and reports whether that
-// changed anything.
+// Cancel records that the client cancelled the job. It reports whether anything changed.
 func (job *Job) Cancel(now time.Time) bool {
 	if job.HasEnded() {
 		return false
--- a/job/progress.go
+++ b/job/progress.go
@@ -6,26 +6,28 @@
 	"ambertiller.example/ambertiller/incarnation"
 )
 
-// Progress returns the record of what has become of the job.
+// Progress returns the record of the job's state and of the tasks that have been started.
 func (job *Job) Progress() *Progress {
-	kept := &Progress{Id: job.ID(), State: job.state}
+	progress := &Progress{Id: job.ID(), State: job.state}
 	if !job.endedAt.IsZero() {
-		kept.EndedMs = job.endedAt.UnixMilli()
+		progress.EndedMs = job.endedAt.UnixMilli()
 	}
 	if !job.runningAt.IsZero() {
-		kept.BegunMs = job.runningAt.UnixMilli()
+		progress.BegunMs = job.runningAt.UnixMilli()
 	}
 	places := map[Place]int32{}
 	for _, task := range job.tasks {
 		if task.attempt == 0 && task.state == TaskState_TASK_WAITING {
 			continue
 		}
-		kept.Tasks = append(kept.Tasks, task.progressRecord(kept, places))
+		progress.Tasks = append(progress.Tasks, task.progressRecord(progress, places))
 	}
-	return kept
+	return progress
 }
 
-func (task *Task) progressRecord(kept *Progress, places map[Place]int32) *TaskProgress {
+// progressRecord returns the record of a task. It adds the place of a started task to progress, unless it is there
+// already; places maps each place to its number, counted from 1.
+func (task *Task) progressRecord(progress *Progress, places map[Place]int32) *TaskProgress {
 	record := &TaskProgress{
 		Round: task.round, Step: task.step, Index: task.index,
 		Attempt: task.attempt, Failed: task.failedAttempts, State: task.state, Crashed: task.crashedAttempts, Doubted: task.ambiguousAttempts, Proven: task.survivedAttempt,
@@ -38,34 +40,34 @@
 		return record
 	}
 	if places[task.place] == 0 {
-		kept.Workers = append(kept.Workers, task.place.Incarnation.WorkerID())
-		kept.Born = append(kept.Born, task.place.Incarnation.StartedMs())
-		kept.Agents = append(kept.Agents, task.place.AgentAddress)
-		places[task.place] = int32(len(kept.Workers))
+		progress.Workers = append(progress.Workers, task.place.Incarnation.WorkerID())
+		progress.Born = append(progress.Born, task.place.Incarnation.StartedMs())
+		progress.Agents = append(progress.Agents, task.place.AgentAddress)
+		places[task.place] = int32(len(progress.Workers))
 	}
 	record.Worker = places[task.place]
 	return record
 }
 
-// Restore brings a job that has just been made to the state of a record.
-func (job *Job) Restore(kept *Progress, now time.Time) {
-	job.state = kept.GetState()
-	if kept.GetEndedMs() > 0 {
-		job.endedAt = time.UnixMilli(kept.GetEndedMs())
+// Restore sets the state of a new job to that of a record.
+func (job *Job) Restore(progress *Progress, now time.Time) {
+	job.state = progress.GetState()
+	if progress.GetEndedMs() > 0 {
+		job.endedAt = time.UnixMilli(progress.GetEndedMs())
 	}
-	if kept.GetBegunMs() > 0 {
-		job.runningAt = time.UnixMilli(kept.GetBegunMs())
+	if progress.GetBegunMs() > 0 {
+		job.runningAt = time.UnixMilli(progress.GetBegunMs())
 	}
-	for _, record := range kept.GetTasks() {
+	for _, record := range progress.GetTasks() {
 		task := job.Task(TaskRef{Job: job.ID(), Round: record.GetRound(), Step: record.GetStep(), Index: record.GetIndex()})
 		if task == nil {
 			continue
 		}
-		job.restoreTask(task, record, kept, now)
+		job.restoreTask(task, record, progress, now)
 	}
 }
 
-func (job *Job) restoreTask(task *Task, record *TaskProgress, kept *Progress, now time.Time) {
+func (job *Job) restoreTask(task *Task, record *TaskProgress, progress *Progress, now time.Time) {
 	task.attempt = record.GetAttempt()
 	task.failedAttempts = record.GetFailed()
 	task.crashedAttempts = record.GetCrashed()
@@ -77,17 +79,17 @@
 		return
 	}
 	task.state = record.GetState()
-	if at := int(record.GetWorker()); at > 0 && at <= len(kept.GetWorkers()) && at <= len(kept.GetAgents()) {
-		task.place = kept.placeAt(at - 1)
+	if number := int(record.GetWorker()); number > 0 && number <= len(progress.GetWorkers()) && number <= len(progress.GetAgents()) {
+		task.place = progress.placeAt(number - 1)
 		task.startedAt = now
 	}
 }
 
-// placeAt returns the place that stands at an index. Records of earlier builds name workers by their ids alone.
-func (kept *Progress) placeAt(at int) Place {
-	started := int64(0)
-	if at < len(kept.GetBorn()) {
-		started = kept.GetBorn()[at]
+// placeAt returns the place with an index. Records of earlier builds have no start times of workers.
+func (progress *Progress) placeAt(index int) Place {
+	startedMs := int64(0)
+	if index < len(progress.GetBorn()) {
+		startedMs = progress.GetBorn()[index]
 	}
-	return Place{Incarnation: incarnation.New(kept.GetWorkers()[at], started), AgentAddress: kept.GetAgents()[at]}
+	return Place{Incarnation: incarnation.New(progress.GetWorkers()[index], startedMs), AgentAddress: progress.GetAgents()[index]}
 }
--- a/job/ready.go
+++ b/job/ready.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// ReadyTasks returns the tasks that may start now.
+// ReadyTasks returns the tasks that may start now: their round is due, the steps that they depend on are done, and
+// their backoff is over.
 func (job *Job) ReadyTasks(now time.Time) []*Task {
 	if job.HasEnded() {
 		return nil
@@ -23,16 +24,16 @@
 		return false
 	}
 	steps := len(job.submission.GetSteps())
-	for _, before := range task.Spec().GetAfter() {
-		if int(before) >= steps || job.remaining[int(task.round)*steps+int(before)] > 0 {
+	for _, dependency := range task.Spec().GetAfter() {
+		if int(dependency) >= steps || job.remaining[int(task.round)*steps+int(dependency)] > 0 {
 			return false
 		}
 	}
 	return !task.Spec().GetGang() || job.isGangIdle(task)
 }
 
-// isGangIdle reports whether no member of the task's gang runs: members start
-// together, under one attempt.
+// isGangIdle reports whether no member of the task's gang is running. The members of a gang start together, under the
+// same attempt number.
 func (job *Job) isGangIdle(task *Task) bool {
 	for _, member := range job.StepTasks(task) {
 		if member.state == TaskState_TASK_STARTED {
@@ -42,18 +43,18 @@
 	return true
 }
 
-// StepTasks returns the tasks of the task's step in the same round.
+// StepTasks returns all tasks of the same step and round as task, including task itself.
 func (job *Job) StepTasks(task *Task) []*Task {
 	var members []*Task
-	for _, other := range job.tasks {
-		if other.round == task.round && other.step == task.step {
-			members = append(members, other)
+	for _, member := range job.tasks {
+		if member.round == task.round && member.step == task.step {
+			members = append(members, member)
 		}
 	}
 	return members
 }
 
-// roundDueAt returns when a round may begin.
+// roundDueAt returns the time from which a round may start.
 func (job *Job) roundDueAt(round int32) time.Time {
 	if !job.IsScheduled() {
 		return time.Time{}
--- a/job/slack.go
+++ b/job/slack.go
@@ -4,37 +4,37 @@
 	"time"
 )
 
-// TargetDuration returns the time that the job, or a round of it, should take at most.
+// TargetDuration returns the time within which the job, or one round of it, should end.
 func (job *Job) TargetDuration() time.Duration {
-	chain := time.Duration(job.CriticalPathMs()) * time.Millisecond
-	stretched := time.Duration(float64(chain) * job.submission.GetExtension())
-	return stretched + time.Duration(job.submission.GetTargetLatencyMs())*time.Millisecond
+	criticalPath := time.Duration(job.CriticalPathMs()) * time.Millisecond
+	extended := time.Duration(float64(criticalPath) * job.submission.GetExtension())
+	return extended + time.Duration(job.submission.GetTargetLatencyMs())*time.Millisecond
 }
 
-// CriticalPathMs returns the estimated milliseconds of the longest chain of steps.
+// CriticalPathMs returns the estimated duration, in milliseconds, of the longest chain of dependent steps.
 func (job *Job) CriticalPathMs() int64 {
 	return job.longestPathMs(func(int) bool { return true })
 }
 
-// CoreMs returns the work of one round by its estimates, in milliseconds of a core.
+// CoreMs returns the estimated work of one round, in milliseconds of one core.
 func (job *Job) CoreMs() int64 {
-	work := int64(0)
+	coreMs := int64(0)
 	for _, step := range job.submission.GetSteps() {
-		work += int64(step.GetCount()) * step.GetMilliCpu() * step.GetEstimateMs() / millisPerCore
+		coreMs += int64(step.GetCount()) * step.GetMilliCpu() * step.GetEstimateMs() / millisPerCore
 	}
-	return work
+	return coreMs
 }
 
-// millisPerCore is the number of thousandths in a core.
+// millisPerCore is the number of milli-CPUs of one core.
 const millisPerCore = 1000
 
-// remainingPathMs returns the same of the steps of a round that are not done.
+// remainingPathMs returns the same as CriticalPathMs, but counts only the steps of a round that are not done.
 func (job *Job) remainingPathMs(round int) int64 {
 	first := round * len(job.submission.GetSteps())
 	return job.longestPathMs(func(number int) bool { return job.remaining[first+number] > 0 })
 }
 
-// currentRound returns the first round that is not done, or the last one.
+// currentRound returns the first round that is not done, or the last round if all are.
 func (job *Job) currentRound() int {
 	steps := len(job.submission.GetSteps())
 	for index, count := range job.remaining {
@@ -45,7 +45,7 @@
 	return job.Rounds() - 1
 }
 
-// roundObjective returns when a round should have ended.
+// roundObjective returns the time by which a round should have ended.
 func (job *Job) roundObjective(round int) time.Time {
 	if !job.IsScheduled() {
 		return job.objective
@@ -53,19 +53,19 @@
 	return job.roundDueAt(int32(round)).Add(job.TargetDuration())
 }
 
-// longestPathMs returns the estimated milliseconds of the longest chain of the
-// steps that count.
-func (job *Job) longestPathMs(counts func(number int) bool) int64 {
+// longestPathMs returns the estimated duration, in milliseconds, of the longest chain of dependent steps. Steps for
+// which includes returns false take no time.
+func (job *Job) longestPathMs(includes func(number int) bool) int64 {
 	steps := job.submission.GetSteps()
 	ends := make([]int64, len(steps))
 	longest := int64(0)
 	for number, step := range steps {
-		for _, before := range step.GetAfter() {
-			if int(before) < number {
-				ends[number] = max(ends[number], ends[before])
+		for _, dependency := range step.GetAfter() {
+			if int(dependency) < number {
+				ends[number] = max(ends[number], ends[dependency])
 			}
 		}
-		if counts(number) {
+		if includes(number) {
 			ends[number] += step.GetEstimateMs()
 		}
 		longest = max(longest, ends[number])
@@ -73,20 +73,19 @@
 	return longest
 }
 
-// maxInitialAge bounds the age that a job is taken to have when its shard's owner
-// first hears of it: a record is read within a second or two of its writing, and
-// clocks that jump disagree by more.
+// maxInitialAge limits the age that a job is assumed to have when the owner of its shard first reads it. The age
+// is computed from the clocks of two machines. A record is read within one or two seconds after it was written, so a
+// greater age means that a clock has jumped.
 const maxInitialAge = 2 * time.Second
 
-// RebaseObjective notes that the job has just been handed in, so that its objective is
-// counted on the clock that now comes from and no jump of the time of day moves it.
+// RebaseObjective computes the objective anew, relative to now, when the job has just been submitted. From then on
+// the objective belongs to the clock that now was read from, and jumps of the wall clock don't move it.
 func (job *Job) RebaseObjective(now time.Time) {
 	age := min(max(now.Sub(job.submittedAt), 0), maxInitialAge)
 	job.objective = now.Add(job.TargetDuration() - age)
 }
 
-// IdleFor returns for how long nothing of the job has been running, as far as it
-// was asked.
+// IdleFor returns how long the job has had no running task, counted from the first call that found none.
 func (job *Job) IdleFor(now time.Time) time.Duration {
 	if len(job.RunningTasks()) > 0 {
 		job.idleSince = time.Time{}
@@ -98,24 +97,24 @@
 	return now.Sub(job.idleSince)
 }
 
-// SlackTime returns how much time the job may lose from now on and still be in time by its
-// estimates; below zero it can't be.
+// SlackTime returns how much time the job may lose from now on and still meet the objective of its current round,
+// according to its estimates. It is negative if the objective can't be met any more.
 func (job *Job) SlackTime(now time.Time) time.Duration {
 	round := job.currentRound()
 	return job.roundObjective(round).Sub(now) - time.Duration(job.remainingPathMs(round))*time.Millisecond
 }
 
-// SlackRatio returns the share of its spare time that the job has left: 1 when it has
-// just been handed in, 0 once even undisturbed work would end after its objective.
+// SlackRatio returns the share of its initial slack that the job has left: 1 when it has just been submitted, 0 once
+// it would miss its objective even if it ran without delay from now on.
 func (job *Job) SlackRatio(now time.Time) float64 {
 	if job.IsLasting() {
-		// It is worth something as long as it runs.
+		// A lasting job is useful for as long as it runs. It doesn't finish, so it can't be late.
 		return 1
 	}
-	left := job.SlackTime(now)
-	spare := job.TargetDuration() - time.Duration(job.CriticalPathMs())*time.Millisecond
-	if spare <= 0 || left <= 0 {
+	remaining := job.SlackTime(now)
+	initial := job.TargetDuration() - time.Duration(job.CriticalPathMs())*time.Millisecond
+	if initial <= 0 || remaining <= 0 {
 		return 0
 	}
-	return min(float64(left)/float64(spare), 1)
+	return min(float64(remaining)/float64(initial), 1)
 }
--- a/job/task.go
+++ b/job/task.go
@@ -12,15 +12,15 @@
 	"ambertiller.example/ambertiller/incarnation"
 )
 
-// Place is where a run was ordered.
+// Place identifies the worker on which a run was ordered.
 type Place struct {
-	// Incarnation is the incarnation of the worker.
+	// Incarnation identifies the worker and its incarnation.
 	Incarnation incarnation.ID
-	// AgentAddress is the address of the agent beside it.
+	// AgentAddress is the address of the worker's agent.
 	AgentAddress string
 }
 
-// Task is one task of a job.
+// Task holds the state of one task of a job.
 type Task struct {
 	job               *Job
 	round             int32
@@ -28,22 +28,22 @@
 	index             int32
 	state             TaskState
 	attempt           int32
-	failedAttempts    []int32 // the attempts that ended failed, each once
-	crashedAttempts   []int32 // the attempts after proven under which a worker crashed, each once
-	ambiguousAttempts []int32 // the same where a suspect had just begun beside the run
-	survivedAttempt   int32   // the last attempt that outlived its start
-	// crashedAgents are the agents whose worker crashed under a run, as far as this owner knows.
+	failedAttempts    []int32 // the attempts that failed, without duplicates
+	crashedAttempts   []int32 // the attempts after survivedAttempt under which a worker crashed, without duplicates
+	ambiguousAttempts []int32 // the same, if another suspect had just started on the worker
+	survivedAttempt   int32   // the last attempt that survived its start
+	// crashedAgents lists the addresses of agents whose worker crashed under a run, as far as this owner knows.
 	crashedAgents []string
 	place         Place
 	checkpoint    string
-	// interruptions counts runs that were stopped or lost under this owner.
+	// interruptions is the number of runs that were stopped or lost under this owner.
 	interruptions int
-	// refusals counts the starts in a row that were refused for want of room.
+	// refusals is the number of consecutive starts that were refused for lack of resources.
 	refusals  int
 	startedAt time.Time
 	retryAt   time.Time
-	// unplacedSince is when the task was first ready and found no place, zero if it did
-	// not wait, and obstacle what it lacked.
+	// unplacedSince is when the task was ready for the first time without a worker that could run it, and
+	// obstacle the reason. They are zero if there was no such time since the last start.
 	unplacedSince time.Time
 	obstacle      string
 }
@@ -51,67 +51,68 @@
 // Job returns the job that the task belongs to.
 func (task *Task) Job() *Job { return task.job }
 
-// Spec returns what all tasks of the step have in common.
+// Spec returns the specification of the task's step, which all its tasks share.
 func (task *Task) Spec() *StepSpec { return task.job.submission.GetSteps()[task.step] }
 
-// State returns the task's state.
+// State returns the state of the task.
 func (task *Task) State() TaskState { return task.state }
 
-// Attempt counts the starts of the task.
+// Attempt returns the number of the last attempt, or 0 if the task was never started.
 func (task *Task) Attempt() int32 { return task.attempt }
 
-// Place returns where the task was last started.
+// Place returns the place of the last start.
 func (task *Task) Place() Place { return task.place }
 
-// Checkpoint returns the newest saved progress, empty for none.
+// Checkpoint returns the newest checkpoint, or "" if there is none.
 func (task *Task) Checkpoint() string { return task.checkpoint }
 
-// Interruptions counts the task's runs that were stopped or lost while its shard was
-// with its present owner.
+// Interruptions returns the number of runs that were stopped or lost during the current ownership of the shard.
 func (task *Task) Interruptions() int { return task.interruptions }
 
-// AddRefusal notes that a start of the task was refused for want of room.
+// AddRefusal records that a start of the task was refused for lack of resources.
 func (task *Task) AddRefusal() { task.refusals++ }
 
-// Refusals counts the starts in a row that were refused for want of room.
+// Refusals returns the number of consecutive starts that were refused for lack of resources.
 func (task *Task) Refusals() int { return task.refusals }
 
-// ResetRefusals notes that a run of the task has started.
+// ResetRefusals sets the number of refusals to 0. It is called when a run has started.
 func (task *Task) ResetRefusals() { task.refusals = 0 }
 
-// StartedAt returns when the present run was decided on.
+// StartedAt returns when the start of the last run was decided. After a change of owner, it is when the new owner
+// restored the run.
 func (task *Task) StartedAt() time.Time { return task.startedAt }
 
-// IsUnplaced reports whether the task has been ready and without a place.
+// IsUnplaced reports whether the task has been ready without a worker that could run it.
 func (task *Task) IsUnplaced() bool { return !task.unplacedSince.IsZero() }
 
-// MarkUnplaced notes that the task is ready, and what keeps it from every place.
+// MarkUnplaced records that the task is ready, and the obstacle that keeps every worker from running it.
 func (task *Task) MarkUnplaced(obstacle string, now time.Time) {
 	task.unplacedSince = now
 	task.obstacle = obstacle
 }
 
-// UnplacedFor returns for how long the task has been ready without a place, and what it
-// lacked at the beginning.
-func (task *Task) UnplacedFor(now time.Time) (waited time.Duration, obstacle string) {
+// UnplacedFor returns how long the task has been ready without a worker that could run it, and the obstacle recorded
+// at the beginning of that time.
+func (task *Task) UnplacedFor(now time.Time) (unplacedFor time.Duration, obstacle string) {
 	if !task.IsUnplaced() {
 		return 0, ""
 	}
 	return now.Sub(task.unplacedSince), task.obstacle
 }
 
-// Round returns the round of a scheduled job, 0 otherwise.
+// Round returns the round that the task belongs to, which is 0 unless the job is scheduled.
 func (task *Task) Round() int32 { return task.round }
 
-// Step returns the number of the task's step.
+// Step returns the index of the task's step.
 func (task *Task) Step() int32 { return task.step }
 
-// Name returns the task's name towards workers: job, round, step and index.
+// Name returns the name under which agents and workers know the task, in the form job.round.step.index.
+// [ParseTaskRef] parses it.
 func (task *Task) Name() string {
 	return fmt.Sprintf("%s.%d.%d.%d", task.job.ID(), task.round, task.step, task.index)
 }
 
-// TaskRef names a task.
+// TaskRef identifies a task.
 type TaskRef struct {
 	Job   string
 	Round int32
@@ -119,25 +120,25 @@
 	Index int32
 }
 
-// taskRefParts counts the parts of a task's name.
+// taskRefParts is the number of dot-separated parts of a task name.
 const taskRefParts = 4
 
-// ParseTaskRef reads a task's name.
+// ParseTaskRef parses a name returned by [Task.Name].
 func ParseTaskRef(name string) (TaskRef, error) {
 	parts := strings.Split(name, ".")
 	if len(parts) != taskRefParts {
-		return TaskRef{}, errors.Errorf("the task name %q does not have the form job.round.step.index", name)
+		return TaskRef{}, errors.Errorf("task name %q does not have the form job.round.step.index", name)
 	}
 	numbers := [taskRefParts - 1]int32{}
-	for position, text := range parts[1:] {
-		number, err := strconv.ParseInt(text, 10, 32)
+	for index, part := range parts[1:] {
+		number, err := strconv.ParseInt(part, 10, 32)
 		if err != nil {
-			return TaskRef{}, errors.Wrapf(err, "number in the task name %q", name)
+			return TaskRef{}, errors.Wrapf(err, "parse task name %q", name)
 		}
-		numbers[position] = int32(number)
+		numbers[index] = int32(number)
 	}
 	return TaskRef{Job: parts[0], Round: numbers[0], Step: numbers[1], Index: numbers[2]}, nil
 }
 
-// ShardOf returns the shard that a job belongs to.
+// ShardOf returns the shard that a job belongs to, by a hash of its ID.
 func ShardOf(id string, shards int) int { return int(xxhash.Sum64String(id) % uint64(shards)) }
