--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -1,12 +1,13 @@
 // Package incarnation identifies the incarnations of workers.
 //
-// A worker has an ID and may restart under the same ID. Each start is a new incarnation, which keeps nothing of
-// the previous one: runs, reported ends, leases and fencing tokens of an earlier incarnation are meaningless to
-// it, and its sequence numbers and its clock start over. The start time tells the incarnations of a worker apart.
+// A worker has an ID and may restart under the same ID. Each start is a new incarnation, which keeps nothing
+// of the previous one: runs, reported ends, leases and fencing tokens of an earlier incarnation are
+// meaningless to it, and its sequence numbers and its clock start over. The start time tells the incarnations
+// of a worker apart.
 //
-// A worker that doesn't report its start time has to use a new ID for every incarnation. The same holds for data
-// written by earlier builds, which stored the worker ID alone. An ID without a start time may stand for any
-// incarnation of the worker.
+// A worker that doesn't report its start time has to use a new ID for every incarnation. The same holds for
+// data written by earlier builds, which stored the worker ID alone. An ID without a start time may stand for
+// any incarnation of the worker.
 //
 // # Usage
 //
@@ -50,7 +51,8 @@
 	return id.workerID == other.workerID && (id.startedMs == other.startedMs || !id.HasStartTime() || !other.HasStartTime())
 }
 
-// IsOtherIncarnationOf reports whether the IDs certainly denote two different incarnations of the same worker.
+// IsOtherIncarnationOf reports whether the IDs certainly denote two different incarnations of the same
+// worker.
 func (id ID) IsOtherIncarnationOf(other ID) bool {
 	return id.workerID == other.workerID && !id.MayEqual(other)
 }
--- a/job/agents.go
+++ b/job/agents.go
@@ -2,8 +2,8 @@
 
 import "ambertiller.example/ambertiller/incarnation"
 
-// NewAgentRecord returns the record of the agent with a name and an address, and of the incarnations of its worker
-// that have certainly ended.
+// NewAgentRecord returns the record of the agent with a name and an address, and of the incarnations of its
+// worker that have certainly ended.
 func NewAgentRecord(name, address string, ended []incarnation.ID) *AgentRecord {
 	record := &AgentRecord{Name: name, Address: address}
 	for _, id := range ended {
--- a/job/agents_test.go
+++ b/job/agents_test.go
@@ -11,9 +11,9 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// TestRecordsKeepIncarnations checks that incarnations are read as they were written, and that records of earlier
-// builds, which have worker IDs alone, stay readable. In a new record, such a build must not find the worker ID of an
-// incarnation with a start time: it would take every incarnation of that worker for ended.
+// TestRecordsKeepIncarnations checks that incarnations are read as they were written, and that records of
+// earlier builds, which have worker IDs alone, stay readable. In a new record, such a build must not find the
+// worker ID of an incarnation with a start time: it would take every incarnation of that worker for ended.
 func TestRecordsKeepIncarnations(t *testing.T) {
 	ended := []incarnation.ID{incarnation.New("i-1", 7), incarnation.New("i-2", 0), incarnation.New("i-1", 9)}
 	record := job.NewAgentRecord("side-1", "10.0.0.1:1", ended)
--- a/job/crash_test.go
+++ b/job/crash_test.go
@@ -9,9 +9,9 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// TestRepeatedCrashesFailTask checks that a task fails that crashes one worker after another, and that others don't:
-// not a task that was on crashed workers by chance and whose runs survive their start elsewhere, and not because a
-// crash is reported more than once.
+// TestRepeatedCrashesFailTask checks that a task fails that crashes one worker after another, and that others
+// don't: not a task that was on crashed workers by chance and whose runs survive their start elsewhere, and
+// not because a crash is reported more than once.
 func TestRepeatedCrashesFailTask(t *testing.T) {
 	type end struct {
 		attempt      int32
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestCrashRequeuesTask checks that a crash ends its run, and that a late report of the same crash doesn't affect the
-// next run.
+// TestCrashRequeuesTask checks that a crash ends its run, and that a late report of the same crash doesn't
+// affect the next run.
 func TestCrashRequeuesTask(t *testing.T) {
 	j := newJob(nil)
 	task := j.Tasks()[0]
--- a/job/doc.go
+++ b/job/doc.go
@@ -1,10 +1,10 @@
-// Package job holds jobs, which consist of steps and tasks: the submission, which tasks may start, and the state of
-// each task. It does not select workers and does not read the clock.
+// Package job holds jobs, which consist of steps and tasks: the submission, which tasks may start, and the
+// state of each task. It does not select workers and does not read the clock.
 //
-// A job has a Submission, which never changes, and tasks. A task is identified by its round, its step and its index
-// within the step. It waits until the steps that its step depends on are done, and is then started. Each start has a
-// higher attempt number than the one before. When a run ends, the task is done, has failed permanently, or waits to
-// be started again.
+// A job has a Submission, which never changes, and tasks. A task is identified by its round, its step and its
+// index within the step. It waits until the steps that its step depends on are done, and is then started.
+// Each start has a higher attempt number than the one before. When a run ends, the task is done, has failed
+// permanently, or waits to be started again.
 //
 // # Usage
 //
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -15,8 +15,8 @@
 	testPlace = job.Place{Incarnation: incarnation.New("i-1", 0), AgentAddress: "10.0.0.1:7001"}
 )
 
-// newJob returns a job with two steps: two tasks of 1 s each, and one of 0.5 s that depends on them. change may
-// modify the submission.
+// newJob returns a job with two steps: two tasks of 1 s each, and one of 0.5 s that depends on them. change
+// may modify the submission.
 func newJob(change func(submission *job.Submission)) *job.Job {
 	submission := &job.Submission{
 		Id: "0123456789abcdef", Attempts: 2, Extension: 2, TargetLatencyMs: 1000, SubmittedMs: testNow.UnixMilli(),
@@ -42,7 +42,8 @@
 	j.EndRun(task, task.Attempt(), reason, "", at)
 }
 
-// TestStepsWaitForDependencies checks that a step starts once all tasks of the step that it depends on are done.
+// TestStepsWaitForDependencies checks that a step starts once all tasks of the step that it depends on are
+// done.
 func TestStepsWaitForDependencies(t *testing.T) {
 	j := newJob(nil)
 	if got := taskNames(j.ReadyTasks(testNow)); len(got) != 2 {
@@ -98,7 +99,8 @@
 	}
 }
 
-// TestLateEndOfEarlierRun checks what the end of a run changes that is reported after the run was assumed lost.
+// TestLateEndOfEarlierRun checks what the end of a run changes that is reported after the run was assumed
+// lost.
 func TestLateEndOfEarlierRun(t *testing.T) {
 	tests := map[string]struct {
 		restarted bool // before the end is reported
@@ -128,9 +130,9 @@
 	}
 }
 
-// TestDuplicateFailureReport checks that a failure counts once, also after a change of owner. Agents report an end
-// repeatedly until they know that it is stored. When the first failure was counted again by a new owner, a job that
-// could still complete was reported as failed.
+// TestDuplicateFailureReport checks that a failure counts once, also after a change of owner. Agents report
+// an end repeatedly until they know that it is stored. When the first failure was counted again by a new
+// owner, a job that could still complete was reported as failed.
 func TestDuplicateFailureReport(t *testing.T) {
 	j := newJob(nil)
 	task := j.Tasks()[0]
@@ -148,8 +150,8 @@
 	}
 }
 
-// TestQueuedUntilFirstRunStarts checks that a job stays queued while all its starts are refused. Otherwise it is
-// missing in the number of pending jobs of its queue.
+// TestQueuedUntilFirstRunStarts checks that a job stays queued while all its starts are refused. Otherwise it
+// is missing in the number of pending jobs of its queue.
 func TestQueuedUntilFirstRunStarts(t *testing.T) {
 	j := newJob(nil)
 	j.StartRun(j.Tasks()[0], testPlace, testNow)
@@ -163,8 +165,8 @@
 	}
 }
 
-// TestGang checks that the members of a gang start together under one attempt number, only once all of them have
-// stopped, and that the success of one member completes the gang.
+// TestGang checks that the members of a gang start together under one attempt number, only once all of them
+// have stopped, and that the success of one member completes the gang.
 func TestGang(t *testing.T) {
 	gang := func(submission *job.Submission) {
 		submission.Steps = []*job.StepSpec{{Count: 3, EstimateMs: 1000, Gang: true}}
@@ -215,8 +217,8 @@
 	}
 }
 
-// TestRestoreProgress checks that a job restored from its progress has the same progress, and that its started tasks
-// are not ready.
+// TestRestoreProgress checks that a job restored from its progress has the same progress, and that its
+// started tasks are not ready.
 func TestRestoreProgress(t *testing.T) {
 	j := newJob(nil)
 	runTask(j, j.Tasks()[0], job.EndDone, testNow)
@@ -257,8 +259,8 @@
 	}
 }
 
-// TestSlackRatioOfScheduledRounds checks that the slack of a scheduled job is that of its first round that is not
-// done, counted from when that round is due.
+// TestSlackRatioOfScheduledRounds checks that the slack of a scheduled job is that of its first round that is
+// not done, counted from when that round is due.
 func TestSlackRatioOfScheduledRounds(t *testing.T) {
 	j := newJob(func(submission *job.Submission) {
 		submission.Rounds = 2
--- a/job/keys.go
+++ b/job/keys.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// The topics that store jobs, agents and interference estimates. Entries append submissions and cancellations to
-// TopicJobs, and the owner of a shard appends the progress of its jobs to TopicRuns. These two are separate because
-// the owner follows TopicJobs with blocking reads, which its own records must not wake.
+// The topics that store jobs, agents and interference estimates. Entries append submissions and cancellations
+// to TopicJobs, and the owner of a shard appends the progress of its jobs to TopicRuns. These two are
+// separate because the owner follows TopicJobs with blocking reads, which its own records must not wake.
 const (
 	TopicJobs   = "keyed.jobs"
 	TopicRuns   = "keyed.runs"
@@ -13,9 +13,9 @@
 	TopicInterference = "keyed.learned"
 )
 
-// maxAgentPartitions limits the number of partitions that agents register in. A partition handles one append at a
-// time, and all agents of a fleet may register at once, so more partitions make the last agent known sooner. But
-// each partition costs every reader one more blocking read.
+// maxAgentPartitions limits the number of partitions that agents register in. A partition handles one append
+// at a time, and all agents of a fleet may register at once, so more partitions make the last agent known
+// sooner. But each partition costs every reader one more blocking read.
 const maxAgentPartitions = 4
 
 // AgentPartitions returns how many partitions of TopicAgents are used if each topic has the given number of
@@ -27,18 +27,19 @@
 	return ShardOf(agent, AgentPartitions(partitions))
 }
 
-// InterferenceKey is the key of the only record of TopicInterference. The record is in partition InterferenceShard.
+// InterferenceKey is the key of the only record of TopicInterference. The record is in partition
+// InterferenceShard.
 const InterferenceKey = "interference"
 
-// InterferenceShard is the shard whose owner combines the interference estimates of all agents, so that exactly one
-// of the owners does.
+// InterferenceShard is the shard whose owner combines the interference estimates of all agents, so that
+// exactly one of the owners does.
 const InterferenceShard = 0
 
 // OwnersGroup is the group in which the store assigns shards to entries.
 const OwnersGroup = "owners"
 
-// SeatsGroup is the group in which the store assigns seats to entries. Only an entry with a seat joins OwnersGroup,
-// unless owners are missing; see package candidacy.
+// SeatsGroup is the group in which the store assigns seats to entries. Only an entry with a seat joins
+// OwnersGroup, unless owners are missing; see package candidacy.
 const SeatsGroup = "seats"
 
 // SeatTopics returns the topics whose partitions serve as seats, one seat for each partition.
--- a/job/outcome.go
+++ b/job/outcome.go
@@ -8,7 +8,8 @@
 // EndReason is the reason why a run ended.
 type EndReason int
 
-// The reasons why a run ends. Only EndFailed counts against the number of attempts that the submission allows.
+// The reasons why a run ends. Only EndFailed counts against the number of attempts that the submission
+// allows.
 const (
 	EndDone EndReason = iota + 1
 	EndFailed
@@ -32,8 +33,8 @@
 	return reason == EndCrashed || reason == EndCrashedBesideSuspect
 }
 
-// StartRun records that a task is started at a place, under the next attempt number. The members of a gang are
-// started one after another, under the attempt number of the first.
+// StartRun records that a task is started at a place, under the next attempt number. The members of a gang
+// are started one after another, under the attempt number of the first.
 func (job *Job) StartRun(task *Task, place Place, now time.Time) {
 	task.attempt = job.nextAttempt(task)
 	task.state = TaskState_TASK_STARTED
@@ -66,8 +67,8 @@
 	return highest + 1
 }
 
-// Requeue makes a started task wait again, because its current run never started or is certainly over without a
-// reported end.
+// Requeue makes a started task wait again, because its current run never started or is certainly over without
+// a reported end.
 func (job *Job) Requeue(task *Task, now time.Time) {
 	if task.state != TaskState_TASK_STARTED {
 		return
@@ -85,9 +86,9 @@
 	return true
 }
 
-// ResumeCheckpoint returns the checkpoint from which the next run of the task resumes. All members of a gang resume
-// from the newest checkpoint of any member. Checkpoints start with the amount of work done, so the greatest string
-// is the newest checkpoint.
+// ResumeCheckpoint returns the checkpoint from which the next run of the task resumes. All members of a gang
+// resume from the newest checkpoint of any member. Checkpoints start with the amount of work done, so the
+// greatest string is the newest checkpoint.
 func (job *Job) ResumeCheckpoint(task *Task) string {
 	if !task.Spec().GetGang() {
 		return task.checkpoint
@@ -101,9 +102,9 @@
 
 // EndRun records that a run ended. It reports whether anything changed.
 //
-// The end may be that of an earlier run than the current one. It is taken into account as far as it is conclusive: a
-// failure counts against the allowed attempts, a crash of the worker counts against the task, and a task that waits
-// is done if an earlier run turns out to have completed it.
+// The end may be that of an earlier run than the current one. It is taken into account as far as it is
+// conclusive: a failure counts against the allowed attempts, a crash of the worker counts against the task,
+// and a task that waits is done if an earlier run turns out to have completed it.
 func (job *Job) EndRun(task *Task, attempt int32, reason EndReason, checkpoint string, now time.Time) bool {
 	isCurrent := attempt == task.attempt
 	if task.state == TaskState_TASK_DONE || task.state == TaskState_TASK_FAILED {
--- a/job/progress.go
+++ b/job/progress.go
@@ -25,8 +25,8 @@
 	return progress
 }
 
-// progressRecord returns the record of a task. It adds the place of a started task to progress, unless it is there
-// already; places maps each place to its number, counted from 1.
+// progressRecord returns the record of a task. It adds the place of a started task to progress, unless it is
+// there already; places maps each place to its number, counted from 1.
 func (task *Task) progressRecord(progress *Progress, places map[Place]int32) *TaskProgress {
 	record := &TaskProgress{
 		Round: task.round, Step: task.step, Index: task.index,
--- a/job/ready.go
+++ b/job/ready.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// ReadyTasks returns the tasks that may start now: their round is due, the steps that they depend on are done, and
-// their backoff is over.
+// ReadyTasks returns the tasks that may start now: their round is due, the steps that they depend on are
+// done, no other member of their gang is running, and their backoff is over.
 func (job *Job) ReadyTasks(now time.Time) []*Task {
 	if job.HasEnded() {
 		return nil
@@ -32,8 +32,8 @@
 	return !task.Spec().GetGang() || job.isGangIdle(task)
 }
 
-// isGangIdle reports whether no member of the task's gang is running. The members of a gang start together, under the
-// same attempt number.
+// isGangIdle reports whether no member of the task's gang is running. The members of a gang start together,
+// under the same attempt number.
 func (job *Job) isGangIdle(task *Task) bool {
 	for _, member := range job.StepTasks(task) {
 		if member.state == TaskState_TASK_STARTED {
--- a/job/slack.go
+++ b/job/slack.go
@@ -53,8 +53,8 @@
 	return job.roundDueAt(int32(round)).Add(job.TargetDuration())
 }
 
-// longestPathMs returns the estimated duration, in milliseconds, of the longest chain of dependent steps. Steps for
-// which includes returns false take no time.
+// longestPathMs returns the estimated duration, in milliseconds, of the longest chain of dependent steps.
+// Steps for which includes returns false take no time.
 func (job *Job) longestPathMs(includes func(number int) bool) int64 {
 	steps := job.submission.GetSteps()
 	ends := make([]int64, len(steps))
@@ -73,13 +73,13 @@
 	return longest
 }
 
-// maxInitialAge limits the age that a job is assumed to have when the owner of its shard first reads it. The age
-// is computed from the clocks of two machines. A record is read within one or two seconds after it was written, so a
-// greater age means that a clock has jumped.
+// maxInitialAge limits the age that a job is assumed to have when the owner of its shard first reads it. The
+// age is computed from the clocks of two machines. A record is read within one or two seconds after it was
+// written, so a greater age means that a clock has jumped.
 const maxInitialAge = 2 * time.Second
 
-// RebaseObjective computes the objective anew, relative to now, when the job has just been submitted. From then on
-// the objective belongs to the clock that now was read from, and jumps of the wall clock don't move it.
+// RebaseObjective recomputes the objective relative to now, when the job has just been submitted. From then
+// on the objective belongs to the clock that now was read from, and jumps of the wall clock don't move it.
 func (job *Job) RebaseObjective(now time.Time) {
 	age := min(max(now.Sub(job.submittedAt), 0), maxInitialAge)
 	job.objective = now.Add(job.TargetDuration() - age)
@@ -97,15 +97,15 @@
 	return now.Sub(job.idleSince)
 }
 
-// SlackTime returns how much time the job may lose from now on and still meet the objective of its current round,
-// according to its estimates. It is negative if the objective can't be met any more.
+// SlackTime returns how much time the job may lose from now on and still meet the objective of its current
+// round, according to its estimates. It is negative if the objective can't be met any more.
 func (job *Job) SlackTime(now time.Time) time.Duration {
 	round := job.currentRound()
 	return job.roundObjective(round).Sub(now) - time.Duration(job.remainingPathMs(round))*time.Millisecond
 }
 
-// SlackRatio returns the share of its initial slack that the job has left: 1 when it has just been submitted, 0 once
-// it would miss its objective even if it ran without delay from now on.
+// SlackRatio returns the share of its initial slack that the job has left: 1 when it has just been submitted,
+// 0 once it would miss its objective even if it ran without delay from now on.
 func (job *Job) SlackRatio(now time.Time) float64 {
 	if job.IsLasting() {
 		// A lasting job is useful for as long as it runs. It doesn't finish, so it can't be late.
--- a/job/task.go
+++ b/job/task.go
@@ -32,7 +32,8 @@
 	crashedAttempts   []int32 // the attempts after survivedAttempt under which a worker crashed, without duplicates
 	ambiguousAttempts []int32 // the same, if another suspect had just started on the worker
 	survivedAttempt   int32   // the last attempt that survived its start
-	// crashedAgents lists the addresses of agents whose worker crashed under a run, as far as this owner knows.
+	// crashedAgents lists the addresses of agents whose worker crashed under a run, as far as this owner
+	// knows.
 	crashedAgents []string
 	place         Place
 	checkpoint    string
@@ -66,7 +67,8 @@
 // Checkpoint returns the newest checkpoint, or "" if there is none.
 func (task *Task) Checkpoint() string { return task.checkpoint }
 
-// Interruptions returns the number of runs that were stopped or lost during the current ownership of the shard.
+// Interruptions returns the number of runs that were stopped or lost during the current ownership of the
+// shard.
 func (task *Task) Interruptions() int { return task.interruptions }
 
 // AddRefusal records that a start of the task was refused for lack of resources.
@@ -78,8 +80,8 @@
 // ResetRefusals sets the number of refusals to 0. It is called when a run has started.
 func (task *Task) ResetRefusals() { task.refusals = 0 }
 
-// StartedAt returns when the start of the last run was decided. After a change of owner, it is when the new owner
-// restored the run.
+// StartedAt returns when the start of the last run was decided. After a change of owner, it is when the new
+// owner restored the run.
 func (task *Task) StartedAt() time.Time { return task.startedAt }
 
 // IsUnplaced reports whether the task has been ready without a worker that could run it.
@@ -91,8 +93,8 @@
 	task.obstacle = obstacle
 }
 
-// UnplacedFor returns how long the task has been ready without a worker that could run it, and the obstacle recorded
-// at the beginning of that time.
+// UnplacedFor returns how long the task has been ready without a worker that could run it, and the obstacle
+// recorded at the beginning of that time.
 func (task *Task) UnplacedFor(now time.Time) (unplacedFor time.Duration, obstacle string) {
 	if !task.IsUnplaced() {
 		return 0, ""
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -2,8 +2,8 @@
 //
 // A decision has two steps. First, constraints rule out the workers that can't run the task: those that are
 // shutting down, draining, silent or suspected, are in another failure domain, or lack processors, memory or
-// accelerators. Then the operators' policy scores the remaining workers, and the highest score wins. The decision
-// counts the workers ruled out by each constraint, so that it can be explained.
+// accelerators. Then the operators' policy scores the remaining workers, and the highest score wins. The
+// decision counts the workers ruled out by each constraint, so that it can be explained.
 //
 // # Usage
 //
@@ -119,8 +119,8 @@
 // Policy returns the name and version of the policy that made the decision.
 func (decision *Decision) Policy() string { return decision.policy }
 
-// PolicyError returns the error of the policy in force that made the decision fall back to the built-in policy, or
-// nil.
+// PolicyError returns the error of the policy in force that made the decision fall back to the built-in
+// policy, or nil.
 func (decision *Decision) PolicyError() error { return decision.policyErr }
 
 // Rejected returns the number of workers ruled out by each constraint.
@@ -140,7 +140,8 @@
 	byName  map[string]*Worker
 }
 
-// NewWorkerSet returns a set of the workers. It sorts the slice, and [WorkerSet.Reserve] modifies the workers.
+// NewWorkerSet returns a set of the workers. It sorts the slice, and [WorkerSet.Reserve] modifies the
+// workers.
 func NewWorkerSet(workers []*Worker) *WorkerSet {
 	set := &WorkerSet{workers: workers, byName: make(map[string]*Worker, len(workers))}
 	slices.SortFunc(workers, func(a, b *Worker) int { return cmp.Compare(a.Name, b.Name) })
@@ -166,8 +167,8 @@
 	BuiltIn document.Policy
 }
 
-// Decide selects the worker for a task. If the policy in force fails for any worker, the built-in policy makes the
-// whole decision, so that scores of two different programs are never compared.
+// Decide selects the worker for a task. If the policy in force fails for any worker, the built-in policy
+// makes the whole decision, so that scores of two different programs are never compared.
 func (set *WorkerSet) Decide(runner *policy.Runner, policies Policies, task *Task) *Decision {
 	decision := set.decideWith(runner, policies.InForce, task)
 	if decision.policyErr == nil {
@@ -207,8 +208,8 @@
 	}
 }
 
-// rejectionReason returns the first constraint that rules the worker out, or "". Constraints that hold even for
-// an empty worker come first, since [Decision.IsImpossible] counts them.
+// rejectionReason returns the first constraint that rules the worker out, or "". Constraints that hold even
+// for an empty worker come first, since [Decision.IsImpossible] counts them.
 func rejectionReason(candidate *Worker, task *Task) Constraint {
 	requested := ResourcesOf(task.Spec)
 	switch {
@@ -277,7 +278,8 @@
 	}
 }
 
-// RejectAll returns a decision that rules out every worker, for a constraint that does not depend on the worker.
+// RejectAll returns a decision that rules out every worker, for a constraint that does not depend on the
+// worker.
 func (set *WorkerSet) RejectAll(policies Policies, constraint Constraint) *Decision {
 	return &Decision{
 		policy:      policies.InForce.String(),
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -85,8 +85,8 @@
 	return worker
 }
 
-// TestNeverOvercommits checks in random rounds of decisions that no worker is committed beyond its capacity, and that
-// the same round run twice makes the same decisions.
+// TestNeverOvercommits checks in random rounds of decisions that no worker is committed beyond its capacity,
+// and that the same round run twice makes the same decisions.
 func TestNeverOvercommits(t *testing.T) {
 	policies := newPolicies(t, "")
 	rapid.Check(t, func(t *rapid.T) {
@@ -110,8 +110,8 @@
 	workers []*placement.Worker
 }
 
-// runRound places tasks that request the given processors, one after another, on workers with the given free ones,
-// in thousandths.
+// runRound places tasks that request the given processors, one after another, on workers with the given free
+// ones, in thousandths.
 func runRound(requested, free []int64, policies placement.Policies) roundResult {
 	var workers []*placement.Worker
 	for index, freeMilliCPU := range free {
--- a/status/decoder.go
+++ b/status/decoder.go
@@ -17,8 +17,8 @@
 func (decoder *Decoder) Status() *wire.WorkerStatus { return decoder.status }
 
 // Tolerance returns how many more processors, in thousandths, tasks of a filling image may use before the
-// worker's serving tasks miss their targets. A negative value says how much those would suffer, and is only meant
-// to be compared with others.
+// worker's serving tasks miss their targets. A negative value says how much those would suffer, and is only
+// meant to be compared with others.
 func (decoder *Decoder) Tolerance(image string) int64 {
 	if tolerance, found := decoder.tolerances[image]; found {
 		return tolerance
@@ -26,8 +26,8 @@
 	return decoder.status.GetToleratedMilliCpu()
 }
 
-// Apply updates the status from a message, which carries a full status, a change or neither. It reports whether
-// the worker may now accept tasks that it had no resources for before.
+// Apply updates the status from a message, which carries a full status, a change or neither. It reports
+// whether the worker may now accept tasks that it had no resources for before.
 func (decoder *Decoder) Apply(message *wire.AgentMessage) (hasMoreFree bool) {
 	if full := message.GetStatus(); full != nil {
 		return decoder.applyFull(full)
@@ -65,8 +65,8 @@
 	return hasMoreFree
 }
 
-// applyToleranceChanges updates the tolerances that have changed. Entries with a number that the stream has not
-// introduced, or without a value, are ignored: in a valid message both lists have the same length.
+// applyToleranceChanges updates the tolerances that have changed. Entries with a number that the stream has
+// not introduced, or without a value, are ignored: in a valid message both lists have the same length.
 func (decoder *Decoder) applyToleranceChanges(change *wire.StatusChange) {
 	tolerances := decoder.status.GetTolerances()
 	values := change.GetToleranceMilliCpu()
--- a/status/doc.go
+++ b/status/doc.go
@@ -1,13 +1,13 @@
 // Package status encodes the status of a worker on the streams from its agent to the owners of shards.
 //
-// The first message of a stream carries the full status, the following ones only what has changed. A stream keeps
-// the order of its messages and loses none before it ends, so the encoder may assume that everything it has
-// written arrives, and nothing has to be acknowledged. When a stream ends, its successor starts with a full status
-// again. A full status is also sent when a field changes that wire.StatusChange lacks, such as the incarnation of
-// the worker.
+// The first message of a stream carries the full status, the following ones only what has changed. A stream
+// keeps the order of its messages and loses none before it ends, so the encoder may assume that everything it
+// has written arrives, and nothing has to be acknowledged. When a stream ends, its successor starts with a
+// full status again. A full status is also sent when a field changes that wire.StatusChange lacks, such as
+// the incarnation of the worker.
 //
-// Small changes of a tolerance are not sent, so a decoded tolerance may differ from the actual one by a tenth, or
-// by 1/640 of the worker's processors if that is more.
+// Small changes of a tolerance are not sent, so a decoded tolerance may differ from the actual one by a
+// tenth, or by 1/640 of the worker's processors if that is more.
 //
 // # Usage
 //
--- a/status/encoder.go
+++ b/status/encoder.go
@@ -23,8 +23,8 @@
 	sent *wire.WorkerStatus // as the receiver has it; nil before the first message
 }
 
-// Encode adds to a message what the receiver doesn't know of the worker's status. It adds the full status to the
-// first message of a stream and whenever a field has changed that wire.StatusChange lacks, a change
+// Encode adds to a message what the receiver doesn't know of the worker's status. It adds the full status to
+// the first message of a stream and whenever a field has changed that wire.StatusChange lacks, a change
 // otherwise, and nothing if nothing has changed.
 func (encoder *Encoder) Encode(message *wire.AgentMessage, current *wire.WorkerStatus) {
 	if encoder.sent == nil || !canSendChange(encoder.sent, current) {
@@ -83,8 +83,8 @@
 		before.GetServingMilliCpu() == change.GetServingMilliCpu() && before.GetToleratedMilliCpu() == change.GetToleratedMilliCpu()
 }
 
-// encodeToleranceChanges adds the tolerances that have changed to the change, identified by their position in the
-// receiver's list, and those of images that the receiver doesn't know yet.
+// encodeToleranceChanges adds the tolerances that have changed to the change, identified by their position in
+// the receiver's list, and those of images that the receiver doesn't know yet.
 func (encoder *Encoder) encodeToleranceChanges(change *wire.StatusChange, current *wire.WorkerStatus) {
 	numbers := make(map[string]int, len(encoder.sent.GetTolerances()))
 	for number, tolerance := range encoder.sent.GetTolerances() {
@@ -107,8 +107,8 @@
 }
 
 // toleranceChanged reports whether a tolerance differs enough from the value sent before to be sent again. A
-// change of sign always does. Two values that are both at least workerMilliCPU, all the processors of the worker,
-// are equivalent.
+// change of sign always does. Two values that are both at least workerMilliCPU, all the processors of the
+// worker, are equivalent.
 func toleranceChanged(before, current, workerMilliCPU int64) bool {
 	if before >= workerMilliCPU && current >= workerMilliCPU {
 		return false
--- a/status/status_test.go
+++ b/status/status_test.go
@@ -38,8 +38,8 @@
 	return passed
 }
 
-// TestEncode checks for each kind of change whether it is sent as a full status, as a change or not at all, and
-// what the decoder makes of it.
+// TestEncode checks for each kind of change whether it is sent as a full status, as a change or not at all,
+// and what the decoder makes of it.
 func TestEncode(t *testing.T) {
 	tests := map[string]struct {
 		change               func(current *wire.WorkerStatus)
@@ -89,8 +89,8 @@
 	}
 }
 
-// expectEqualStatus fails the test if the decoded status differs from the current one by more than the step below
-// which tolerances are not sent.
+// expectEqualStatus fails the test if the decoded status differs from the current one by more than the step
+// below which tolerances are not sent.
 func expectEqualStatus(t *testing.T, decoder *status.Decoder, current *wire.WorkerStatus) {
 	t.Helper()
 	for _, tolerance := range current.GetTolerances() {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestDecoderFollowsWorker checks that the decoded status stays equal to the worker's through random changes in any
-// order, and through streams that end and are replaced at any point.
+// TestDecoderFollowsWorker checks that the decoded status stays equal to the worker's through random changes
+// in any order, and through streams that end and are replaced at any point.
 func TestDecoderFollowsWorker(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 7))
@@ -152,8 +152,8 @@
 	return current
 }
 
-// TestInvalidToleranceNumberIgnored checks that a change with tolerance numbers that the stream has not introduced,
-// or with more numbers than values, changes no tolerance.
+// TestInvalidToleranceNumberIgnored checks that a change with tolerance numbers that the stream has not
+// introduced, or with more numbers than values, changes no tolerance.
 func TestInvalidToleranceNumberIgnored(t *testing.T) {
 	decoder := status.NewDecoder()
 	decoder.Apply(&wire.AgentMessage{Status: newWorker()})
