--- a/agent/evict.go
+++ b/agent/evict.go
@@ -9,62 +9,63 @@
 )
 
 const (
-	// evictEvery keeps evictions from a worker apart, so that what one brought
-	// shows before the next.
-	evictEvery = 300 * time.Millisecond
-	// evictAfter is how long a run is left where it is at least: it has begun
-	// to save its progress by then.
-	evictAfter = 600 * time.Millisecond
-	// restartedMost is up to which progress, in percent, a run that saves none is
-	// moved at once where it disturbs: it begins again from the start.
-	restartedMost = 25
-	// slowedMost is how long a run stays slowed before it is moved whatever it
-	// disturbs, and slowedPercent the pace that counts as such. Runs that saved nothing
-	// would stay at a twentieth of their pace for up to 40 s, and their jobs would wait.
-	// Either of these moves makes up for the other.
-	slowedMost    = 1500 * time.Millisecond
+	// evictionInterval is the minimum time between two evictions on a worker, so that the effect of one is
+	// measured before the next.
+	evictionInterval = 300 * time.Millisecond
+	// minRunTimeBeforeEviction protects a new run from eviction until it has begun to save its progress.
+	minRunTimeBeforeEviction = 600 * time.Millisecond
+	// maxRestartPercent is the progress up to which a run without checkpoints may be evicted for its
+	// interference: it has to restart from the beginning.
+	maxRestartPercent = 25
+	// maxSlowedTime is how long a run may stay slowed before it is evicted, whether or not it interferes.
+	// Without this limit, runs without checkpoints stayed at 5% of their pace for up to 40 s while their
+	// jobs waited. Evictions for interference and evictions of slowed runs can each make up for a lack of
+	// the other; without both, batch jobs miss their objectives.
+	maxSlowedTime = 1500 * time.Millisecond
+	// slowedPercent is the pace below which a run counts as slowed.
 	slowedPercent = 60
-	// slowedRestartedMost is up to which progress such a run is moved that saves none.
-	slowedRestartedMost = 70
+	// maxSlowedRestartPercent is the progress up to which a slowed run without checkpoints may be evicted.
+	maxSlowedRestartPercent = 70
 )
 
-// evictWorst stops the run that disturbs most, so that its owner finds a worker that
-// bears it, or else the one that has been slowed for the longest. Without any moves batch work is late.
-func (agent *Agent) evictWorst(state *workerState, servings []interference.ServingTask, fills []interference.FillTask, paces map[string]float64, now time.Time) {
-	if now.Sub(agent.paced.evictedAt) < evictEvery {
+// evictOne evicts at most one filling run, which its owner then starts on a worker that tolerates it: the
+// movable run that interferes the most with serving runs, or else the one that has been slowed for the
+// longest.
+func (agent *Agent) evictOne(state *workerState, servings []interference.ServingTask, fills []interference.FillTask, paces map[string]float64, now time.Time) {
+	if now.Sub(agent.pacer.lastEvictionAt) < evictionInterval {
 		return
 	}
-	for index := range fills {
-		run := state.runs[fills[index].Task]
-		fills[index].Movable = run.evictable(now) && run.losesLittle(restartedMost) && agent.gainsByMove(run, paces[run.task])
+	for i := range fills {
+		run := state.runs[fills[i].Task]
+		fills[i].Movable = run.isEvictable(now) && run.losesLittleProgress(maxRestartPercent) && agent.benefitsFromMove(run, paces[run.task])
 	}
-	if worst, found := agent.paced.model.EvictionCandidate(servings, fills, paces); found {
-		agent.evict(state, state.runs[worst], now)
+	if task, found := agent.pacer.model.EvictionCandidate(servings, fills, paces); found {
+		agent.evict(state, state.runs[task], now)
 		return
 	}
-	if stuck := state.slowedLongest(now); stuck != nil && agent.gainsByMove(stuck, paces[stuck.task]) {
-		agent.evict(state, stuck, now)
+	if run := state.longestSlowed(now); run != nil && agent.benefitsFromMove(run, paces[run.task]) {
+		agent.evict(state, run, now)
 	}
 }
 
-// evictable reports whether a run may be moved for the sake of serving ones, or of its
-// own.
-func (run *runState) evictable(now time.Time) bool {
-	return run.demand.GetMovable() && run.phase == phaseRunning && now.Sub(run.confirmedAt) >= evictAfter
+// isEvictable reports whether the run may be evicted, either because it interferes with serving runs or
+// because it is slowed.
+func (run *runState) isEvictable(now time.Time) bool {
+	return run.demand.GetMovable() && run.phase == phaseRunning && now.Sub(run.confirmedAt) >= minRunTimeBeforeEviction
 }
 
-// losesLittle reports whether a run goes on from a checkpoint when it is stopped, or has
-// not got beyond a progress in percent.
-func (run *runState) losesLittle(most int32) bool {
-	return run.demand.GetSaves() || run.percent <= most
+// losesLittleProgress reports whether the run resumes from a checkpoint after a stop, or has made no more
+// than maxPercent of progress.
+func (run *runState) losesLittleProgress(maxPercent int32) bool {
+	return run.demand.GetSaves() || run.progressPercent <= maxPercent
 }
 
-// slowedLongest returns the run that has been slowed for the longest, and for too long;
-// nil if there is none.
-func (state *workerState) slowedLongest(now time.Time) *runState {
+// longestSlowed returns the evictable run that has been slowed for the longest, and for at least
+// maxSlowedTime, or nil if there is none.
+func (state *workerState) longestSlowed(now time.Time) *runState {
 	var longest *runState
 	for _, run := range state.runs {
-		if run.slowedSince.IsZero() || now.Sub(run.slowedSince) < slowedMost || !run.evictable(now) || !run.losesLittle(slowedRestartedMost) {
+		if run.slowedSince.IsZero() || now.Sub(run.slowedSince) < maxSlowedTime || !run.isEvictable(now) || !run.losesLittleProgress(maxSlowedRestartPercent) {
 			continue
 		}
 		if longest == nil || run.slowedSince.Before(longest.slowedSince) {
@@ -74,9 +75,10 @@
 	return longest
 }
 
+// evict stops a run; its owner starts it again elsewhere.
 func (agent *Agent) evict(state *workerState, run *runState, now time.Time) {
-	agent.paced.evictedAt = now
-	agent.meters.evicted.Add(agent.ctx, 1)
-	agent.logRun(event.RunEvicted, run, slog.String("image", run.demand.GetImage()), slog.Int("percent_done", int(run.percent)))
+	agent.pacer.lastEvictionAt = now
+	agent.metrics.evictions.Add(agent.ctx, 1)
+	agent.logRun(event.RunEvicted, run, slog.String("image", run.demand.GetImage()), slog.Int("percent_done", int(run.progressPercent)))
 	agent.stopRun(state, run, now)
 }
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -8,44 +8,44 @@
 	"ambertiller.example/ambertiller/telemetry"
 )
 
-// meters are the agent's instruments.
-type meters struct {
-	orders  metric.Int64Counter
-	ended   metric.Int64Counter
-	lost    metric.Int64Counter
-	evicted metric.Int64Counter
-	paced   metric.Int64Counter
-	margin  metric.Float64Gauge
-	running metric.Int64Gauge
-	unseen  metric.Int64Gauge
+// metrics holds the agent's metric instruments.
+type metrics struct {
+	startOrders      metric.Int64Counter
+	runEnds          metric.Int64Counter
+	lostIncarnations metric.Int64Counter
+	evictions        metric.Int64Counter
+	paceChanges      metric.Int64Counter
+	leaseMargin      metric.Float64Gauge
+	runs             metric.Int64Gauge
+	pendingEnds      metric.Int64Gauge
 }
 
-// newMeters makes the instruments. Their names are constants that the library
-// accepts, so its errors can't occur.
-func newMeters(provider metric.MeterProvider) meters {
+// newMetrics creates the instruments. It ignores their errors, which the library returns only for invalid
+// names.
+func newMetrics(provider metric.MeterProvider) metrics {
 	meter := telemetry.Meter(provider, "agent")
-	var made meters
-	made.orders, _ = meter.Int64Counter("ambertiller.order.judged", metric.WithDescription("Starts that owners ordered, by outcome."))
-	made.ended, _ = meter.Int64Counter("ambertiller.worker.ends", metric.WithDescription("Ends that the worker listed, by how."))
-	made.lost, _ = meter.Int64Counter("ambertiller.worker.lost", metric.WithDescription("Incarnations of the worker that are over, by how it became known."))
-	made.evicted, _ = meter.Int64Counter("ambertiller.fill.evicted", metric.WithDescription("Filling runs that were stopped for a serving one."))
-	made.paced, _ = meter.Int64Counter("ambertiller.fill.paced", metric.WithDescription("Changes of the pace of filling runs."))
-	made.margin, _ = meter.Float64Gauge("ambertiller.lease.margin", metric.WithUnit("s"), metric.WithDescription("Time until the worker's lease has run out on the slowest clock."))
-	made.running, _ = meter.Int64Gauge("ambertiller.worker.runs", metric.WithDescription("Runs on the worker."))
-	made.unseen, _ = meter.Int64Gauge("ambertiller.worker.unseen_ends", metric.WithDescription("Ends that no owner has made durable yet."))
-	return made
+	var m metrics
+	m.startOrders, _ = meter.Int64Counter("ambertiller.order.judged", metric.WithDescription("Starts that owners ordered, by outcome."))
+	m.runEnds, _ = meter.Int64Counter("ambertiller.worker.ends", metric.WithDescription("Ends that the worker listed, by how."))
+	m.lostIncarnations, _ = meter.Int64Counter("ambertiller.worker.lost", metric.WithDescription("Incarnations of the worker that are over, by how it became known."))
+	m.evictions, _ = meter.Int64Counter("ambertiller.fill.evicted", metric.WithDescription("Filling runs that were stopped for a serving one."))
+	m.paceChanges, _ = meter.Int64Counter("ambertiller.fill.paced", metric.WithDescription("Changes of the pace of filling runs."))
+	m.leaseMargin, _ = meter.Float64Gauge("ambertiller.lease.margin", metric.WithUnit("s"), metric.WithDescription("Time until the worker's lease has run out on the slowest clock."))
+	m.runs, _ = meter.Int64Gauge("ambertiller.worker.runs", metric.WithDescription("Runs on the worker."))
+	m.pendingEnds, _ = meter.Int64Gauge("ambertiller.worker.unseen_ends", metric.WithDescription("Ends that no owner has made durable yet."))
+	return m
 }
 
-// gaugeEvery is how often the gauges are set: metrics are read every few seconds.
-const gaugeEvery = time.Second
+// gaugeInterval is how often the gauges are recorded. Metrics are collected every few seconds.
+const gaugeInterval = time.Second
 
-// gauge sets the gauges.
-func (agent *Agent) gauge(now time.Time) {
-	if agent.worker == nil || now.Sub(agent.gaugedAt) < gaugeEvery {
+// recordGauges records the state of the worker, once per gaugeInterval.
+func (agent *Agent) recordGauges(now time.Time) {
+	if agent.worker == nil || now.Sub(agent.gaugesRecordedAt) < gaugeInterval {
 		return
 	}
-	agent.gaugedAt = now
-	agent.meters.margin.Record(agent.ctx, agent.worker.lapseBy.Sub(now).Seconds())
-	agent.meters.running.Record(agent.ctx, int64(len(agent.worker.runs)))
-	agent.meters.unseen.Record(agent.ctx, int64(len(agent.worker.ends)))
+	agent.gaugesRecordedAt = now
+	agent.metrics.leaseMargin.Record(agent.ctx, agent.worker.leaseOverBy.Sub(now).Seconds())
+	agent.metrics.runs.Record(agent.ctx, int64(len(agent.worker.runs)))
+	agent.metrics.pendingEnds.Record(agent.ctx, int64(len(agent.worker.pendingEnds)))
 }
--- a/agent/session.go
+++ b/agent/session.go
@@ -11,56 +11,58 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// outboxLength is how many messages may wait to be sent; an owner that lets
-// more wait is taken for gone.
-const outboxLength = 64
+// outboxSize is how many messages to an owner may wait to be sent. An owner that lets more wait is considered
+// gone.
+const outboxSize = 64
 
-// session is one owner's stream.
+// session is the connection of one owner to the agent, with what the owner has been sent on it.
 type session struct {
-	name string
-	// connection counts the streams that owners have spoken on, for logs; number is the owner's
-	// own count of its connections to this agent, 0 for one of an earlier build.
-	connection int64
-	number     int64
-	// near is set for an owner in the same failure domain.
-	near    bool
-	heardAt time.Time
-	outbox  chan *wire.AgentMessage
-	closed  chan struct{}
-	// ended is set once the stream has: a message of it may still wait its turn.
-	ended bool
-	// handled is the number of the owner's last message, answered that of the last one
-	// that it was told to be handled.
-	handled  int64
-	answered int64
-	// takesChanges is set for an owner that needs no more than what has changed.
-	takesChanges bool
-	// told is what the owner has been told of the worker, toldLearned what readings have
-	// taught.
-	told        status.Encoder
-	toldLearned map[interference.Pair]interference.Estimate
+	ownerName string
+	// id identifies the session in logs: sessions are numbered in the order of their first messages.
+	// connectionNumber is the owner's own count of its connections to this agent, 0 for an owner of an earlier
+	// build.
+	id               int64
+	connectionNumber int64
+	// isSameDomain is set for an owner in the agent's failure domain.
+	isSameDomain  bool
+	lastMessageAt time.Time
+	outbox        chan *wire.AgentMessage
+	closed        chan struct{}
+	// isClosed is set once the stream is closed. Messages that were received before may still wait in the
+	// event loop.
+	isClosed bool
+	// handledSequence is the sequence number of the owner's last message that was handled,
+	// acknowledgedSequence that of the last one that was acknowledged to the owner.
+	handledSequence      int64
+	acknowledgedSequence int64
+	// acceptsChanges is set for an owner that needs to be sent only what has changed.
+	acceptsChanges bool
+	// statusEncoder holds the status of the worker that the owner was last sent, sentEstimates the
+	// interference estimates.
+	statusEncoder status.Encoder
+	sentEstimates map[interference.Pair]interference.Estimate
 
-	results  []*wire.StartResult
-	ends     []*wire.RunEnd
-	changed  bool
-	wholeDue bool
-	sentAt   time.Time
-	runsSent time.Time
+	results       []*wire.StartResult
+	ends          []*wire.RunEnd
+	statusChanged bool
+	fullUpdateDue bool
+	lastSentAt    time.Time
+	runsSentAt    time.Time
 }
 
-// Attach implements wire.DRPCAgentServer.
+// Attach serves the stream of an owner until either side closes it. It implements wire.DRPCAgentServer.
 func (agent *Agent) Attach(stream wire.DRPCAgent_AttachStream) error {
-	owner := &session{outbox: make(chan *wire.AgentMessage, outboxLength), closed: make(chan struct{}), changed: true, wholeDue: true}
+	s := &session{outbox: make(chan *wire.AgentMessage, outboxSize), closed: make(chan struct{}), statusChanged: true, fullUpdateDue: true}
 	failed := make(chan error, 1)
-	go func() { failed <- agent.receive(stream, owner) }()
-	defer agent.decisions.Post(func(now time.Time) { agent.detach(owner) })
+	go func() { failed <- agent.receive(stream, s) }()
+	defer agent.eventLoop.Post(func(now time.Time) { agent.detach(s) })
 	for {
 		select {
-		case message := <-owner.outbox:
+		case message := <-s.outbox:
 			if err := stream.Send(message); err != nil {
 				return err
 			}
-		case <-owner.closed:
+		case <-s.closed:
 			return nil
 		case err := <-failed:
 			return err
@@ -68,94 +70,99 @@
 	}
 }
 
-func (agent *Agent) receive(stream wire.DRPCAgent_AttachStream, owner *session) error {
+// receive passes the messages of an owner to the event loop, until its stream fails.
+func (agent *Agent) receive(stream wire.DRPCAgent_AttachStream, s *session) error {
 	for {
 		message, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		agent.decisions.Post(func(now time.Time) { agent.noteOwner(owner, message, now) })
+		agent.eventLoop.Post(func(now time.Time) { agent.handleOwnerMessage(s, message, now) })
 	}
 }
 
-// logOwner logs what becomes of an owner's connection.
-func (agent *Agent) logOwner(code event.Code, owner *session, attributes ...slog.Attr) {
-	about := []slog.Attr{slog.String("owner", owner.name), slog.Int64("connection", owner.connection)}
-	agent.log(code, append(about, attributes...)...)
+// logSession logs an event about the connection of an owner.
+func (agent *Agent) logSession(code event.Code, s *session, attributes ...slog.Attr) {
+	common := []slog.Attr{slog.String("owner", s.ownerName), slog.Int64("connection", s.id)}
+	agent.log(code, append(common, attributes...)...)
 }
 
-func (agent *Agent) detach(owner *session) {
-	owner.ended = true
-	if !agent.owners[owner] {
+// detach removes a session whose stream has ended.
+func (agent *Agent) detach(s *session) {
+	s.isClosed = true
+	if !agent.sessions[s] {
 		return
 	}
-	delete(agent.owners, owner)
-	agent.logOwner(event.OwnerLost, owner)
+	delete(agent.sessions, s)
+	agent.logSession(event.OwnerLost, s)
 }
 
-func (agent *Agent) noteOwner(owner *session, message *wire.OwnerMessage, now time.Time) {
-	if owner.ended {
+// handleOwnerMessage handles a message of an owner. The first one on a stream adds the session.
+func (agent *Agent) handleOwnerMessage(s *session, message *wire.OwnerMessage, now time.Time) {
+	if s.isClosed {
 		return
 	}
-	if !agent.owners[owner] {
-		agent.owners[owner] = true
-		owner.name = message.GetOwner()
-		owner.near = message.GetFailureDomain() == agent.options.FailureDomain
-		owner.takesChanges = message.GetTakesChanges()
-		owner.number = message.GetConnection()
-		agent.connections++
-		owner.connection = agent.connections
-		agent.logOwner(event.OwnerAttached, owner)
+	if !agent.sessions[s] {
+		agent.sessions[s] = true
+		s.ownerName = message.GetOwner()
+		s.isSameDomain = message.GetFailureDomain() == agent.options.FailureDomain
+		s.acceptsChanges = message.GetTakesChanges()
+		s.connectionNumber = message.GetConnection()
+		agent.sessionCount++
+		s.id = agent.sessionCount
+		agent.logSession(event.OwnerAttached, s)
 	}
 	if message.GetOwned() {
-		agent.noteClaims(owner, message)
+		agent.handleClaims(s, message)
 	}
-	if owner.ended {
+	if s.isClosed {
 		return
 	}
-	agent.noteGrant(owner, message)
-	agent.noteEvacuations(message.GetEvacuations(), now)
+	agent.handleGrant(s, message)
+	agent.handleEvacuations(message.GetEvacuations(), now)
 	for _, description := range message.GetRuns() {
-		agent.noteDescription(description)
+		agent.handleRunDescription(description)
 	}
-	agent.paced.share(message.GetLearned(), now)
-	agent.paced.keep(message.GetLearnedByAll(), now)
+	agent.pacer.mergeLearned(message.GetLearned(), now)
+	agent.pacer.setLearnedByAll(message.GetLearnedByAll(), now)
 	for _, order := range message.GetStops() {
-		agent.noteStop(order, now)
+		agent.handleStopOrder(order, now)
 	}
 	for _, order := range message.GetPreempts() {
-		agent.notePreempt(order, now)
+		agent.handlePreemptOrder(order, now)
 	}
 	for _, order := range message.GetStarts() {
-		agent.noteStart(owner, order, now)
+		agent.handleStartOrder(s, order, now)
 	}
-	if len(message.GetStarts()) > 0 && message.GetEvacuations() == nil && agent.judgeDomain(now) == operator.Outdated {
-		agent.wantEvacuations()
+	if len(message.GetStarts()) > 0 && message.GetEvacuations() == nil && agent.checkFailureDomain(now) == operator.Outdated {
+		agent.requestEvacuations()
 	}
 	for _, seen := range message.GetSeen() {
-		agent.noteSeen(seen, now)
+		agent.handleEndSeen(seen, now)
 	}
-	owner.heardAt = now
-	owner.handled = message.GetSequence()
+	s.lastMessageAt = now
+	s.handledSequence = message.GetSequence()
 }
 
-func (agent *Agent) noteDescription(description *wire.RunDescription) {
+// handleRunDescription sets the demand of a run if it is unknown, as it is for an adopted run.
+func (agent *Agent) handleRunDescription(description *wire.RunDescription) {
 	if agent.worker == nil {
 		return
 	}
 	run, found := agent.worker.runs[description.GetTask()]
 	if found && run.attempt == description.GetAttempt() && run.demand == nil {
 		run.demand = description.GetDemand()
-		agent.statusChanged()
+		agent.markStatusChanged()
 	}
 }
 
-func (agent *Agent) sendResult(state *workerState, run *runState, outcome wire.StartOutcome) {
-	held, claimed := agent.claims[run.shard]
-	if !claimed || !agent.owners[held.owner] {
+// queueResult queues the outcome of a start for the owner of the run's shard.
+func (agent *Agent) queueResult(state *workerState, run *runState, outcome wire.StartOutcome) {
+	claim, claimed := agent.claims[run.shard]
+	if !claimed || !agent.sessions[claim.session] {
 		return
 	}
-	held.owner.results = append(held.owner.results, &wire.StartResult{
-		Task: run.task, Attempt: run.attempt, Worker: state.life.WorkerID(), Born: state.life.StartedMs(), Outcome: outcome,
+	claim.session.results = append(claim.session.results, &wire.StartResult{
+		Task: run.task, Attempt: run.attempt, Worker: state.incarnation.WorkerID(), Born: state.incarnation.StartedMs(), Outcome: outcome,
 	})
 }
--- a/agent/session_test.go
+++ b/agent/session_test.go
@@ -6,13 +6,13 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestHigherEpochTakesOver: once a later owner has claimed the shard, the earlier
-// one's orders have no effect.
-func TestHigherEpochTakesOver(t *testing.T) {
-	made := newBench(t)
-	before := made.attachReady(1)
-	made.attach(2)
-	if got := made.starts(before, start(1)); got != wire.StartOutcome_START_STALE {
-		t.Errorf("told %v", got)
+// TestHigherEpochReplacesOwner checks that an owner's orders have no effect once a later owner has claimed
+// the shard.
+func TestHigherEpochReplacesOwner(t *testing.T) {
+	h := newHarness(t)
+	earlier := h.attachReadyOwner(1)
+	h.attachOwner(2)
+	if got := h.orderStart(earlier, newStartOrder(1)); got != wire.StartOutcome_START_STALE {
+		t.Errorf("the start was answered %v", got)
 	}
 }
--- a/agent/target.go
+++ b/agent/target.go
@@ -9,29 +9,29 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// noteTargets logs which serving runs begin to miss their targets, beside what, and
-// which keep them again.
-func (agent *Agent) noteTargets(state *workerState, now time.Time) {
+// logTargetChanges logs when a serving run begins to miss its tail latency target, with the images of the
+// filling runs beside it, and when it meets the target again.
+func (agent *Agent) logTargetChanges(state *workerState, now time.Time) {
 	for _, run := range state.runs {
 		target := run.demand.GetTargetMs()
-		if target <= 0 || run.figure <= 0 {
+		if target <= 0 || run.reading <= 0 {
 			continue
 		}
-		missed := run.figure >= target
+		missed := run.reading >= target
 		switch {
-		case missed && run.overSince.IsZero():
-			run.overSince = now
+		case missed && run.targetMissedSince.IsZero():
+			run.targetMissedSince = now
 			agent.logRun(event.TargetMissed, run, slog.String("image", run.demand.GetImage()),
-				slog.Int64("tail_ms", run.figure), slog.Int64("target_ms", target), slog.String("beside", state.fillingImages()))
-		case !missed && !run.overSince.IsZero():
-			agent.logRun(event.TargetKept, run, slog.String("image", run.demand.GetImage()), slog.Duration("after", now.Sub(run.overSince)))
-			run.overSince = time.Time{}
+				slog.Int64("tail_ms", run.reading), slog.Int64("target_ms", target), slog.String("beside", state.fillImages()))
+		case !missed && !run.targetMissedSince.IsZero():
+			agent.logRun(event.TargetKept, run, slog.String("image", run.demand.GetImage()), slog.Duration("after", now.Sub(run.targetMissedSince)))
+			run.targetMissedSince = time.Time{}
 		}
 	}
 }
 
-// fillingImages lists the images of the runs that fill, each once, with commas.
-func (state *workerState) fillingImages() string {
+// fillImages returns the images of the filling runs without duplicates, sorted and separated by commas.
+func (state *workerState) fillImages() string {
 	var images []string
 	for _, run := range state.runs {
 		if image := run.demand.GetImage(); run.demand.GetFills() && !slices.Contains(images, image) {
--- a/owner/place_test.go
+++ b/owner/place_test.go
@@ -17,11 +17,11 @@
 	made.attachAndStart()
 	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_FAILED}}})
 	for range 8 {
-		made.step()
+		made.tick()
 		made.awaitWrites()
 		made.clock.Advance(95 * time.Millisecond)
-		made.owner.joinedAt = made.clock.Now()
-		made.agent.heardAt = made.clock.Now()
+		made.owner.lastJoinAt = made.clock.Now()
+		made.agent.lastMessageAt = made.clock.Now()
 	}
 	if got := of.Tasks()[0].Attempt(); got != 2 {
 		t.Errorf("after 0.8 s it is at attempt %d", got)
@@ -37,9 +37,9 @@
 	status := idleWorkerStatus()
 	status.Tolerances = []*wire.Tolerance{{Image: "loud", MilliCpu: 0}}
 	hear := func() {
-		made.owner.joinedAt = made.clock.Now()
+		made.owner.lastJoinAt = made.clock.Now()
 		made.receive(&wire.AgentMessage{Status: status})
-		made.step()
+		made.tick()
 	}
 	hear()
 	if len(made.agent.runs) != 0 {
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -10,11 +10,11 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-func TestOrderOnlyOnceTheStartIsInTheStore(t *testing.T) {
+func TestStartIsStoredBeforeOrder(t *testing.T) {
 	made := newHarness(t)
 	made.submit()
 	made.attach()
-	made.step()
+	made.tick()
 	if got := startOrders(made.takeSent()); len(got) != 0 {
 		t.Fatalf("ordered before the store had it: %v", got)
 	}
@@ -22,13 +22,13 @@
 	if _, kept := made.store.Newest(job.TopicRuns, made.shard.number, jobID); !kept {
 		t.Fatal("the start is not in the store")
 	}
-	made.step()
+	made.tick()
 	if got := startOrders(made.takeSent()); len(got) != 1 || got[0].GetTask() != firstTask || got[0].GetEpoch() != 3 {
 		t.Errorf("ordered: %v", got)
 	}
 }
 
-func TestEndIsSeenOnlyOnceItIsInTheStore(t *testing.T) {
+func TestEndIsStoredBeforeAcknowledged(t *testing.T) {
 	made := newHarness(t)
 	of := made.submit()
 	made.attachAndStart()
@@ -36,23 +36,23 @@
 	if of.State() != job.State_STATE_COMPLETED {
 		t.Fatalf("state %v", of.State())
 	}
-	if shown := made.shard.shown(of); shown != job.State_STATE_RUNNING {
+	if shown := made.shard.visibleState(of); shown != job.State_STATE_RUNNING {
 		t.Errorf("shown as %v before the store had it", shown)
 	}
-	made.step()
+	made.tick()
 	for _, message := range made.takeSent() {
 		if len(message.GetSeen()) > 0 {
 			t.Error("seen before the store had it")
 		}
 	}
 	made.awaitWrites()
-	made.step()
+	made.tick()
 	seen := 0
 	for _, message := range made.takeSent() {
 		seen += len(message.GetSeen())
 	}
-	if seen != 1 || made.shard.shown(of) != job.State_STATE_COMPLETED {
-		t.Errorf("seen %d, shown %v", seen, made.shard.shown(of))
+	if seen != 1 || made.shard.visibleState(of) != job.State_STATE_COMPLETED {
+		t.Errorf("seen %d, shown %v", seen, made.shard.visibleState(of))
 	}
 }
 
@@ -70,24 +70,24 @@
 	}
 }
 
-// TestOldJobsAreForgotten: an ended job is known for as long as it must be, and
+// TestEndedJobsArePruned: an ended job is known for as long as it must be, and
 // then dropped from the store too.
-func TestOldJobsAreForgotten(t *testing.T) {
+func TestEndedJobsArePruned(t *testing.T) {
 	made := newHarness(t)
-	made.owner.options.StatusKept = 2 * time.Minute
+	made.owner.options.JobRetention = 2 * time.Minute
 	of := made.submit()
 	made.owner.cancelJob(made.shard, of, made.clock.Now())
-	made.step()
+	made.tick()
 	made.awaitWrites()
 	made.clock.Advance(2*time.Minute + 30*time.Second)
-	made.step()
+	made.tick()
 	if made.shard.jobs[jobID] == nil {
 		t.Fatal("forgotten too early")
 	}
 	made.clock.Advance(time.Minute)
-	made.step()
-	made.owner.decisions.RunOne(made.clock.Now()) // What was handed in is dropped.
-	made.step()
+	made.tick()
+	made.owner.eventLoop.RunOne(made.clock.Now()) // What was handed in is dropped.
+	made.tick()
 	made.awaitWrites()
 	if made.shard.jobs[jobID] != nil {
 		t.Error("not forgotten")
@@ -97,16 +97,16 @@
 	}
 }
 
-// TestTakenIsTakenUpOnce: what a gateway tells and what the store's read brings is
+// TestTakenJobIsAddedOnce: what a gateway tells and what the store's read brings is
 // one job, and a cancellation that is told stops it.
-func TestTakenIsTakenUpOnce(t *testing.T) {
+func TestTakenJobIsAddedOnce(t *testing.T) {
 	made := newHarness(t)
 	tell := func(handed platform.Record) {
 		request := &wire.TakenRequest{Shard: int32(made.shard.number), Key: handed.Key, Value: handed.Value}
 		if _, err := made.owner.Taken(context.Background(), request); err != nil {
 			t.Fatal(err)
 		}
-		made.owner.decisions.RunOne(made.clock.Now())
+		made.owner.eventLoop.RunOne(made.clock.Now())
 	}
 	handed := newRecord(t, job.SubmissionKey(jobID), newSubmission())
 	tell(handed)
--- a/owner/stall_test.go
+++ b/owner/stall_test.go
@@ -29,9 +29,9 @@
 			stops := 0
 			for _, percent := range test.percents {
 				made.clock.Advance(time.Second)
-				made.owner.joinedAt = made.clock.Now()
+				made.owner.lastJoinAt = made.clock.Now()
 				made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1, Percent: percent}}})
-				made.step()
+				made.tick()
 				for _, message := range made.takeSent() {
 					stops = max(stops, len(message.GetStops()))
 				}
