--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestSlots checks that requests beyond the number of slots are refused, and that releasing a slot twice frees it once.
+// TestSlots checks that requests beyond the number of slots are refused, and that releasing a slot twice
+// frees it once.
 func TestSlots(t *testing.T) {
 	gate := admission.NewGate(testCapacity)
 	var release func()
@@ -68,7 +69,8 @@
 	}
 }
 
-// TestLeaving checks that a leaving gate refuses new work and reports idle only after the last request has ended.
+// TestLeaving checks that a leaving gate refuses new work and reports idle only after the last request has
+// ended.
 func TestLeaving(t *testing.T) {
 	gate := admission.NewGate(testCapacity)
 	release, err := gate.AdmitRequest()
