--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -161,7 +161,7 @@
 		Name: "side-1", Shards: shardCount, FirstToken: h.clock.Now().UnixMilli(), Clock: h.clock, Events: event.Discard(),
 		EvacuationDeadline: evacuationDeadline, Suspended: func() time.Duration { return time.Duration(h.suspendedFor.Load()) },
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
-			return platform.NewWorker(address, of, platform.Transport())
+			return platform.NewWorker(address, of, platform.NewTransport())
 		},
 	})
 	h.agentStartedAt = h.clock.Now()
@@ -183,14 +183,14 @@
 
 // sendHeartbeat has the worker say that it is there.
 func (h *harness) sendHeartbeat() {
-	h.agent.Beat(h.firstHeartbeat())
+	h.agent.HandleHeartbeat(h.firstHeartbeat())
 }
 
 // sendDrainNotice has the worker say that it drains and stays for a while at least.
 func (h *harness) sendDrainNotice(remaining time.Duration) {
 	beat := h.firstHeartbeat()
 	beat.Sequence, beat.Draining, beat.Remaining = 2, true, remaining
-	h.agent.Beat(beat)
+	h.agent.HandleHeartbeat(beat)
 }
 
 // attachOwner connects an owner that claims the shard and grants it time.
--- a/agent/resources_test.go
+++ b/agent/resources_test.go
@@ -31,7 +31,7 @@
 			beat := h.firstHeartbeat()
 			beat.Sequence = 2
 			test.change(&beat)
-			h.agent.Beat(beat)
+			h.agent.HandleHeartbeat(beat)
 			if got := h.orderStart(owner, newStartOrder(1)); got != test.want {
 				t.Errorf("told %v", got)
 			}
