--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -20,7 +20,7 @@
 // TestEndIsBoundByItsGrant has an owner go silent that was not told yet that a run of it is done,
 // while another owner has a run on the same worker. Once the grant is over the silent one takes
 // the run for over and starts its task elsewhere; the end must not count any more by then, whoever
-// says later that it is in the store. (The story is told at owner.TestTaskIsDoneOnce.)
+// says later that it is in the store. (The story is told at owner.TestPartitionedTaskCompletesOnce.)
 func TestEndIsBoundByItsGrant(t *testing.T) {
 	otherShard := int32(job.ShardOf(otherJob, shards))
 	if otherShard == shard {
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -97,14 +97,14 @@
 	pool := rpc.NewPool(nil)
 	owning := owner.New(owner.Options{
 		Name: settings.Name(), Address: address, FailureDomain: settings.FailureDomain(), Shards: settings.Parts(),
-		Strong: candidacy.IsStrong(settings.Cores()),
-		Grant:  min(grantMost, settings.LeaseMost()), Silent: max(ownerSilent, settings.MembershipLeast()), StatusKept: settings.StatusKept(),
+		Strong:        candidacy.IsStrong(settings.Cores()),
+		GrantDuration: min(grantMost, settings.LeaseMost()), MemberTimeout: max(ownerSilent, settings.MembershipLeast()), JobRetention: settings.StatusKept(),
 		Store: made.store, Advisor: advisor(settings), Dial: rpc.DialOne, Clock: made.clock, Suspended: made.clocks.Suspended,
 		Events: made.events, Meters: made.metering.Provider(),
 	})
 	front := gateway.New(gateway.Options{
 		Name: settings.Name(), Shards: settings.Parts(), Store: made.store, Owner: owning,
-		Self: owning.Member(), Pool: pool, Clock: made.clock, Events: made.events, Meters: made.metering.Provider(),
+		Self: owning.MemberName(), Pool: pool, Clock: made.clock, Events: made.events, Meters: made.metering.Provider(),
 	})
 	running := &Gateway{Daemon: Daemon{kern: kernel.New(), events: made.events}}
 	return running, registerAll(running.kern,
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -41,12 +41,12 @@
 	store := platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport())
 	clock := clockwork.NewRealClock()
 	scheduling := owner.New(owner.Options{
-		Name: "edge-1", Strong: true, Address: "127.0.0.1:1", Shards: shards, Grant: time.Second, Silent: time.Second, Store: store,
+		Name: "edge-1", Strong: true, Address: "127.0.0.1:1", Shards: shards, GrantDuration: time.Second, MemberTimeout: time.Second, Store: store,
 		Clock: clock, Events: event.Discard(),
 		Dial: func(context.Context, string) (drpc.Conn, error) { return nil, context.Canceled },
 	})
 	front := gateway.New(gateway.Options{
-		Name: "edge-1", Shards: shards, Store: store, Owner: scheduling, Self: scheduling.Member(),
+		Name: "edge-1", Shards: shards, Store: store, Owner: scheduling, Self: scheduling.MemberName(),
 		Pool: rpc.NewPool(nil), Clock: clock, Events: event.Discard(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/owner/advice.go
+++ b/owner/advice.go
@@ -63,7 +63,7 @@
 	if task.Job().Submission().GetAdvice() == nil {
 		return "", true
 	}
-	known, found := owner.advised.steps[stepName(task)]
+	known, found := owner.advice.steps[stepName(task)]
 	if !found {
 		return "", false
 	}
@@ -80,28 +80,28 @@
 		return
 	}
 	name := stepName(task)
-	known, found := owner.advised.steps[name]
+	known, found := owner.advice.steps[name]
 	if !found {
 		known = &stepAdvice{terms: task.Job().Submission().GetAdvice(), service: task.Job().Submission().GetService()}
-		owner.advised.steps[name] = known
+		owner.advice.steps[name] = known
 	}
 	if known.waiting || now.Sub(known.askedAt) < adviceAgain {
 		return
 	}
 	known.waiting = true
-	owner.advised.queue = append(owner.advised.queue, name)
+	owner.advice.queue = append(owner.advice.queue, name)
 	owner.askNext(now)
 }
 
 // askNext asks the next question of the queue that can be asked, if none is on its
 // way.
 func (owner *Owner) askNext(now time.Time) {
-	for !owner.advised.asking && len(owner.advised.queue) > 0 {
-		name := owner.advised.queue[0]
-		owner.advised.queue = owner.advised.queue[1:]
+	for !owner.advice.asking && len(owner.advice.queue) > 0 {
+		name := owner.advice.queue[0]
+		owner.advice.queue = owner.advice.queue[1:]
 		// A step whose ticket a worker refused while the question waited is
 		// forgotten; it is queued anew when one of its tasks finds no place.
-		if known, wanted := owner.advised.steps[name]; wanted {
+		if known, wanted := owner.advice.steps[name]; wanted {
 			owner.ask(name, known, now)
 		}
 	}
@@ -116,14 +116,14 @@
 		known.asked = nil
 		return
 	}
-	owner.advised.asking = true
+	owner.advice.asking = true
 	limit := known.answerTime(len(workers)) + adviceOver
 	go func() {
 		ctx, cancel := context.WithTimeout(owner.ctx, limit)
 		defer cancel()
 		advice, err := owner.options.Advisor.Advise(ctx, name, idsOf(workers))
-		owner.decisions.Post(func(now time.Time) {
-			owner.advised.asking = false
+		owner.eventLoop.Post(func(now time.Time) {
+			owner.advice.asking = false
 			known.waiting = false
 			owner.noteAdvice(name, known, workers, advice, err, now)
 			owner.askNext(now)
@@ -147,9 +147,9 @@
 
 // forgetAdvice drops the steps that were last asked about long ago.
 func (owner *Owner) forgetAdvice(now time.Time) {
-	for name, known := range owner.advised.steps {
+	for name, known := range owner.advice.steps {
 		if !known.waiting && now.Sub(known.askedAt) > adviceKept && now.After(known.until) {
-			delete(owner.advised.steps, name)
+			delete(owner.advice.steps, name)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	var workers []incarnation.ID
 	for _, view := range owner.agents {
 		status := view.status()
-		if view.link == nil || !status.GetReady() || status.GetDraining() || status.GetService() != known.service || known.asked[view.incarnation()] {
+		if view.conn == nil || !status.GetReady() || status.GetDraining() || status.GetService() != known.service || known.asked[view.incarnation()] {
 			continue
 		}
 		workers = append(workers, view.incarnation())
@@ -186,12 +186,12 @@
 			known.tickets[worker] = ticket{text: text, until: known.until}
 		}
 	}
-	owner.lookout.noteAll()
+	owner.placementChanges.noteAll()
 	owner.log(event.AdviceTaken, slog.String("step", name), slog.Int("asked", len(workers)),
 		slog.Int("good", len(advice.Tickets)), slog.Duration("valid", advice.Valid))
 }
 
 // dropAdvice forgets the tickets of a step that a worker did not take.
 func (owner *Owner) dropAdvice(task *job.Task) {
-	delete(owner.advised.steps, stepName(task))
+	delete(owner.advice.steps, stepName(task))
 }
--- a/owner/advice_test.go
+++ b/owner/advice_test.go
@@ -23,8 +23,8 @@
 		t.Fatal("placed without a ticket")
 	}
 	now := made.clock.Now()
-	made.owner.advised.steps[jobID+".0.0"] = &stepAdvice{tickets: map[incarnation.ID]ticket{incarnation.New(life, 0): {text: "c81e", until: now.Add(3 * time.Second)}}, until: now.Add(3 * time.Second)}
-	made.owner.lookout.noteAll()
+	made.owner.advice.steps[jobID+".0.0"] = &stepAdvice{tickets: map[incarnation.ID]ticket{incarnation.New(life, 0): {text: "c81e", until: now.Add(3 * time.Second)}}, until: now.Add(3 * time.Second)}
+	made.owner.placementChanges.noteAll()
 	made.step()
 	made.settle()
 	made.step()
@@ -41,14 +41,14 @@
 	made.attach()
 	now := made.clock.Now()
 	made.owner.options.Advisor = platform.NewAdvisor("127.0.0.1:1", platform.Transport())
-	made.owner.advised.steps["no worker"] = &stepAdvice{terms: terms(), service: "another", waiting: true}
-	made.owner.advised.steps["last"] = &stepAdvice{terms: terms(), service: "verbale", waiting: true}
-	made.owner.advised.queue = []string{"forgotten", "no worker", "last"}
+	made.owner.advice.steps["no worker"] = &stepAdvice{terms: terms(), service: "another", waiting: true}
+	made.owner.advice.steps["last"] = &stepAdvice{terms: terms(), service: "verbale", waiting: true}
+	made.owner.advice.queue = []string{"forgotten", "no worker", "last"}
 	made.owner.askNext(now)
-	if !made.owner.advised.asking || made.owner.advised.steps["last"].askedAt != now {
+	if !made.owner.advice.asking || made.owner.advice.steps["last"].askedAt != now {
 		t.Error("the last question was not asked")
 	}
-	if made.owner.advised.steps["no worker"].waiting {
+	if made.owner.advice.steps["no worker"].waiting {
 		t.Error("a step without workers to ask about goes on waiting")
 	}
 }
@@ -57,11 +57,11 @@
 func TestOldAdviceIsForgotten(t *testing.T) {
 	made := newBench(t)
 	now := made.clock.Now()
-	made.owner.advised.steps["old"] = &stepAdvice{askedAt: now.Add(-2 * adviceKept)}
-	made.owner.advised.steps["asked for"] = &stepAdvice{askedAt: now.Add(-2 * adviceKept), waiting: true}
-	made.owner.advised.steps["new"] = &stepAdvice{askedAt: now}
+	made.owner.advice.steps["old"] = &stepAdvice{askedAt: now.Add(-2 * adviceKept)}
+	made.owner.advice.steps["asked for"] = &stepAdvice{askedAt: now.Add(-2 * adviceKept), waiting: true}
+	made.owner.advice.steps["new"] = &stepAdvice{askedAt: now}
 	made.owner.forgetAdvice(now)
-	if len(made.owner.advised.steps) != 2 || made.owner.advised.steps["old"] != nil {
-		t.Errorf("kept %v", made.owner.advised.steps)
+	if len(made.owner.advice.steps) != 2 || made.owner.advice.steps["old"] != nil {
+		t.Errorf("kept %v", made.owner.advice.steps)
 	}
 }
--- a/owner/again_test.go
+++ b/owner/again_test.go
@@ -15,22 +15,22 @@
 
 // The lives of a worker in these tests.
 const (
-	bornFirst  = int64(1_790_000_000_000)
-	bornSecond = bornFirst + 60_000
+	firstBorn  = int64(1_790_000_000_000)
+	secondBorn = firstBorn + 60_000
 )
 
-// bornWorker is the status of a ready worker on which nothing runs.
-func bornWorker(born int64) *wire.WorkerStatus {
+// emptyWorkerBorn is the status of a ready worker on which nothing runs.
+func emptyWorkerBorn(born int64) *wire.WorkerStatus {
 	status := emptyWorker()
 	status.Born = born
 	return status
 }
 
-// kept is a run of the job on a life of a worker, as an owner before left it in the store.
-func (made *bench) kept(born ...int64) *job.Job {
+// restoreRun is a run of the job on a life of a worker, as an owner before left it in the store.
+func (made *bench) restoreRun(born ...int64) *job.Job {
 	made.t.Helper()
 	of := made.submit()
-	made.owner.noteProgress(made.held, record(made.t, jobID, &job.Progress{
+	made.owner.applyProgress(made.held, record(made.t, jobID, &job.Progress{
 		Id: jobID, State: job.State_STATE_RUNNING, Workers: []string{life}, Agents: []string{agentAt}, Born: born,
 		Tasks: []*job.TaskProgress{{Attempt: 1, State: job.TaskState_TASK_STARTED, Worker: 1}},
 	}), made.clock.Now())
@@ -38,18 +38,18 @@
 	return of
 }
 
-// goesOn reports whether the task's first run is taken to go on.
-func goesOn(of *job.Job) bool {
+// firstRunActive reports whether the task's first run is taken to go on.
+func firstRunActive(of *job.Job) bool {
 	task := of.Tasks()[0]
 	return task.State() == job.TaskState_TASK_STARTED && task.Attempt() == 1
 }
 
-// listed is what an agent says of the first run of the task.
-func listed() []*wire.RunStatus { return []*wire.RunStatus{{Task: taskOne, Attempt: 1}} }
+// firstRunListed is what an agent says of the first run of the task.
+func firstRunListed() []*wire.RunStatus { return []*wire.RunStatus{{Task: taskOne, Attempt: 1}} }
 
-// TestEndOfAnEarlierLife: that a life has ended says nothing about a run on the next one, nor does an id
+// TestEndOfEarlierIncarnation: that a life has ended says nothing about a run on the next one, nor does an id
 // alone, which an earlier build wrote of a life that it could not tell from others.
-func TestEndOfAnEarlierLife(t *testing.T) {
+func TestEndOfEarlierIncarnation(t *testing.T) {
 	over := func(born int64) *job.AgentRecord {
 		return &job.AgentRecord{Name: "side-1", Address: agentAt, Over: []*job.Incarnation{{Id: life, Born: born}}}
 	}
@@ -59,86 +59,86 @@
 		ended  *job.AgentRecord
 		goesOn bool
 	}{
-		"the life before":                      {[]int64{bornSecond}, over(bornFirst), true},
-		"its own life":                         {[]int64{bornSecond}, over(bornSecond), false},
-		"an id alone":                          {[]int64{bornSecond}, byID, true},
+		"the life before":                      {[]int64{secondBorn}, over(firstBorn), true},
+		"its own life":                         {[]int64{secondBorn}, over(secondBorn), false},
+		"an id alone":                          {[]int64{secondBorn}, byID, true},
 		"an id alone, and the run has no more": {nil, byID, false},
-		"a life, and the run has an id alone":  {nil, over(bornFirst), true},
+		"a life, and the run has an id alone":  {nil, over(firstBorn), true},
 	}
 	for name, test := range tests {
 		for when, before := range map[string]bool{", read before the shard": true, ", read after it": false} {
 			t.Run(name+when, func(t *testing.T) {
 				made := newBench(t)
 				read := func() {
-					made.owner.noteAgents(platform.Tail{Records: []platform.Record{record(t, "side-1", test.ended)}}, made.clock.Now())
+					made.owner.applyAgentRecords(platform.Tail{Records: []platform.Record{record(t, "side-1", test.ended)}}, made.clock.Now())
 				}
 				if before {
 					read()
 				}
-				of := made.kept(test.born...)
+				of := made.restoreRun(test.born...)
 				if !before {
 					read()
 				}
-				if goesOn(of) != test.goesOn {
-					t.Errorf("goes on: %v", goesOn(of))
+				if firstRunActive(of) != test.goesOn {
+					t.Errorf("goes on: %v", firstRunActive(of))
 				}
 			})
 		}
 	}
 }
 
-// TestRunOnAnotherLifeThanItsPlace: a run that is listed goes on, wherever its record has it; one that another
+// TestRunOnAnotherIncarnation: a run that is listed goes on, wherever its record has it; one that another
 // life of its worker lacks is over, and one whose life its record doesn't name is over where it is lacked.
-func TestRunOnAnotherLifeThanItsPlace(t *testing.T) {
+func TestRunOnAnotherIncarnation(t *testing.T) {
 	tests := map[string]struct {
 		born   []int64
 		status int64
 		runs   []*wire.RunStatus
 		goesOn bool
 	}{
-		"the next life lacks it":                {[]int64{bornFirst}, bornSecond, nil, false},
-		"the next life lists it":                {[]int64{bornFirst}, bornSecond, listed(), true},
-		"its own life lists it":                 {[]int64{bornSecond}, bornSecond, listed(), true},
-		"the record has the id alone":           {nil, bornSecond, listed(), true},
-		"the worker says its id alone":          {[]int64{bornFirst}, 0, listed(), true},
-		"the id alone, and the worker lacks it": {nil, bornSecond, nil, false},
+		"the next life lacks it":                {[]int64{firstBorn}, secondBorn, nil, false},
+		"the next life lists it":                {[]int64{firstBorn}, secondBorn, firstRunListed(), true},
+		"its own life lists it":                 {[]int64{secondBorn}, secondBorn, firstRunListed(), true},
+		"the record has the id alone":           {nil, secondBorn, firstRunListed(), true},
+		"the worker says its id alone":          {[]int64{firstBorn}, 0, firstRunListed(), true},
+		"the id alone, and the worker lacks it": {nil, secondBorn, nil, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			made := newBench(t)
-			of := made.kept(test.born...)
+			of := made.restoreRun(test.born...)
 			made.attach()
 			for range 2 {
-				made.hear(&wire.AgentMessage{Status: bornWorker(test.status), Complete: true, Runs: test.runs})
+				made.hear(&wire.AgentMessage{Status: emptyWorkerBorn(test.status), Complete: true, Runs: test.runs})
 				made.step()
 				made.sent()
 			}
-			if goesOn(of) != test.goesOn {
-				t.Errorf("goes on: %v", goesOn(of))
+			if firstRunActive(of) != test.goesOn {
+				t.Errorf("goes on: %v", firstRunActive(of))
 			}
 		})
 	}
 }
 
-// TestOrdersNameTheLife: a start, its end and the word that the end is in the store name the life that they are
+// TestOrdersNameIncarnation: a start, its end and the word that the end is in the store name the life that they are
 // about, and so does the record of the start.
-func TestOrdersNameTheLife(t *testing.T) {
+func TestOrdersNameIncarnation(t *testing.T) {
 	made := newBench(t)
 	of := made.submit()
 	made.attach()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond)})
+	made.hear(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
 	made.step()
 	made.settle()
 	made.step()
 	orders := starts(made.sent())
-	if len(orders) != 1 || orders[0].GetBorn() != bornSecond {
+	if len(orders) != 1 || orders[0].GetBorn() != secondBorn {
 		t.Fatalf("ordered %v", orders)
 	}
-	if kept := of.Progress(); len(kept.GetBorn()) != 1 || kept.GetBorn()[0] != bornSecond {
+	if kept := of.Progress(); len(kept.GetBorn()) != 1 || kept.GetBorn()[0] != secondBorn {
 		t.Errorf("kept %v", kept)
 	}
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond), Ends: []*wire.RunEnd{
-		{Worker: life, Born: bornSecond, Number: 7, Task: taskOne, Attempt: 1, Reason: wire.EndReason_END_DONE},
+	made.hear(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn), Ends: []*wire.RunEnd{
+		{Worker: life, Born: secondBorn, Number: 7, Task: taskOne, Attempt: 1, Reason: wire.EndReason_END_DONE},
 	}})
 	made.step()
 	made.settle()
@@ -147,50 +147,50 @@
 	for _, message := range made.sent() {
 		seen = append(seen, message.GetSeen()...)
 	}
-	if len(seen) != 1 || seen[0].GetBorn() != bornSecond || seen[0].GetNumber() != 7 {
+	if len(seen) != 1 || seen[0].GetBorn() != secondBorn || seen[0].GetNumber() != 7 {
 		t.Errorf("told of ends in the store: %v", seen)
 	}
 }
 
-// TestPlaceThatStartsAgainBeforeTheOrder: a run that was placed on one life is not ordered of the next one.
-func TestPlaceThatStartsAgainBeforeTheOrder(t *testing.T) {
+// TestWorkerRestartsBeforeStartOrder: a run that was placed on one life is not ordered of the next one.
+func TestWorkerRestartsBeforeStartOrder(t *testing.T) {
 	made := newBench(t)
 	made.submit()
 	made.attach()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornFirst)})
+	made.hear(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
 	made.step()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond)})
+	made.hear(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
 	made.settle()
-	made.owner.tell(made.view, made.clock.Now())
+	made.owner.sendUpdate(made.view, made.clock.Now())
 	for _, order := range starts(made.sent()) {
-		if order.GetBorn() != bornSecond {
+		if order.GetBorn() != secondBorn {
 			t.Errorf("ordered %v of another life", order)
 		}
 	}
 }
 
-// TestDoubtEndsWithTheLife: what failed on one life of a worker says nothing of the next one.
-func TestDoubtEndsWithTheLife(t *testing.T) {
+// TestProbationEndsWithIncarnation: what failed on one life of a worker says nothing of the next one.
+func TestProbationEndsWithIncarnation(t *testing.T) {
 	made := newBench(t)
 	made.attach()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornFirst)})
-	made.view.failures, made.view.avoidUntil = failuresBeforeDoubt, made.clock.Now().Add(time.Minute)
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond)})
-	if made.view.failures != 0 || !made.view.avoidUntil.IsZero() {
-		t.Errorf("%d failures, avoided until %v", made.view.failures, made.view.avoidUntil)
+	made.hear(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	made.view.consecutiveFailures, made.view.avoidUntil = failuresBeforeProbation, made.clock.Now().Add(time.Minute)
+	made.hear(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	if made.view.consecutiveFailures != 0 || !made.view.avoidUntil.IsZero() {
+		t.Errorf("%d failures, avoided until %v", made.view.consecutiveFailures, made.view.avoidUntil)
 	}
 }
 
-// TestTicketHoldsForOneLife: the next life of a worker is asked about anew.
-func TestTicketHoldsForOneLife(t *testing.T) {
+// TestTicketIsPerIncarnation: the next life of a worker is asked about anew.
+func TestTicketIsPerIncarnation(t *testing.T) {
 	made := newBench(t)
 	of := made.submitChanged(func(handed *job.Submission) { handed.Advice = &job.Advice{ValidMs: 60_000} })
 	made.attach()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornFirst)})
+	made.hear(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
 	task, now := of.Tasks()[0], made.clock.Now()
 	known := &stepAdvice{terms: of.Submission().GetAdvice(), service: "verbale"}
 	name := stepName(task)
-	made.owner.advised.steps[name] = known
+	made.owner.advice.steps[name] = known
 	asked := made.owner.workersToAsk(known)
 	if len(asked) != 1 {
 		t.Fatalf("asks about %v", asked)
@@ -199,7 +199,7 @@
 	if best := made.owner.bestOf(task, made.owner.candidates(made.owner.views(), now), now); best == nil {
 		t.Fatal("no place with a ticket")
 	}
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond)})
+	made.hear(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
 	if best := made.owner.bestOf(task, made.owner.candidates(made.owner.views(), now), now); best != nil {
 		t.Error("the ticket of the life before is used")
 	}
@@ -208,13 +208,13 @@
 	}
 }
 
-// TestInheritedRunOnASilentWorker: a run that an owner before had put into the store and never ordered is known to no
+// TestInheritedRunOnUnresponsiveWorker: a run that an owner before had put into the store and never ordered is known to no
 // agent. It is over once the agent can account for all that runs, though its worker is silent for good or
 // none has come: it would wait for an end that nobody will tell.
-func TestInheritedRunOnASilentWorker(t *testing.T) {
-	silent := bornWorker(bornFirst)
+func TestInheritedRunOnUnresponsiveWorker(t *testing.T) {
+	silent := emptyWorkerBorn(firstBorn)
 	silent.Ready = false
-	accounted := bornWorker(bornFirst)
+	accounted := emptyWorkerBorn(firstBorn)
 	accounted.Ready, accounted.Accounted = false, true
 	tests := map[string]struct {
 		status *wire.WorkerStatus
@@ -222,7 +222,7 @@
 		goesOn bool
 	}{
 		"the agent can't account for it":         {silent, nil, true},
-		"the agent lists it":                     {accounted, listed(), true},
+		"the agent lists it":                     {accounted, firstRunListed(), true},
 		"the agent accounts for all, without":    {accounted, nil, false},
 		"no worker, and the lease may go on":     {&wire.WorkerStatus{}, nil, true},
 		"no worker, and every lease is over":     {&wire.WorkerStatus{Accounted: true}, nil, false},
@@ -231,17 +231,17 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			made := newBench(t)
-			of := made.kept(bornFirst)
+			of := made.restoreRun(firstBorn)
 			made.attach()
 			made.hear(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
-			if !goesOn(of) {
+			if !firstRunActive(of) {
 				t.Fatal("released before the agent had heard of the claim")
 			}
 			made.step()
 			made.sent()
 			made.hear(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
-			if goesOn(of) != test.goesOn {
-				t.Errorf("goes on: %v", goesOn(of))
+			if firstRunActive(of) != test.goesOn {
+				t.Errorf("goes on: %v", firstRunActive(of))
 			}
 		})
 	}
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -44,7 +44,7 @@
 		server.Close()
 	})
 	return New(Options{
-		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: 8, Grant: 6 * time.Second, Silent: 1500 * time.Millisecond,
+		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: 8, GrantDuration: 6 * time.Second, MemberTimeout: 1500 * time.Millisecond,
 		Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport()), Clock: clock, Events: event.Discard(),
 	})
 }
@@ -56,12 +56,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	made.owner.ctx = ctx
-	made.owner.joinedAt = clock.Now()
+	made.owner.lastJoinAt = clock.Now()
 	number := job.ShardOf(jobID, 8)
 	made.held = newShard(ctx, number, 3, clock.Now())
-	made.held.active = true
+	made.held.loaded = true
 	made.owner.shards[number] = made.held
-	made.view = newView(agentAt)
+	made.view = newAgentView(agentAt)
 	made.owner.agents[agentAt] = made.view
 	return made
 }
@@ -82,7 +82,7 @@
 }
 
 func (made *bench) read(records ...platform.Record) {
-	made.owner.noteTail(made.held, platform.Tail{Records: records}, made.clock.Now())
+	made.owner.applyRecords(made.held, platform.Tail{Records: records}, made.clock.Now())
 }
 
 // submit has the owner read the job.
@@ -99,7 +99,7 @@
 }
 
 func (made *bench) attach() {
-	made.owner.noteAttached(made.view, &link{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
+	made.owner.handleConnected(made.view, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
 	made.hear(&wire.AgentMessage{})
 }
 
@@ -117,7 +117,7 @@
 		message.Status = emptyWorker()
 	}
 	message.Handled = made.agentN
-	made.owner.noteAgent(made.view, made.view.link, message, made.clock.Now())
+	made.owner.handleAgentMessage(made.view, made.view.conn, message, made.clock.Now())
 }
 
 // sent returns what has gone out to the agent, which then has handled it.
@@ -125,7 +125,7 @@
 	var messages []*wire.OwnerMessage
 	for {
 		select {
-		case message := <-made.view.link.outbox:
+		case message := <-made.view.conn.outbox:
 			messages = append(messages, message)
 			made.agentN = message.GetSequence()
 		default:
@@ -145,7 +145,7 @@
 // settle waits until what is on its way to the store has come back.
 func (made *bench) settle() {
 	for made.held.writing {
-		made.owner.decisions.RunOne(made.clock.Now())
+		made.owner.eventLoop.RunOne(made.clock.Now())
 	}
 }
 
@@ -168,5 +168,5 @@
 }
 
 func (made *bench) step() {
-	made.owner.step(made.clock.Now())
+	made.owner.tick(made.clock.Now())
 }
--- a/owner/cancelled_test.go
+++ b/owner/cancelled_test.go
@@ -8,8 +8,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// stopsFor counts the stops that have gone out for the first task.
-func stopsFor(messages []*wire.OwnerMessage) int {
+// countStops counts the stops that have gone out for the first task.
+func countStops(messages []*wire.OwnerMessage) int {
 	count := 0
 	for _, message := range messages {
 		for _, order := range message.GetStops() {
@@ -21,8 +21,8 @@
 	return count
 }
 
-// listed has the agent list a run of the first task.
-func (made *bench) listed() {
+// listFirstRun has the agent list a run of the first task.
+func (made *bench) listFirstRun() {
 	made.hear(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: taskOne, Attempt: 1, Percent: 1}}})
 }
 
@@ -37,7 +37,7 @@
 		"it runs": func(made *bench) {
 			made.submit()
 			made.attachAndStart()
-			made.listed()
+			made.listFirstRun()
 			cancel(made)
 		},
 		"it is begun late, after its end was taken for certain": func(made *bench) {
@@ -50,14 +50,14 @@
 			made.settle()
 			made.sent()
 			made.clock.Advance(5 * time.Second)
-			made.owner.joinedAt = made.clock.Now()
-			made.listed()
+			made.owner.lastJoinAt = made.clock.Now()
+			made.listFirstRun()
 		},
 		"its owner is gone for good": func(made *bench) {
 			made.inherit(life)
 			cancel(made)
 			made.attach()
-			made.listed()
+			made.listFirstRun()
 		},
 		"the cancellation is read before the job": func(made *bench) {
 			cancel(made)
@@ -66,7 +66,7 @@
 			made.step()
 			made.settle()
 			made.sent()
-			made.listed()
+			made.listFirstRun()
 		},
 	}
 	for name, prepare := range tests {
@@ -74,7 +74,7 @@
 			made := newBench(t)
 			prepare(made)
 			made.step()
-			if count := stopsFor(made.sent()); count != 1 {
+			if count := countStops(made.sent()); count != 1 {
 				t.Errorf("%d stops ordered", count)
 			}
 		})
--- a/owner/candidate.go
+++ b/owner/candidate.go
@@ -44,13 +44,13 @@
 	var workers []*candidate
 	for view := range views {
 		status := view.status()
-		if view.link == nil || !status.GetReady() || status.GetDraining() || now.Before(view.avoidUntil) || now.Sub(view.heardAt) > 2*grantEvery {
+		if view.conn == nil || !status.GetReady() || status.GetDraining() || now.Before(view.avoidUntil) || now.Sub(view.lastMessageAt) > 2*grantInterval {
 			continue
 		}
 		worker := newCandidate(view)
 		worker.evacuated = owner.evacuated(view)
-		worker.hasSuspect = now.Before(view.suspectUntil)
-		worker.tried = view.onTrial(now)
+		worker.hasSuspect = now.Before(view.noSuspectsUntil)
+		worker.tried = view.hasProbationRun(now)
 		workers = append(workers, worker)
 	}
 	return workers
@@ -63,10 +63,10 @@
 		view: view, free: admission.NewResources(status.GetFreeMilliCpu(), status.GetFreeMemoryMb(), status.GetFreeAccelerators()),
 		fillMilliCPU: status.GetFillMilliCpu(), servingMilliCPU: status.GetServingMilliCpu(),
 		serving: slices.Clone(status.GetServingImages()),
-		trial:   view.failures >= failuresBeforeDoubt,
+		trial:   view.consecutiveFailures >= failuresBeforeProbation,
 	}
 	for _, entry := range view.runs {
-		if !entry.reflected {
+		if !entry.inAgentStatus {
 			worker.take(entry.demand)
 		}
 	}
@@ -147,7 +147,7 @@
 // tolerates returns how many more processors of a filling image the worker's
 // serving tasks bear, at most what is idle; below zero, how much they would suffer.
 func (worker *candidate) tolerates(image string) int64 {
-	return min(worker.idle(), worker.view.heard.Tolerance(image)-worker.addedFill)
+	return min(worker.idle(), worker.view.statusDecoder.Tolerance(image)-worker.addedFill)
 }
 
 // fitsTwice reports whether the worker has what a task holds twice over.
--- a/owner/candidates_test.go
+++ b/owner/candidates_test.go
@@ -51,7 +51,7 @@
 		dials := &atomic.Int64{}
 		begun := New(Options{
 			Name: fmt.Sprintf("edge-%d", number), Strong: number < strong, Address: fmt.Sprintf("10.0.1.%d:7000", number), Shards: 8,
-			Grant: 6 * time.Second, Silent: 1500 * time.Millisecond, Clock: clock, Events: event.Discard(),
+			GrantDuration: 6 * time.Second, MemberTimeout: 1500 * time.Millisecond, Clock: clock, Events: event.Discard(),
 			Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport()),
 			Dial: func(context.Context, string) (drpc.Conn, error) {
 				dials.Add(1)
@@ -77,8 +77,8 @@
 // views counts the agents that all entries look at, and shards those that they own.
 func (made *entries) views() (views, shards int) {
 	for _, begun := range made.owners {
-		begun.decisions.Ask(context.Background(), func(time.Time) { views += len(begun.agents) })
-		shards += len(epochs(begun))
+		begun.eventLoop.Ask(context.Background(), func(time.Time) { views += len(begun.agents) })
+		shards += len(ownedEpochs(begun))
 	}
 	return views, shards
 }
@@ -122,7 +122,7 @@
 		made.kills[number]()
 	}
 	made.owners = made.owners[9:]
-	until(t, made.clock, func() bool {
+	advanceUntil(t, made.clock, func() bool {
 		_, shards := made.views()
 		return shards == 8
 	})
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	// mailLength is how many messages may wait to be sent; an agent that lets
+	// outboxSize is how many messages may wait to be sent; an agent that lets
 	// more wait is connected to anew.
-	mailLength = 64
+	outboxSize = 64
 	// dialTimeout bounds a try to connect: a machine that is off does not refuse.
 	dialTimeout = time.Second
-	// attachPause keeps tries to connect apart; it doubles with each up to
-	// attachSlower.
-	attachPause  = 200 * time.Millisecond
-	attachSlower = 2 * time.Second
-	// answerWithin is how long an agent may leave the owner's messages unanswered, beyond
+	// minReconnectDelay keeps tries to connect apart; it doubles with each up to
+	// maxReconnectDelay.
+	minReconnectDelay = 200 * time.Millisecond
+	maxReconnectDelay = 2 * time.Second
+	// ackTimeout is how long an agent may leave the owner's messages unanswered, beyond
 	// the half second that it takes at most to answer one: a connection may go silent for
 	// good in either direction while the peer's kernel acknowledges, and only an answer
 	// proves it sound. A machine that runs five times slower for a while answers within 1 s.
-	answerWithin = 1500 * time.Millisecond
+	ackTimeout = 1500 * time.Millisecond
 )
 
-// link is one connection to an agent.
-type link struct {
+// agentConn is one connection to an agent.
+type agentConn struct {
 	outbox chan *wire.OwnerMessage
 	cancel context.CancelFunc
 }
 
-// keepAttached connects to an agent, again and again, until ctx ends.
-func (owner *Owner) keepAttached(ctx context.Context, view *agentView) {
-	pause := attachPause
+// keepConnected connects to an agent, again and again, until ctx ends.
+func (owner *Owner) keepConnected(ctx context.Context, view *agentView) {
+	pause := minReconnectDelay
 	for ctx.Err() == nil {
-		if owner.attach(ctx, view) {
-			pause = attachPause
+		if owner.connect(ctx, view) {
+			pause = minReconnectDelay
 		}
 		owner.sleep(ctx, pause)
-		pause = min(pause*2, attachSlower)
+		pause = min(pause*2, maxReconnectDelay)
 	}
 }
 
-// attach connects once and stays until the connection ends. It reports whether
+// connect connects once and stays until the connection ends. It reports whether
 // the agent was reached.
-func (owner *Owner) attach(ctx context.Context, view *agentView) bool {
+func (owner *Owner) connect(ctx context.Context, view *agentView) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	dialled, done := context.WithTimeout(ctx, dialTimeout)
@@ -62,22 +62,22 @@
 	if err != nil {
 		return false
 	}
-	made := &link{outbox: make(chan *wire.OwnerMessage, mailLength), cancel: cancel}
-	go owner.send(ctx, made, stream, conn)
-	owner.decisions.Post(func(now time.Time) { owner.noteAttached(view, made) })
+	made := &agentConn{outbox: make(chan *wire.OwnerMessage, outboxSize), cancel: cancel}
+	go owner.sendMessages(ctx, made, stream, conn)
+	owner.eventLoop.Post(func(now time.Time) { owner.handleConnected(view, made) })
 	heard := false
 	for {
 		message, err := stream.Recv()
 		if err != nil {
-			owner.decisions.Post(func(now time.Time) { owner.noteDetached(view, made, err) })
+			owner.eventLoop.Post(func(now time.Time) { owner.handleDisconnected(view, made, err) })
 			return heard
 		}
 		heard = true
-		owner.decisions.Post(func(now time.Time) { owner.noteAgent(view, made, message, now) })
+		owner.eventLoop.Post(func(now time.Time) { owner.handleAgentMessage(view, made, message, now) })
 	}
 }
 
-func (owner *Owner) send(ctx context.Context, made *link, stream wire.DRPCAgent_AttachClient, conn drpc.Conn) {
+func (owner *Owner) sendMessages(ctx context.Context, made *agentConn, stream wire.DRPCAgent_AttachClient, conn drpc.Conn) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -93,63 +93,63 @@
 	}
 }
 
-func (owner *Owner) noteAttached(view *agentView, made *link) {
-	view.link = made
-	view.connections++
-	view.message = &wire.OwnerMessage{
-		Owner: owner.Member(), FailureDomain: owner.options.FailureDomain, TakesChanges: true, Connection: view.connections,
+func (owner *Owner) handleConnected(view *agentView, made *agentConn) {
+	view.conn = made
+	view.connectionCount++
+	view.nextMessage = &wire.OwnerMessage{
+		Owner: owner.MemberName(), FailureDomain: owner.options.FailureDomain, TakesChanges: true, Connection: view.connectionCount,
 	}
-	view.sequence, view.handled = 0, 0
-	view.claimSeq = map[int]int64{}
-	view.claimed = false
-	view.sentAt, view.answerBy = time.Time{}, time.Time{}
-	view.greeted, view.keepsLearned = false, false
-	view.sharedAt, view.sharedVersion = time.Time{}, 0
-	view.toldEvacuated = nil
+	view.sentSequence, view.handledSequence = 0, 0
+	view.claimSequences = map[int]int64{}
+	view.claimsSent = false
+	view.sentAt, view.ackDeadline = time.Time{}, time.Time{}
+	view.heardOnConn, view.keepsLearned = false, false
+	view.learnedSentAt, view.learnedSentVersion = time.Time{}, 0
+	view.sentEvacuations = nil
 	for _, entry := range view.runs {
-		entry.prior = true
-		entry.sequence = 0
+		entry.orderedEarlier = true
+		entry.orderSequence = 0
 	}
 	owner.log(event.AgentAttached, slog.String("agent", view.address))
 }
 
-func (owner *Owner) noteDetached(view *agentView, made *link, err error) {
-	if view.link != made {
+func (owner *Owner) handleDisconnected(view *agentView, made *agentConn, err error) {
+	if view.conn != made {
 		return
 	}
-	view.link = nil
+	view.conn = nil
 	owner.log(event.AgentLost, slog.String("agent", view.address), slog.Int("runs", len(view.runs)), slog.Any("error", err))
 }
 
-// endSilent ends a connection on which the agent does not answer, so that another one is
+// closeIfUnresponsive ends a connection on which the agent does not answer, so that another one is
 // made.
-func (owner *Owner) endSilent(view *agentView, now time.Time) {
-	if view.link == nil || view.answerBy.IsZero() || now.Before(view.answerBy) {
+func (owner *Owner) closeIfUnresponsive(view *agentView, now time.Time) {
+	if view.conn == nil || view.ackDeadline.IsZero() || now.Before(view.ackDeadline) {
 		return
 	}
-	owner.log(event.ConnectionSilent, slog.String("peer", view.address), slog.Duration("unanswered", now.Sub(view.heardAt)))
-	view.answerBy = time.Time{}
-	view.link.cancel()
+	owner.log(event.ConnectionSilent, slog.String("peer", view.address), slog.Duration("unanswered", now.Sub(view.lastMessageAt)))
+	view.ackDeadline = time.Time{}
+	view.conn.cancel()
 }
 
-// awaitAnswer returns when an agent must have answered what is sent now. Agents of earlier
+// nextAckDeadline returns when an agent must have answered what is sent now. Agents of earlier
 // builds answer an owner that has claimed no shard as seldom as it speaks.
-func (view *agentView) awaitAnswer(now time.Time) time.Time {
-	pause := grantEvery
+func (view *agentView) nextAckDeadline(now time.Time) time.Time {
+	pause := grantInterval
 	if !view.keepsLearned {
-		pause = quietEvery
+		pause = idleSendInterval
 	}
-	return now.Add(pause + answerWithin)
+	return now.Add(pause + ackTimeout)
 }
 
-// noteAnswered takes note of how far an agent has handled the owner's messages.
-func (view *agentView) noteAnswered(handled int64, now time.Time) {
+// recordHandled takes note of how far an agent has handled the owner's messages.
+func (view *agentView) recordHandled(handled int64, now time.Time) {
 	switch {
-	case handled >= view.sequence:
-		view.answerBy = time.Time{}
-	case handled > view.handled:
+	case handled >= view.sentSequence:
+		view.ackDeadline = time.Time{}
+	case handled > view.handledSequence:
 		// It goes on answering; what it has not come to was sent later.
-		view.answerBy = view.awaitAnswer(now)
+		view.ackDeadline = view.nextAckDeadline(now)
 	}
-	view.handled = handled
+	view.handledSequence = handled
 }
--- a/owner/connection_test.go
+++ b/owner/connection_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestSilentAgentIsConnectedAnew: a connection on which the agent answers nothing is ended,
+// TestUnresponsiveAgentIsReconnected: a connection on which the agent answers nothing is ended,
 // whether it says nothing or speaks on without having heard; one that is answered stays.
-func TestSilentAgentIsConnectedAnew(t *testing.T) {
+func TestUnresponsiveAgentIsReconnected(t *testing.T) {
 	tests := map[string]struct {
 		hears, speaks bool
 		ended         bool
@@ -24,7 +24,7 @@
 			made.submit()
 			made.attach()
 			ended := false
-			made.view.link.cancel = func() { ended = true }
+			made.view.conn.cancel = func() { ended = true }
 			for range 60 {
 				made.step()
 				handled := made.agentN
@@ -36,7 +36,7 @@
 					made.hear(&wire.AgentMessage{})
 				}
 				made.clock.Advance(100 * time.Millisecond)
-				made.owner.joinedAt = made.clock.Now()
+				made.owner.lastJoinAt = made.clock.Now()
 			}
 			if ended != test.ended {
 				t.Errorf("ended: %v", ended)
@@ -45,18 +45,18 @@
 	}
 }
 
-// TestTakingAShardCutsNobodyOff: an agent of an earlier build answers an owner without
+// TestAcquiringShardKeepsOldAgentsConnected: an agent of an earlier build answers an owner without
 // claims each 3 s. It is not taken for silent by an owner that has just taken a shard, nor
 // by one whose shard is still to be read.
-func TestTakingAShardCutsNobodyOff(t *testing.T) {
+func TestAcquiringShardKeepsOldAgentsConnected(t *testing.T) {
 	made := newBench(t)
-	made.held.active = false
+	made.held.loaded = false
 	made.attach()
-	made.view.link.cancel = func() { t.Error("cut off") }
+	made.view.conn.cancel = func() { t.Error("cut off") }
 	for range 10 {
-		for range quietEvery / grantEvery {
-			made.clock.Advance(grantEvery)
-			made.owner.joinedAt = made.clock.Now()
+		for range idleSendInterval / grantInterval {
+			made.clock.Advance(grantInterval)
+			made.owner.lastJoinAt = made.clock.Now()
 			made.step()
 		}
 		made.sent()
@@ -73,15 +73,15 @@
 // attached, the paths were held up 1.2 s later, and runs went on there for 11 s after their
 // tasks had been started elsewhere.
 
-// TestGrantIsForTheProcessThatAnswers has an owner speak first on a connection to an agent that may
+// TestGrantWaitsForFirstMessage has an owner speak first on a connection to an agent that may
 // be another process than the one that it heard before.
-func TestGrantIsForTheProcessThatAnswers(t *testing.T) {
+func TestGrantWaitsForFirstMessage(t *testing.T) {
 	made := newBench(t)
 	made.attach()
 	made.hear(&wire.AgentMessage{UptimeNanos: int64(time.Hour)})
 	made.step()
 	made.sent()
-	made.owner.noteAttached(made.view, &link{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
+	made.owner.handleConnected(made.view, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
 	made.step()
 	for _, message := range made.sent() {
 		if granted := time.Duration(message.GetGrantUntilNanos()); granted > 0 {
@@ -94,7 +94,7 @@
 	for _, message := range made.sent() {
 		granted = max(granted, time.Duration(message.GetGrantUntilNanos()))
 	}
-	if want := time.Second + made.owner.options.Grant; granted != want {
+	if want := time.Second + made.owner.options.GrantDuration; granted != want {
 		t.Errorf("runs were granted time until %v once the agent was heard, want %v", granted, want)
 	}
 }
--- a/owner/crash_test.go
+++ b/owner/crash_test.go
@@ -55,11 +55,11 @@
 		}
 		return made.state(bad) == job.State_STATE_FAILED
 	}
-	if !made.until(30*time.Second, settled) {
+	if !made.advanceUntil(30*time.Second, settled) {
 		t.Errorf("the job of the task that brings workers down is %v", made.state(bad))
 	}
-	if got := made.starts(crasher); got > crashesBorne+startsAfter {
-		t.Errorf("it was started %d times, on %d lives of %d workers", got, made.lives(), len(made.machines))
+	if got := made.startCount(crasher); got > crashesBorne+startsAfter {
+		t.Errorf("it was started %d times, on %d lives of %d workers", got, made.incarnationCount(), len(made.machines))
 	}
 	for _, other := range others {
 		if got := made.state(other); got != job.State_STATE_COMPLETED {
--- a/owner/cut_test.go
+++ b/owner/cut_test.go
@@ -21,31 +21,31 @@
 // start ("end waits") until after the path was back ("end kept"), and owners took the runs for over
 // 5.80 s after they last heard the agent, in batches.
 
-// TestTaskIsDoneOnce cuts an owner off from an agent while runs end there.
-func TestTaskIsDoneOnce(t *testing.T) {
+// TestPartitionedTaskCompletesOnce cuts an owner off from an agent while runs end there.
+func TestPartitionedTaskCompletesOnce(t *testing.T) {
 	const tasks = 8
 	made := newFleet(t, 2)
-	made.submit(platformJob, tasks)
+	made.submit(fleetJobID, tasks)
 	var cut *machine
-	if !made.until(20*time.Second, func() bool { cut = made.firstAtWork(); return cut != nil }) {
+	if !made.advanceUntil(20*time.Second, func() bool { cut = made.firstBusyMachine(); return cut != nil }) {
 		t.Fatal("nothing was started")
 	}
 	everyone := func([]byte) bool { return true }
-	cut.path.Hold(everyone, true, true)
-	completed := func() bool { return made.state(platformJob) == job.State_STATE_COMPLETED }
-	if !made.until(30*time.Second, completed) {
+	cut.relay.Hold(everyone, true, true)
+	completed := func() bool { return made.state(fleetJobID) == job.State_STATE_COMPLETED }
+	if !made.advanceUntil(30*time.Second, completed) {
 		t.Fatal("the tasks of the machine that is cut off were not done elsewhere")
 	}
-	cut.path.LetGo()
-	made.until(10*time.Second, func() bool { return false })
+	cut.relay.LetGo()
+	made.advanceUntil(10*time.Second, func() bool { return false })
 	again := 0
 	for index := range tasks {
-		task := fmt.Sprintf("%s.0.0.%d", platformJob, index)
-		if made.starts(task) < 2 {
+		task := fmt.Sprintf("%s.0.0.%d", fleetJobID, index)
+		if made.startCount(task) < 2 {
 			continue
 		}
 		again++
-		if cut.wasNoted(task) {
+		if cut.acknowledgedDone(task) {
 			t.Errorf("%s was started again, and its first run is noted as done", task)
 		}
 	}
@@ -54,13 +54,13 @@
 	}
 }
 
-const platformJob = "0123456789abcdef"
+const fleetJobID = "0123456789abcdef"
 
-// firstAtWork returns the first machine on which something runs, or nil.
-func (made *fleet) firstAtWork() *machine {
+// firstBusyMachine returns the first machine on which something runs, or nil.
+func (made *fleet) firstBusyMachine() *machine {
 	for _, machine := range made.machines {
 		machine.mu.Lock()
-		atWork := len(machine.begun) > 0
+		atWork := len(machine.startedAt) > 0
 		machine.mu.Unlock()
 		if atWork {
 			return machine
@@ -69,8 +69,8 @@
 	return nil
 }
 
-func (machine *machine) wasNoted(task string) bool {
-	machine.notedMu.Lock()
-	defer machine.notedMu.Unlock()
-	return machine.noted[task]
+func (machine *machine) acknowledgedDone(task string) bool {
+	machine.acknowledgedMu.Lock()
+	defer machine.acknowledgedMu.Unlock()
+	return machine.acknowledged[task]
 }
--- a/owner/doubt_test.go
+++ b/owner/doubt_test.go
@@ -18,20 +18,20 @@
 		atWork time.Duration
 		want   bool
 	}{
-		"a task that lasts, at work":        {true, 2 * doubtLength, true},
-		"a task that lasts, just begun":     {true, doubtLength / 2, false},
-		"a task that shows it when it ends": {false, 2 * doubtLength, false},
+		"a task that lasts, at work":        {true, 2 * probationDuration, true},
+		"a task that lasts, just begun":     {true, probationDuration / 2, false},
+		"a task that shows it when it ends": {false, 2 * probationDuration, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			made := newBench(t)
 			made.submitChanged(func(handed *job.Submission) { handed.Steps[0].Lasting = test.lasts })
 			made.attachAndStart()
-			made.hear(&wire.AgentMessage{Complete: true, Runs: listed()})
+			made.hear(&wire.AgentMessage{Complete: true, Runs: firstRunListed()})
 			made.clock.Advance(test.atWork)
-			made.owner.joinedAt = made.clock.Now()
-			made.hear(&wire.AgentMessage{Complete: true, Runs: listed()})
-			made.view.failures, made.view.avoidUntil = failuresBeforeDoubt, time.Time{}
+			made.owner.lastJoinAt = made.clock.Now()
+			made.hear(&wire.AgentMessage{Complete: true, Runs: firstRunListed()})
+			made.view.consecutiveFailures, made.view.avoidUntil = failuresBeforeProbation, time.Time{}
 			handed := submission()
 			handed.Id, handed.Steps[0].Count = otherJob(), 3
 			made.read(record(t, job.SubmissionKey(handed.Id), handed))
@@ -66,7 +66,7 @@
 	made.attach()
 	task, name := of.Tasks()[0], stepName(of.Tasks()[0])
 	known := &stepAdvice{terms: terms(), service: "verbale"}
-	made.owner.advised.steps[name] = known
+	made.owner.advice.steps[name] = known
 	answer := func(id string) {
 		made.owner.noteAdvice(name, known, []incarnation.ID{incarnation.New(id, 0)},
 			platform.Advice{Tickets: map[string]string{id: "t-" + id}, Valid: 3 * time.Second}, nil, made.clock.Now())
--- a/owner/entry.go
+++ b/owner/entry.go
@@ -7,50 +7,50 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// runEntry is a run that is ordered at an agent, or is about to be.
-type runEntry struct {
-	task    *job.Task
-	held    *shard
-	name    string
-	attempt int32
-	place   job.Place
-	demand  *wire.Demand
-	ticket  string
-	// sequence is that of the message with the order: 0 before it is sent.
-	sequence int64
-	// prior marks a run whose order went out on an earlier connection, or by
+// trackedRun is a run that is ordered at an agent, or is about to be.
+type trackedRun struct {
+	task     *job.Task
+	shard    *shard
+	taskName string
+	attempt  int32
+	place    job.Place
+	demand   *wire.Demand
+	ticket   string
+	// orderSequence is that of the message with the order: 0 before it is sent.
+	orderSequence int64
+	// orderedEarlier marks a run whose order went out on an earlier connection, or by
 	// an earlier owner.
-	prior bool
+	orderedEarlier bool
 	// inherited marks a run of an earlier owner until an agent has listed it.
 	inherited bool
 	confirmed bool
 	orderedAt time.Time // when the start was in the store; zero for an earlier owner's
-	// percent is the progress last told, movedAt when it last changed.
-	percent   int32
-	movedAt   time.Time
-	stopAt    time.Time
-	reflected bool // the agent's account of its room includes the run
+	// progressPercent is the progress last told, movedAt when it last changed.
+	progressPercent int32
+	progressedAt    time.Time
+	stopOrderedAt   time.Time
+	inAgentStatus   bool // the agent's account of its room includes the run
 }
 
-// recordedAfter returns how long the store took to keep the start; 0 if that is not
+// storeLatency returns how long the store took to keep the start; 0 if that is not
 // known. The entry may be nil.
-func (entry *runEntry) recordedAfter(task *job.Task) time.Duration {
+func (entry *trackedRun) storeLatency(task *job.Task) time.Duration {
 	if entry == nil || entry.orderedAt.IsZero() {
 		return 0
 	}
 	return entry.orderedAt.Sub(task.StartedAt())
 }
 
-func newEntry(held *shard, task *job.Task, now time.Time) *runEntry {
-	return &runEntry{
-		task: task, held: held, name: task.Name(), attempt: task.Attempt(), place: task.Place(),
+func newTrackedRun(held *shard, task *job.Task, now time.Time) *trackedRun {
+	return &trackedRun{
+		task: task, shard: held, taskName: task.Name(), attempt: task.Attempt(), place: task.Place(),
 		demand: demandOf(task, now),
 	}
 }
 
-// movedMost is how often a task is moved for the sake of serving ones before it
+// maxInterruptions is how often a task is moved for the sake of serving ones before it
 // is left where it is, and only slowed: each move costs what it has not saved.
-const movedMost = 8
+const maxInterruptions = 8
 
 // demandOf tells what a task takes of a worker and how it shares it, and what its job may
 // lose from now on.
@@ -59,14 +59,14 @@
 	return &wire.Demand{
 		MilliCpu: spec.GetMilliCpu(), MemoryMb: spec.GetMemoryMb(), Accelerators: spec.GetAccelerators(),
 		Fills: spec.GetFills(), TargetMs: spec.GetTargetMs(), Lasting: spec.GetLasting(), Image: spec.GetImage(),
-		Movable: movable(task), Saves: spec.GetCheckpointing(), Priority: task.Job().Submission().GetPriority(),
+		Movable: isMovable(task), Saves: spec.GetCheckpointing(), Priority: task.Job().Submission().GetPriority(),
 		EstimateMs: spec.GetEstimateMs(), SpareMs: task.Job().SlackTime(now).Milliseconds(),
 	}
 }
 
-// movable reports whether a task may be moved for the sake of others or of its own. The
+// isMovable reports whether a task may be moved for the sake of others or of its own. The
 // members of a gang end together, so moving one that saves nothing costs the work of all.
-func movable(task *job.Task) bool {
+func isMovable(task *job.Task) bool {
 	spec := task.Spec()
-	return task.Interruptions() < movedMost && (spec.GetCheckpointing() || !spec.GetGang())
+	return task.Interruptions() < maxInterruptions && (spec.GetCheckpointing() || !spec.GetGang())
 }
--- a/owner/entry_test.go
+++ b/owner/entry_test.go
@@ -9,9 +9,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestDescriptionTellsWhatIsLeft: an agent that has been replaced hears what the job may
+// TestRunDescriptionHasRemainingSpareTime: an agent that has been replaced hears what the job may
 // lose from now on, not what it could when the run was ordered.
-func TestDescriptionTellsWhatIsLeft(t *testing.T) {
+func TestRunDescriptionHasRemainingSpareTime(t *testing.T) {
 	made := newBench(t)
 	made.submit()
 	made.attachAndStart()
@@ -21,7 +21,7 @@
 	unready.Ready = false
 	made.hear(&wire.AgentMessage{Complete: true, Status: unready, Runs: []*wire.RunStatus{{Task: taskOne, Attempt: 1}}})
 	made.step()
-	described := descriptions(made.sent())
+	described := runDescriptions(made.sent())
 	if len(described) != 1 {
 		t.Fatalf("described: %v", described)
 	}
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestMovable: a gang that saves nothing is not moved, nor a task that was moved often.
-func TestMovable(t *testing.T) {
+// TestIsMovable: a gang that saves nothing is not moved, nor a task that was moved often.
+func TestIsMovable(t *testing.T) {
 	tests := map[string]struct {
 		change func(step *job.StepSpec)
 		ends   int // how often the task has been stopped
@@ -41,7 +41,7 @@
 		"saves nothing":             {func(*job.StepSpec) {}, 0, true},
 		"a gang that saves":         {func(step *job.StepSpec) { step.Gang, step.Checkpointing = true, true }, 0, true},
 		"a gang that saves nothing": {func(step *job.StepSpec) { step.Gang = true }, 0, false},
-		"was moved often":           {func(step *job.StepSpec) { step.Checkpointing = true }, movedMost, false},
+		"was moved often":           {func(step *job.StepSpec) { step.Checkpointing = true }, maxInterruptions, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -53,14 +53,14 @@
 				of.StartRun(task, job.Place{Incarnation: incarnation.New(life, 0), AgentAddress: agentAt}, time.UnixMilli(0))
 				of.EndRun(task, task.Attempt(), job.EndInterrupted, "", time.UnixMilli(0))
 			}
-			if got := movable(task); got != test.want {
+			if got := isMovable(task); got != test.want {
 				t.Errorf("got %v", got)
 			}
 		})
 	}
 }
 
-func descriptions(messages []*wire.OwnerMessage) []*wire.RunDescription {
+func runDescriptions(messages []*wire.OwnerMessage) []*wire.RunDescription {
 	var described []*wire.RunDescription
 	for _, message := range messages {
 		described = append(described, message.GetRuns()...)
--- a/owner/evacuated.go
+++ b/owner/evacuated.go
@@ -13,42 +13,42 @@
 // NoteEvacuations takes in which failure domains are evacuated, as of a moment up to which
 // that is known to be all; zero where that is not known.
 func (owner *Owner) NoteEvacuations(told operator.Evacuations, asOf time.Time) {
-	owner.decisions.Post(func(time.Time) { owner.noteEvacuations(told, asOf) })
+	owner.eventLoop.Post(func(time.Time) { owner.noteEvacuations(told, asOf) })
 }
 
 func (owner *Owner) noteEvacuations(told operator.Evacuations, asOf time.Time) {
-	before := owner.knowledge.Evacuations()
-	owner.knowledge.Note(told, asOf)
-	after := owner.knowledge.Evacuations()
+	before := owner.evacuationState.Evacuations()
+	owner.evacuationState.Note(told, asOf)
+	after := owner.evacuationState.Evacuations()
 	for _, domain := range after.Less(before) {
 		owner.log(event.DomainEvacuated, slog.String("failure_domain", domain), slog.Int64("version", after.Version()))
 	}
 	for _, domain := range before.Less(after) {
 		owner.log(event.DomainGivenBack, slog.String("failure_domain", domain), slog.Int64("version", after.Version()))
-		owner.lookout.noteAll()
+		owner.placementChanges.noteAll()
 	}
-	owner.meters.evacuated.Record(owner.ctx, int64(len(after.Domains())))
+	owner.metrics.evacuatedDomains.Record(owner.ctx, int64(len(after.Domains())))
 }
 
 // evacuated reports whether the worker's failure domain is evacuated.
 func (owner *Owner) evacuated(view *agentView) bool {
-	return owner.knowledge.Evacuations().Has(view.status().GetFailureDomain())
+	return owner.evacuationState.Evacuations().Has(view.status().GetFailureDomain())
 }
 
 // tellEvacuations adds what is known of evacuations to the message that goes out next: with
 // every start, since its agent starts nothing by what is known too old, and when it has
 // changed. Without starts it costs nothing.
 func (owner *Owner) tellEvacuations(view *agentView) {
-	known := owner.knowledge.Evacuations()
-	if owner.knowledge.AsOf().IsZero() || !view.greeted {
+	known := owner.evacuationState.Evacuations()
+	if owner.evacuationState.AsOf().IsZero() || !view.heardOnConn {
 		return
 	}
-	if len(view.message.Starts) == 0 && slices.Equal(view.toldEvacuated, known.Domains()) {
+	if len(view.nextMessage.Starts) == 0 && slices.Equal(view.sentEvacuations, known.Domains()) {
 		return
 	}
-	view.toldEvacuated = known.Domains()
-	asOf := operator.PeerUptime(owner.knowledge.AsOf(), view.heardAt, view.uptime)
-	view.message.Evacuations = &wire.Evacuations{
+	view.sentEvacuations = known.Domains()
+	asOf := operator.PeerUptime(owner.evacuationState.AsOf(), view.lastMessageAt, view.agentUptime)
+	view.nextMessage.Evacuations = &wire.Evacuations{
 		Version: known.Version(), FailureDomains: known.Domains(), AsOfNanos: int64(asOf),
 	}
 }
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -32,16 +32,16 @@
 
 const (
 	fleetShards = 8
-	// fleetStep is how much time passes at once, fleetPause how long the processes then have
+	// fleetTick is how much time passes at once, fleetTickPause how long the processes then have
 	// to get on with it.
-	fleetStep  = 2 * time.Millisecond
-	fleetPause = time.Millisecond
-	// beatEvery is how often a worker sends a heartbeat, backAfter how long a worker that has
+	fleetTick      = 2 * time.Millisecond
+	fleetTickPause = time.Millisecond
+	// heartbeatInterval is how often a worker sends a heartbeat, restartDelay how long a worker that has
 	// crashed is away.
-	beatEvery = 1100 * time.Millisecond
-	backAfter = 3 * time.Second
-	// workTakes is what a task of the fleet works.
-	workTakes = 800 * time.Millisecond
+	heartbeatInterval = 1100 * time.Millisecond
+	restartDelay      = 3 * time.Second
+	// taskDuration is what a task of the fleet works.
+	taskDuration = 800 * time.Millisecond
 )
 
 // fleet is an owner and some machines, each with an agent and a worker, over a stand-in for
@@ -58,28 +58,28 @@
 type machine struct {
 	name   string
 	fleet  *fleet
-	beside *agent.Agent
+	agent  *agent.Agent
 	server *httptest.Server
-	// path is what owners reach the agent by.
-	path *relay.Relay
-	// dated has the worker say when it started, and start again under its id.
-	dated bool
-	// crashers are the tasks that bring a worker down.
-	crashers map[string]bool
+	// relay is what owners reach the agent by.
+	relay *relay.Relay
+	// reportsStartTime has the worker say when it started, and start again under its id.
+	reportsStartTime bool
+	// crashingTasks are the tasks that bring a worker down.
+	crashingTasks map[string]bool
 
-	mu       sync.Mutex
-	worker   *wireworker.Worker
-	lives    int
-	sequence int64
-	beatAt   time.Time
-	downAt   time.Time // zero while it is up
-	// begun is when the runs of the present life began, started counts the starts of each
+	mu              sync.Mutex
+	worker          *wireworker.Worker
+	incarnations    int
+	sequence        int64
+	lastHeartbeatAt time.Time
+	downAt          time.Time // zero while it is up
+	// startedAt is when the runs of the present life began, started counts the starts of each
 	// task on all lives.
-	begun   map[string]time.Time
-	started map[string]int
-	// noted holds the tasks whose run the worker was told to forget as done.
-	noted   map[string]bool
-	notedMu sync.Mutex
+	startedAt   map[string]time.Time
+	startCounts map[string]int
+	// acknowledged holds the tasks whose run the worker was told to forget as done.
+	acknowledged   map[string]bool
+	acknowledgedMu sync.Mutex
 }
 
 func newFleet(t *testing.T, machines int, crashers ...string) *fleet {
@@ -96,8 +96,8 @@
 		return platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.Transport())
 	}
 	made.owner = owner.New(owner.Options{
-		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: fleetShards, Grant: 5 * time.Second, Silent: 1500 * time.Millisecond,
-		StatusKept: time.Minute, Store: calls(), Dial: rpc.DialOne, Clock: clock, Events: event.Discard(),
+		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: fleetShards, GrantDuration: 5 * time.Second, MemberTimeout: 1500 * time.Millisecond,
+		JobRetention: time.Minute, Store: calls(), Dial: rpc.DialOne, Clock: clock, Events: event.Discard(),
 	})
 	for number := range machines {
 		made.machines = append(made.machines, made.newMachine(ctx, calls(), number, crashers))
@@ -107,60 +107,60 @@
 }
 
 func (made *fleet) newMachine(ctx context.Context, store *platform.Store, number int, crashers []string) *machine {
-	begun := &machine{name: fmt.Sprintf("side-%d", number), fleet: made, dated: number%2 == 1, crashers: map[string]bool{}, started: map[string]int{}, noted: map[string]bool{}}
+	begun := &machine{name: fmt.Sprintf("side-%d", number), fleet: made, reportsStartTime: number%2 == 1, crashingTasks: map[string]bool{}, startCounts: map[string]int{}, acknowledged: map[string]bool{}}
 	for _, task := range crashers {
-		begun.crashers[task] = true
+		begun.crashingTasks[task] = true
 	}
-	begun.live()
+	begun.startWorker()
 	begun.server = httptest.NewServer(begun)
 	made.t.Cleanup(func() {
 		begun.server.CloseClientConnections()
 		begun.server.Close()
 	})
-	begun.beside = agent.New(agent.Options{
+	begun.agent = agent.New(agent.Options{
 		Name: begun.name, Shards: fleetShards, FirstToken: made.clock.Now().UnixMilli(), Clock: made.clock, Events: event.Discard(),
 		EvacuateWithin: 5 * time.Second,
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
 			return platform.NewWorker(address, of, platform.Transport())
 		},
 	})
-	listening, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, begun.beside) })
+	listening, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, begun.agent) })
 	if err != nil {
 		made.t.Fatal(err)
 	}
 	go func() { _ = listening.Serve(ctx) }()
-	go begun.beside.Run(ctx)
-	begun.path, err = relay.New(ctx, listening.Address())
+	go begun.agent.Run(ctx)
+	begun.relay, err = relay.New(ctx, listening.Address())
 	if err != nil {
 		made.t.Fatal(err)
 	}
-	go begun.beside.Register(ctx, store, begun.path.Address())
+	go begun.agent.Register(ctx, store, begun.relay.Address())
 	return begun
 }
 
-// live begins the next life of the worker: under the id of the one before where it says when it started.
-func (machine *machine) live() {
-	machine.lives++
+// startWorker begins the next life of the worker: under the id of the one before where it says when it started.
+func (machine *machine) startWorker() {
+	machine.incarnations++
 	switch {
-	case !machine.dated:
-		machine.worker = wireworker.New(fmt.Sprintf("%s-life-%d", machine.name, machine.lives), machine.fleet.clock)
+	case !machine.reportsStartTime:
+		machine.worker = wireworker.New(fmt.Sprintf("%s-life-%d", machine.name, machine.incarnations), machine.fleet.clock)
 	case machine.worker == nil:
 		machine.worker = wireworker.NewDated(machine.name, machine.fleet.clock)
 	default:
 		machine.worker = machine.worker.StartAgain()
 	}
-	machine.worker.Watch(machine.noteChange)
-	machine.begun = map[string]time.Time{}
-	machine.sequence, machine.beatAt, machine.downAt = 0, time.Time{}, time.Time{}
+	machine.worker.Watch(machine.recordAcknowledged)
+	machine.startedAt = map[string]time.Time{}
+	machine.sequence, machine.lastHeartbeatAt, machine.downAt = 0, time.Time{}, time.Time{}
 }
 
-// noteChange takes note of ends that the worker was told to forget.
-func (machine *machine) noteChange(change wireworker.Change) {
+// recordAcknowledged takes note of ends that the worker was told to forget.
+func (machine *machine) recordAcknowledged(change wireworker.Change) {
 	if change.Kind == wireworker.Noted && change.How == "done" {
 		// The worker is called with the machine's lock held, or by no one who holds it.
-		machine.notedMu.Lock()
-		defer machine.notedMu.Unlock()
-		machine.noted[change.Task] = true
+		machine.acknowledgedMu.Lock()
+		defer machine.acknowledgedMu.Unlock()
+		machine.acknowledged[change.Task] = true
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 	kept := httptest.NewRecorder()
 	worker.ServeHTTP(kept, request)
-	if machine.noteStarts(worker, before) {
+	if machine.recordStarts(worker, before) {
 		go machine.server.CloseClientConnections()
 		panic(http.ErrAbortHandler)
 	}
@@ -193,8 +193,8 @@
 	_, _ = answer.Write(kept.Body.Bytes())
 }
 
-// noteStarts takes note of what a worker has started, and reports whether that brings it down.
-func (machine *machine) noteStarts(worker *wireworker.Worker, before int) bool {
+// recordStarts takes note of what a worker has started, and reports whether that brings it down.
+func (machine *machine) recordStarts(worker *wireworker.Worker, before int) bool {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
 	if machine.worker != worker {
@@ -205,9 +205,9 @@
 		if _, runs := worker.Running(start.Task); !runs {
 			continue
 		}
-		machine.started[start.Task]++
-		machine.begun[start.Task] = now
-		if machine.crashers[start.Task] {
+		machine.startCounts[start.Task]++
+		machine.startedAt[start.Task] = now
+		if machine.crashingTasks[start.Task] {
 			machine.downAt = now
 		}
 	}
@@ -219,23 +219,23 @@
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
 	if !machine.downAt.IsZero() {
-		if now.Sub(machine.downAt) < backAfter {
+		if now.Sub(machine.downAt) < restartDelay {
 			return
 		}
-		machine.live()
+		machine.startWorker()
 	}
-	for task, begun := range machine.begun {
-		if now.Sub(begun) >= workTakes {
+	for task, begun := range machine.startedAt {
+		if now.Sub(begun) >= taskDuration {
 			machine.worker.End(task, "done")
-			delete(machine.begun, task)
+			delete(machine.startedAt, task)
 		}
 	}
-	if now.Sub(machine.beatAt) < beatEvery {
+	if now.Sub(machine.lastHeartbeatAt) < heartbeatInterval {
 		return
 	}
 	machine.sequence++
-	machine.beatAt = now
-	machine.beside.Beat(platform.Heartbeat{
+	machine.lastHeartbeatAt = now
+	machine.agent.Beat(platform.Heartbeat{
 		Incarnation: incarnation.New(machine.worker.ID(), machine.worker.Born()), Service: "verbale",
 		Address: strings.TrimPrefix(machine.server.URL, "http://"), MilliCPU: 8000, MemoryMB: 8000, Sequence: machine.sequence,
 	})
@@ -245,7 +245,7 @@
 func (made *fleet) submit(id string, tasks int32) {
 	value, err := proto.Marshal(&job.Submission{
 		Id: id, Queue: "r-1", Service: "verbale", Attempts: 3, Extension: 4, TargetLatencyMs: 1000, SubmittedMs: made.clock.Now().UnixMilli(),
-		Steps: []*job.StepSpec{{Count: tasks, MilliCpu: 500, MemoryMb: 100, EstimateMs: workTakes.Milliseconds()}},
+		Steps: []*job.StepSpec{{Count: tasks, MilliCpu: 500, MemoryMb: 100, EstimateMs: taskDuration.Milliseconds()}},
 	})
 	if err != nil {
 		made.t.Fatal(err)
@@ -262,35 +262,35 @@
 	return reply.GetState()
 }
 
-// starts counts the starts of a task on all workers.
-func (made *fleet) starts(task string) int {
+// startCount counts the starts of a task on all workers.
+func (made *fleet) startCount(task string) int {
 	count := 0
 	for _, machine := range made.machines {
 		machine.mu.Lock()
-		count += machine.started[task]
+		count += machine.startCounts[task]
 		machine.mu.Unlock()
 	}
 	return count
 }
 
-// lives counts the lives of all workers.
-func (made *fleet) lives() int {
+// incarnationCount counts the lives of all workers.
+func (made *fleet) incarnationCount() int {
 	count := 0
 	for _, machine := range made.machines {
 		machine.mu.Lock()
-		count += machine.lives
+		count += machine.incarnations
 		machine.mu.Unlock()
 	}
 	return count
 }
 
-// until lets time pass until what is waited for holds, most of it at most.
-func (made *fleet) until(most time.Duration, holds func() bool) bool {
+// advanceUntil lets time pass until what is waited for holds, most of it at most.
+func (made *fleet) advanceUntil(most time.Duration, holds func() bool) bool {
 	for end := made.clock.Now().Add(most); made.clock.Now().Before(end); {
 		made.owner.NoteEvacuations(operator.NewEvacuations(1, nil), made.clock.Now())
 		for range 50 {
-			made.clock.Advance(fleetStep)
-			time.Sleep(fleetPause)
+			made.clock.Advance(fleetTick)
+			time.Sleep(fleetTickPause)
 			for _, machine := range made.machines {
 				machine.step(made.clock.Now())
 			}
--- a/owner/forget_test.go
+++ b/owner/forget_test.go
@@ -20,10 +20,10 @@
 // The evidence: with one refused append to the topic of jobs, what the store holds afterwards loads as
 // a job that is queued and live.
 
-// forgetting is a bench whose job has ended, and is known for as long as it has to be.
-func forgetting(t *testing.T) *bench {
+// newEndedJobBench is a bench whose job has ended, and is known for as long as it has to be.
+func newEndedJobBench(t *testing.T) *bench {
 	made := newBench(t)
-	made.owner.options.StatusKept = time.Minute
+	made.owner.options.JobRetention = time.Minute
 	value, err := proto.Marshal(submission())
 	if err != nil {
 		t.Fatal(err)
@@ -37,14 +37,14 @@
 	return made
 }
 
-// stored reports what the store holds of the job.
-func (made *bench) stored() (handedIn, progress bool) {
+// storedRecords reports what the store holds of the job.
+func (made *bench) storedRecords() (handedIn, progress bool) {
 	_, handedIn = made.store.Newest(job.TopicJobs, made.held.number, job.SubmissionKey(jobID))
 	_, progress = made.store.Newest(job.TopicRuns, made.held.number, jobID)
 	return handedIn, progress
 }
 
-func TestForgottenJobStaysForgotten(t *testing.T) {
+func TestPrunedJobIsNotRestarted(t *testing.T) {
 	tests := map[string]wirestore.Fault{
 		"the store answers": wirestore.FaultNone,
 		"the store is busy": wirestore.FaultBusy,
@@ -53,7 +53,7 @@
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := forgetting(t)
+			made := newEndedJobBench(t)
 			failures := 1
 			made.store.FailTopic(job.TopicJobs, func() wirestore.Fault {
 				failures--
@@ -67,8 +67,8 @@
 				made.step()
 				made.settle()
 				made.clock.Advance(100 * time.Millisecond)
-				made.runPosted()
-				handedIn, progress := made.stored()
+				made.runPending()
+				handedIn, progress := made.storedRecords()
 				if handedIn && !progress {
 					t.Fatal("the store holds what was handed in without what became of it: the next owner takes the job for new")
 				}
@@ -81,42 +81,42 @@
 	}
 }
 
-// runPosted gives what is on its way a moment, and runs what has come back.
-func (made *bench) runPosted() {
+// runPending gives what is on its way a moment, and runs what has come back.
+func (made *bench) runPending() {
 	time.Sleep(2 * time.Millisecond)
-	for made.owner.decisions.RunAny(made.clock.Now()) {
+	for made.owner.eventLoop.RunAny(made.clock.Now()) {
 	}
 }
 
-// TestClockThatJumpsForgetsNothing has an owner read a job that ended hours ago by the time of day, as it
+// TestClockJumpPrunesNothing has an owner read a job that ended hours ago by the time of day, as it
 // is after that has jumped ahead: clients may still ask for it, or hand it in again.
-func TestClockThatJumpsForgetsNothing(t *testing.T) {
+func TestClockJumpPrunesNothing(t *testing.T) {
 	made := newBench(t)
 	ended := job.New(submission(), made.held.number)
 	ended.Cancel(made.clock.Now().Add(-5 * time.Hour))
-	made.held.active = false
-	made.owner.noteLoaded(made.held,
+	made.held.loaded = false
+	made.owner.activateShard(made.held,
 		platform.Tail{Records: []platform.Record{record(t, job.SubmissionKey(jobID), submission())}},
 		platform.Tail{Records: []platform.Record{record(t, jobID, ended.Progress())}}, made.clock.Now())
 	made.step()
-	if made.held.jobs[jobID] == nil || len(made.held.dropped) > 0 {
+	if made.held.jobs[jobID] == nil || len(made.held.tombstones) > 0 {
 		t.Error("a job that was just read as ended is forgotten")
 	}
 }
 
-// TestProgressWithoutJobIsDropped has an owner read what became of a job that the one before it had
+// TestProgressWithoutJobIsDeleted has an owner read what became of a job that the one before it had
 // begun to drop.
-func TestProgressWithoutJobIsDropped(t *testing.T) {
+func TestProgressWithoutJobIsDeleted(t *testing.T) {
 	made := newBench(t)
 	ended := job.New(submission(), made.held.number)
 	ended.Cancel(made.clock.Now())
 	kept := record(t, jobID, ended.Progress())
 	made.store.Put(job.TopicRuns, made.held.number, jobID, kept.Value)
-	made.held.active = false
-	made.owner.noteLoaded(made.held, platform.Tail{}, platform.Tail{Records: []platform.Record{kept}}, made.clock.Now())
+	made.held.loaded = false
+	made.owner.activateShard(made.held, platform.Tail{}, platform.Tail{Records: []platform.Record{kept}}, made.clock.Now())
 	made.step()
 	made.settle()
-	if _, progress := made.stored(); progress {
+	if _, progress := made.storedRecords(); progress {
 		t.Error("what became of a job that is gone stays in the store")
 	}
 }
--- a/owner/gang.go
+++ b/owner/gang.go
@@ -16,7 +16,7 @@
 	for _, among := range owner.gangChoices(members[0], workers) {
 		if chosen := owner.chooseGang(members, among, now); chosen != nil {
 			for index, member := range members {
-				owner.start(member, chosen[index].view, now)
+				owner.startTask(member, chosen[index].view, now)
 				chosen[index].place(member, chosen[index].view.runs[member.Name()].demand)
 			}
 			return
@@ -85,7 +85,7 @@
 			continue
 		}
 		owner.logRun(event.RunStopOrdered, entry, slog.String("reason", "another member of the gang did not start"))
-		view.orderStop(entry.held, entry.name, entry.attempt, entry.place.Incarnation)
+		view.addStopOrder(entry.shard, entry.taskName, entry.attempt, entry.place.Incarnation)
 	}
 }
 
--- a/owner/learned.go
+++ b/owner/learned.go
@@ -129,7 +129,7 @@
 // learned returns the table of the shared shard, nil if it is not owned.
 func (owner *Owner) learned() *learnedTable {
 	held, owned := owner.shards[job.InterferenceShard]
-	if !owned || !held.active {
+	if !owned || !held.loaded {
 		return nil
 	}
 	return held.learned
--- a/owner/learned_test.go
+++ b/owner/learned_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestLearnedTableKeepsTheMean(t *testing.T) {
-	first, second := newView("a"), newView("b")
+	first, second := newAgentView("a"), newAgentView("b")
 	tests := map[string]struct {
 		tell     func(table *learnedTable)
 		weight   float64
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			table := newLearnedTable()
 			test.tell(table)
-			weight, readings := weightOf(table.without(nil))
+			weight, readings := learnedWeight(table.without(nil))
 			if math.Abs(weight-test.weight) > 1e-9 || readings != test.readings {
 				t.Errorf("a weight of %v by %d readings", weight, readings)
 			}
@@ -47,13 +47,13 @@
 // what it has taught itself.
 func TestAgentsAreToldWhatChanges(t *testing.T) {
 	made := newBench(t)
-	held := made.sharedShard(made.owner.ctx, 4)
-	other := newView("10.0.0.2:7001")
+	held := made.addSharedShard(made.owner.ctx, 4)
+	other := newAgentView("10.0.0.2:7001")
 	made.attach()
 	told := func() *wire.OwnerMessage {
 		made.clock.Advance(shareEvery)
-		made.owner.joinedAt = made.clock.Now()
-		made.owner.tell(made.view, made.clock.Now())
+		made.owner.lastJoinAt = made.clock.Now()
+		made.owner.sendUpdate(made.view, made.clock.Now())
 		messages := made.sent()
 		if len(messages) != 1 {
 			t.Fatalf("%d messages", len(messages))
@@ -63,13 +63,13 @@
 	held.learned.note(other, taught(0.5, 40))
 	held.learned.note(made.view, taught(0.2, 20))
 	for range 2 {
-		if weight, readings := weightOf(told().GetLearned()); weight != 0.5 || readings != 40 {
+		if weight, readings := learnedWeight(told().GetLearned()); weight != 0.5 || readings != 40 {
 			t.Errorf("an agent of an earlier build is told a weight of %v by %d readings", weight, readings)
 		}
 	}
 	made.hear(&wire.AgentMessage{KeepsLearned: true})
 	message := told()
-	if weight, readings := weightOf(message.GetLearnedByAll()); math.Abs(weight-0.4) > 1e-9 || readings != 60 || len(message.GetLearned()) > 0 {
+	if weight, readings := learnedWeight(message.GetLearnedByAll()); math.Abs(weight-0.4) > 1e-9 || readings != 60 || len(message.GetLearned()) > 0 {
 		t.Errorf("told a weight of %v by %d readings, and %v", weight, readings, message.GetLearned())
 	}
 	held.learned.note(other, taught(0.51, 40))
@@ -77,7 +77,7 @@
 		t.Errorf("told again although it hardly moved: %v", message.GetLearnedByAll())
 	}
 	held.learned.note(other, taught(0.8, 40))
-	if weight, _ := weightOf(told().GetLearnedByAll()); math.Abs(weight-0.6) > 1e-9 {
+	if weight, _ := learnedWeight(told().GetLearnedByAll()); math.Abs(weight-0.6) > 1e-9 {
 		t.Errorf("not told that it moved: %v", weight)
 	}
 	made.attach()
@@ -92,15 +92,15 @@
 // that had all lost power worked without it for up to 3 s more.
 func TestRememberedIsToldAtOnce(t *testing.T) {
 	made := newBench(t)
-	held := made.sharedShard(made.owner.ctx, 4)
+	held := made.addSharedShard(made.owner.ctx, 4)
 	made.attach()
 	made.hear(&wire.AgentMessage{KeepsLearned: true})
-	made.owner.tell(made.view, made.clock.Now())
+	made.owner.sendUpdate(made.view, made.clock.Now())
 	made.sent()
-	made.owner.noteRemembered(held, taught(0.5, 30))
-	made.clock.Advance(grantEvery)
-	made.owner.joinedAt = made.clock.Now()
-	made.owner.tell(made.view, made.clock.Now())
+	made.owner.applyStoredLearned(held, taught(0.5, 30))
+	made.clock.Advance(grantInterval)
+	made.owner.lastJoinAt = made.clock.Now()
+	made.owner.sendUpdate(made.view, made.clock.Now())
 	messages := made.sent()
 	if len(messages) != 1 || len(messages[0].GetLearnedByAll()) != 1 {
 		t.Errorf("told %v", messages)
--- a/owner/lookout.go
+++ b/owner/lookout.go
@@ -10,7 +10,7 @@
 //
 // A task that has just found no place finds one only where something has changed: at the workers whose room has grown, or
 // for a task that was not ready then. So a look goes over the jobs that changed on all workers, and over all
-// jobs on the workers that grew; all jobs on all workers once in stepEvery, since pauses, doubts and the patience of jobs end
+// jobs on the workers that grew; all jobs on all workers once in tickInterval, since pauses, doubts and the patience of jobs end
 // without an event. What a look costs follows from what has changed, not from the fleet.
 type lookout struct {
 	jobs    map[*job.Job]bool
@@ -35,7 +35,7 @@
 
 // due reports whether places are to be looked for.
 func (seen *lookout) due(now time.Time) bool {
-	return seen.whole || len(seen.jobs)+len(seen.workers) > 0 || now.Sub(seen.wholeAt) >= stepEvery
+	return seen.whole || len(seen.jobs)+len(seen.workers) > 0 || now.Sub(seen.wholeAt) >= tickInterval
 }
 
 // take returns what has changed, and begins anew.
@@ -43,7 +43,7 @@
 	taken := *seen
 	*seen = newLookout()
 	seen.wholeAt = taken.wholeAt
-	taken.whole = taken.whole || now.Sub(taken.wholeAt) >= stepEvery
+	taken.whole = taken.whole || now.Sub(taken.wholeAt) >= tickInterval
 	if taken.whole {
 		seen.wholeAt = now
 	}
--- a/owner/lookout_test.go
+++ b/owner/lookout_test.go
@@ -11,9 +11,9 @@
 // looksAfter counts the workers that are looked at, for each job once, after something has changed.
 func looksAfter(made *bench, change func()) int64 {
 	change()
-	before := made.owner.looked
-	made.owner.place(made.owner.lookout.take(made.clock.Now()), made.clock.Now())
-	return made.owner.looked - before
+	before := made.owner.workersExamined
+	made.owner.place(made.owner.placementChanges.take(made.clock.Now()), made.clock.Now())
+	return made.owner.workersExamined - before
 }
 
 // TestALookFollowsWhatHasChanged counts the work of a look for places on a fleet whose workers are full, and on one of twice
@@ -26,15 +26,15 @@
 		looks func(workers int64) int64
 	}{
 		"the room of one worker has grown": {
-			func(made *bench) { made.owner.lookout.noteRoom(made.owner.agents["10.0.1.7:7001"]) },
+			func(made *bench) { made.owner.placementChanges.noteRoom(made.owner.agents["10.0.1.7:7001"]) },
 			func(int64) int64 { return jobs },
 		},
 		"a job has come": {
-			func(made *bench) { made.owner.lookout.noteJob(made.held.jobs[idInShard(made.held.number, 3)]) },
+			func(made *bench) { made.owner.placementChanges.noteJob(made.held.jobs[idInShard(made.held.number, 3)]) },
 			func(workers int64) int64 { return workers },
 		},
 		"all has to be looked at": {
-			func(made *bench) { made.owner.lookout.noteAll() },
+			func(made *bench) { made.owner.placementChanges.noteAll() },
 			func(workers int64) int64 { return jobs * workers },
 		},
 		"nothing": {func(*bench) {}, func(int64) int64 { return 0 }},
@@ -45,7 +45,7 @@
 				made := newBench(t)
 				delete(made.owner.agents, agentAt)
 				placing(made, workers, jobs)
-				looksAfter(made, made.owner.lookout.noteAll)
+				looksAfter(made, made.owner.placementChanges.noteAll)
 				got := looksAfter(made, func() { test.change(made) })
 				if want := test.looks(int64(workers)); got != want {
 					t.Errorf("%d looks, want %d", got, want)
@@ -60,13 +60,13 @@
 func TestWhatHasGrownIsUsedAtOnce(t *testing.T) {
 	made := newBench(t)
 	placing(made, 20, 2)
-	looksAfter(made, made.owner.lookout.noteAll)
+	looksAfter(made, made.owner.placementChanges.noteAll)
 	view := made.owner.agents["10.0.1.7:7001"]
 	looksAfter(made, func() {
 		grown := &wire.AgentMessage{Status: &wire.WorkerStatus{
 			Worker: "7", Service: "verbale", Ready: true, MilliCpu: 32_000, FreeMilliCpu: 9000, MemoryMb: 1000, FreeMemoryMb: 1000,
 		}}
-		made.owner.noteAgent(view, view.link, grown, made.clock.Now())
+		made.owner.handleAgentMessage(view, view.conn, grown, made.clock.Now())
 	})
 	if len(view.runs) != 1 {
 		t.Errorf("%d runs were placed where there is room for one", len(view.runs))
--- a/owner/membership.go
+++ b/owner/membership.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// joinEvery renews the membership three times before it would run out.
-	joinEvery = 350 * time.Millisecond
+	// joinInterval renews the membership three times before it would run out.
+	joinInterval = 350 * time.Millisecond
 	// joinTimeout bounds a call to join or to leave.
 	joinTimeout = 700 * time.Millisecond
 )
 
-// keepMembership joins the group, and again and again, until ctx ends.
-func (owner *Owner) keepMembership(ctx context.Context) {
+// maintainMembership joins the group, and again and again, until ctx ends.
+func (owner *Owner) maintainMembership(ctx context.Context) {
 	heard := int64(0)
 	lost := time.Time{}
 	for ctx.Err() == nil {
 		sent, sentAfter := owner.options.Clock.Now(), owner.suspended()
-		if owner.renew.Load() {
-			if err := owner.leaveGroup(ctx, job.OwnersGroup, owner.Member()); err != nil {
-				lost = owner.noteStoreLost(ctx, lost, sent, err)
-				owner.sleep(ctx, joinEvery)
+		if owner.leaveBeforeJoin.Load() {
+			if err := owner.leaveGroup(ctx, job.OwnersGroup, owner.MemberName()); err != nil {
+				lost = owner.logStoreLost(ctx, lost, sent, err)
+				owner.sleep(ctx, joinInterval)
 				continue
 			}
-			owner.renew.Store(false)
+			owner.leaveBeforeJoin.Store(false)
 		}
 		deal, err := owner.join(ctx, heard)
 		if err != nil {
-			lost = owner.noteStoreLost(ctx, lost, sent, err)
-			owner.sleep(ctx, joinEvery)
+			lost = owner.logStoreLost(ctx, lost, sent, err)
+			owner.sleep(ctx, joinInterval)
 			continue
 		}
-		owner.noteStoreBack(ctx, lost, sent)
+		owner.logStoreRecovered(ctx, lost, sent)
 		lost = time.Time{}
 		changed := deal.Generation != heard
 		heard = deal.Generation
-		if !owner.decisions.Ask(ctx, func(now time.Time) {
-			owner.noteDeal(deal, sent.Add(min(sentAfter-owner.decisions.Suspended(), 0)), now)
+		if !owner.eventLoop.Ask(ctx, func(now time.Time) {
+			owner.applyAssignment(deal, sent.Add(min(sentAfter-owner.eventLoop.Suspended(), 0)), now)
 		}) {
 			return
 		}
@@ -50,17 +50,17 @@
 			// Naming the new generation hands over what is no longer held.
 			continue
 		}
-		owner.sleep(ctx, joinEvery)
+		owner.sleep(ctx, joinInterval)
 	}
 }
 
 func (owner *Owner) join(ctx context.Context, heard int64) (platform.Deal, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	return owner.options.Store.Join(ctx, job.OwnersGroup, owner.Member(), []string{job.TopicJobs}, owner.options.Silent, heard)
+	return owner.options.Store.Join(ctx, job.OwnersGroup, owner.MemberName(), []string{job.TopicJobs}, owner.options.MemberTimeout, heard)
 }
 
-func (owner *Owner) noteStoreLost(ctx context.Context, lost, now time.Time, err error) time.Time {
+func (owner *Owner) logStoreLost(ctx context.Context, lost, now time.Time, err error) time.Time {
 	if !lost.IsZero() {
 		return lost
 	}
@@ -68,28 +68,28 @@
 	return now
 }
 
-func (owner *Owner) noteStoreBack(ctx context.Context, lost, now time.Time) {
+func (owner *Owner) logStoreRecovered(ctx context.Context, lost, now time.Time) {
 	if !lost.IsZero() {
 		owner.options.Events.Log(ctx, event.StoreBack, slog.Duration("after", now.Sub(lost)))
 	}
 }
 
-// noteDeal takes up the shards that are dealt to this entry and gives up others.
-func (owner *Owner) noteDeal(deal platform.Deal, sent, now time.Time) {
-	owner.joinedAt = sent
+// applyAssignment takes up the shards that are dealt to this entry and gives up others.
+func (owner *Owner) applyAssignment(deal platform.Deal, sent, now time.Time) {
+	owner.lastJoinAt = sent
 	dealt := map[int]bool{}
 	for _, number := range deal.Parts {
 		dealt[number] = true
 	}
 	for number, held := range owner.shards {
 		if !dealt[number] {
-			owner.giveUp(held, "dealt to another entry", now)
+			owner.releaseShard(held, "dealt to another entry", now)
 		}
 	}
 	for number := range dealt {
 		_, owned := owner.shards[number]
-		if !owned && deal.Generation > owner.fenced[number] {
-			owner.take(number, deal.Generation, now)
+		if !owned && deal.Generation > owner.fencedEpochs[number] {
+			owner.acquireShard(number, deal.Generation, now)
 		}
 	}
 }
--- a/owner/membership_test.go
+++ b/owner/membership_test.go
@@ -10,8 +10,8 @@
 	"ambertiller.example/ambertiller/standin/wirestore"
 )
 
-// running starts an owner whose clock stands still but for what until lets pass.
-func running(t *testing.T, clock *clockwork.FakeClock, store *wirestore.Store) (*Owner, context.CancelFunc) {
+// runOwner starts an owner whose clock stands still but for what until lets pass.
+func runOwner(t *testing.T, clock *clockwork.FakeClock, store *wirestore.Store) (*Owner, context.CancelFunc) {
 	started := newOwner(t, clock, store)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -19,7 +19,7 @@
 	return started, cancel
 }
 
-func until(t *testing.T, clock *clockwork.FakeClock, holds func() bool) {
+func advanceUntil(t *testing.T, clock *clockwork.FakeClock, holds func() bool) {
 	t.Helper()
 	for range 3000 {
 		if holds() {
@@ -31,11 +31,11 @@
 	t.Fatal("what was waited for did not happen")
 }
 
-func epochs(asked *Owner) map[int]int64 {
+func ownedEpochs(asked *Owner) map[int]int64 {
 	found := map[int]int64{}
-	asked.decisions.Ask(context.Background(), func(time.Time) {
+	asked.eventLoop.Ask(context.Background(), func(time.Time) {
 		for number, held := range asked.shards {
-			if held.active {
+			if held.loaded {
 				found[number] = held.epoch
 			}
 		}
@@ -43,32 +43,32 @@
 	return found
 }
 
-// TestRestartedOwnerTakesALaterEpoch: a process that comes back before it was
+// TestRestartedOwnerGetsLaterEpoch: a process that comes back before it was
 // missed must not write under the epoch of its earlier life. The case that forced
 // it: its appends were refused by their sequence and the shards had no owner.
-func TestRestartedOwnerTakesALaterEpoch(t *testing.T) {
+func TestRestartedOwnerGetsLaterEpoch(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	first, kill := running(t, clock, store)
-	until(t, clock, func() bool { return len(epochs(first)) == 8 })
-	before := epochs(first)
+	first, kill := runOwner(t, clock, store)
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(first)) == 8 })
+	before := ownedEpochs(first)
 	kill()
-	second, _ := running(t, clock, store)
-	until(t, clock, func() bool { return len(epochs(second)) == 8 })
-	for number, epoch := range epochs(second) {
+	second, _ := runOwner(t, clock, store)
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(second)) == 8 })
+	for number, epoch := range ownedEpochs(second) {
 		if epoch <= before[number] {
 			t.Errorf("shard %d: epoch %d after %d", number, epoch, before[number])
 		}
 	}
 }
 
-// TestNoJoinAfterALeave: the case that forced it brought a stopping entry its
+// TestNoJoinAfterLeave: the case that forced it brought a stopping entry its
 // shards back, and nobody scheduled them.
-func TestNoJoinAfterALeave(t *testing.T) {
+func TestNoJoinAfterLeave(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	only, _ := running(t, clock, store)
-	until(t, clock, func() bool { return len(epochs(only)) == 8 })
+	only, _ := runOwner(t, clock, store)
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(only)) == 8 })
 	if err := only.Leave(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -79,30 +79,30 @@
 	if got := store.Calls("/v1/log-join"); got != joins {
 		t.Errorf("%d joins after the leave", got-joins)
 	}
-	if got := epochs(only); len(got) != 0 {
+	if got := ownedEpochs(only); len(got) != 0 {
 		t.Errorf("it still owns %v", got)
 	}
 }
 
-// TestShardsPassOnWhenAnOwnerIsSilent runs two owners and silences one.
-func TestShardsPassOnWhenAnOwnerIsSilent(t *testing.T) {
+// TestShardsMoveFromSilentOwner runs two owners and silences one.
+func TestShardsMoveFromSilentOwner(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	first, kill := running(t, clock, store)
-	until(t, clock, func() bool { return len(epochs(first)) == 8 })
+	first, kill := runOwner(t, clock, store)
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(first)) == 8 })
 	second := newOwner(t, clock, store)
 	second.options.Name = "edge-2"
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go second.Run(ctx)
-	until(t, clock, func() bool { return len(epochs(first)) == 4 && len(epochs(second)) == 4 })
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(first)) == 4 && len(ownedEpochs(second)) == 4 })
 	kill()
-	until(t, clock, func() bool { return len(epochs(second)) == 8 })
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(second)) == 8 })
 }
 
-// TestStoreThatLosesAnswers: appends that were done and not answered are neither
+// TestAppendsSurviveStoreFaults: appends that were done and not answered are neither
 // repeated nor lost.
-func TestStoreThatLosesAnswers(t *testing.T) {
+func TestAppendsSurviveStoreFaults(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
 	count := 0
@@ -113,6 +113,6 @@
 		count++
 		return []wirestore.Fault{wirestore.FaultLost, wirestore.FaultReset, wirestore.FaultBusy, wirestore.FaultNone}[count%4]
 	})
-	only, _ := running(t, clock, store)
-	until(t, clock, func() bool { return len(epochs(only)) == 8 })
+	only, _ := runOwner(t, clock, store)
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(only)) == 8 })
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -46,20 +46,20 @@
 )
 
 const (
-	// stepEvery is how often what is due is looked for without an event.
-	stepEvery = 100 * time.Millisecond
-	// clockSlack is what two clocks differ by at most over a grant.
-	clockSlack = 2 * lease.ClockRateBound
+	// tickInterval is how often what is due is looked for without an event.
+	tickInterval = 100 * time.Millisecond
+	// maxClockDrift is what two clocks differ by at most over a grant.
+	maxClockDrift = 2 * lease.ClockRateBound
 	// grantMargin is added to the end of a grant before runs are taken for
 	// over: a stop takes up to half a second.
 	grantMargin = 600 * time.Millisecond
-	// grantEvery renews grants well within their length.
-	grantEvery = 500 * time.Millisecond
-	// grantAlone is how long an owner goes on granting without hearing from
+	// grantInterval renews grants well within their length.
+	grantInterval = 500 * time.Millisecond
+	// storeOutageTolerance is how long an owner goes on granting without hearing from
 	// the store that it still owns. Together with the grant it is what an
 	// outage of the store may last without stopping what runs, 11 s, and what
 	// a run on a machine that is gone waits after a change of owner.
-	grantAlone = 6 * time.Second
+	storeOutageTolerance = 6 * time.Second
 )
 
 // Options sets up an Owner.
@@ -74,14 +74,14 @@
 	// Strong is set where the machine bears the work of an owner; others offer themselves as
 	// far as they are needed.
 	Strong bool
-	// Grant is how long runs go on without word from their owner.
-	Grant time.Duration
-	// Silent is after how long without a join the store deals a member's
+	// GrantDuration is how long runs go on without word from their owner.
+	GrantDuration time.Duration
+	// MemberTimeout is after how long without a join the store deals a member's
 	// shards to others.
-	Silent time.Duration
-	// StatusKept is how long an ended job is known.
-	StatusKept time.Duration
-	Store      *platform.Store
+	MemberTimeout time.Duration
+	// JobRetention is how long an ended job is known.
+	JobRetention time.Duration
+	Store        *platform.Store
 	// Advisor tells which workers may run what; nil where nothing is to be asked.
 	Advisor *platform.Advisor
 	// Dial connects to an agent.
@@ -98,60 +98,60 @@
 // Owner schedules the jobs of its shards.
 type Owner struct {
 	options   Options
-	decisions *loop.Loop
+	eventLoop *loop.Loop
 	ctx       context.Context // ends the calls of the owner with it
 	// stopApplying ends the candidacy, applied is closed once it has ended.
-	applying     context.Context
-	stopApplying context.CancelFunc
-	applied      chan struct{}
-	// present is nil while the entry does not offer itself as an owner. Only the candidacy changes it, and
+	candidacyCtx  context.Context
+	stopCandidacy context.CancelFunc
+	candidacyDone chan struct{}
+	// session is nil while the entry does not offer itself as an owner. Only the candidacy changes it, and
 	// Leave once that has ended.
-	present *standing
-	// renew has the membership leave the group before it joins. A process that
+	session *standing
+	// leaveBeforeJoin has the membership leave the group before it joins. A process that
 	// comes back before it was missed would else be dealt its shards under the
 	// epoch that it wrote with before, and a late append of its earlier life
 	// could take the place of one of its own.
-	renew atomic.Bool
-
-	joinedAt time.Time
-	shards   map[int]*shard
-	fenced   map[int]int64
-	agents   map[string]*agentView
-	// withdrawn is set while the entry has left the agents.
-	withdrawn bool
-	// knowledge is what is known of evacuations.
-	knowledge operator.Knowledge
-	lookout   lookout
-	// looked counts the workers that were looked at for a place, once for each job, since the meters were set.
-	looked int64
-	// publishedAt is when what agents are told of interference was last worked out.
-	publishedAt time.Time
-	advised     adviceQueue
-	sent        *traffic.Sent
-	meters      meters
-	gaugedAt    time.Time
+	leaveBeforeJoin atomic.Bool
+
+	lastJoinAt   time.Time
+	shards       map[int]*shard
+	fencedEpochs map[int]int64
+	agents       map[string]*agentView
+	// agentsDropped is set while the entry has left the agents.
+	agentsDropped bool
+	// evacuationState is what is known of evacuations.
+	evacuationState  operator.Knowledge
+	placementChanges lookout
+	// workersExamined counts the workers that were looked at for a place, once for each job, since the meters were set.
+	workersExamined int64
+	// learnedPublishedAt is when what agents are told of interference was last worked out.
+	learnedPublishedAt time.Time
+	advice             adviceQueue
+	traffic            *traffic.Sent
+	metrics            metrics
+	gaugesRecordedAt   time.Time
 }
 
 // New returns an owner that owns nothing until Run.
 func New(options Options) *Owner {
 	applying, stopApplying := context.WithCancel(context.Background())
 	made := &Owner{
-		options:      options,
-		decisions:    loop.New(options.Clock),
-		applying:     applying,
-		stopApplying: stopApplying,
-		applied:      make(chan struct{}),
-		shards:       map[int]*shard{},
-		fenced:       map[int]int64{},
-		agents:       map[string]*agentView{},
-		sent:         traffic.New(options.Meters),
-		meters:       newMeters(options.Meters),
-		advised:      adviceQueue{steps: map[string]*stepAdvice{}},
-		lookout:      newLookout(),
+		options:          options,
+		eventLoop:        loop.New(options.Clock),
+		candidacyCtx:     applying,
+		stopCandidacy:    stopApplying,
+		candidacyDone:    make(chan struct{}),
+		shards:           map[int]*shard{},
+		fencedEpochs:     map[int]int64{},
+		agents:           map[string]*agentView{},
+		traffic:          traffic.New(options.Meters),
+		metrics:          newMetrics(options.Meters),
+		advice:           adviceQueue{steps: map[string]*stepAdvice{}},
+		placementChanges: newLookout(),
 	}
-	made.renew.Store(true)
+	made.leaveBeforeJoin.Store(true)
 	if options.Suspended != nil {
-		made.decisions.WatchSuspension(options.Suspended, made.noteSuspended)
+		made.eventLoop.WatchSuspension(options.Suspended, made.noteSuspended)
 	}
 	return made
 }
@@ -159,25 +159,25 @@
 // Run schedules until ctx ends.
 func (owner *Owner) Run(ctx context.Context) {
 	owner.ctx = ctx
-	go owner.keepCandidacy(owner.applying)
-	owner.decisions.Run(ctx, stepEvery, owner.step)
-	owner.stopApplying()
+	go owner.keepCandidacy(owner.candidacyCtx)
+	owner.eventLoop.Run(ctx, tickInterval, owner.tick)
+	owner.stopCandidacy()
 }
 
-// Member is the name under which the entry joins groups: it begins with what its machine bears, and its
+// MemberName is the name under which the entry joins groups: it begins with what its machine bears, and its
 // address tells others where to reach it.
-func (owner *Owner) Member() string {
-	mark := weakMark
+func (owner *Owner) MemberName() string {
+	mark := weakPrefix
 	if owner.options.Strong {
-		mark = strongMark
+		mark = strongPrefix
 	}
 	return mark + owner.options.Name + memberSeparator + owner.options.Address
 }
 
 const (
-	// strongMark begins the name of a member that bears the work of an owner, weakMark that of another one.
-	strongMark = "strong/"
-	weakMark   = "weak/"
+	// strongPrefix begins the name of a member that bears the work of an owner, weakPrefix that of another one.
+	strongPrefix = "strong/"
+	weakPrefix   = "weak/"
 )
 
 // memberSeparator stands in no node's name and no address.
@@ -189,25 +189,25 @@
 	return address
 }
 
-func (owner *Owner) step(now time.Time) {
+func (owner *Owner) tick(now time.Time) {
 	for _, held := range owner.shards {
-		owner.forgetOld(held, now)
+		owner.pruneJobs(held, now)
 	}
 	for _, view := range owner.agents {
-		owner.giveUpSilent(view, now)
+		owner.releaseExpiredRuns(view, now)
 	}
-	if owner.lookout.due(now) {
-		owner.place(owner.lookout.take(now), now)
+	if owner.placementChanges.due(now) {
+		owner.place(owner.placementChanges.take(now), now)
 	}
 	for _, held := range owner.shards {
-		owner.flush(held, now)
+		owner.flushShard(held, now)
 	}
 	for _, view := range owner.agents {
-		owner.endSilent(view, now)
-		owner.tell(view, now)
+		owner.closeIfUnresponsive(view, now)
+		owner.sendUpdate(view, now)
 	}
-	owner.gauge(now)
-	owner.sent.Log(owner.ctx, owner.options.Events, now)
+	owner.recordGauges(now)
+	owner.traffic.Log(owner.ctx, owner.options.Events, now)
 	owner.forgetAdvice(now)
 }
 
@@ -215,10 +215,10 @@
 	owner.options.Events.Log(owner.ctx, code, attributes...)
 }
 
-// jobOf returns the job if its shard is owned and loaded.
-func (owner *Owner) jobOf(id string) (*shard, *job.Job) {
+// loadedJob returns the job if its shard is owned and loaded.
+func (owner *Owner) loadedJob(id string) (*shard, *job.Job) {
 	held, owned := owner.shards[job.ShardOf(id, owner.options.Shards)]
-	if !owned || !held.active {
+	if !owned || !held.loaded {
 		return nil, nil
 	}
 	return held, held.jobs[id]
--- a/owner/peer.go
+++ b/owner/peer.go
@@ -23,7 +23,7 @@
 // JobState implements wire.DRPCPeerServer. An unknown job is reported as such
 // only after the shard has been read to its end.
 func (owner *Owner) JobState(ctx context.Context, request *wire.JobStateRequest) (*wire.JobStateReply, error) {
-	reply, held, next := owner.lookUp(ctx, request.GetId())
+	reply, held, next := owner.jobState(ctx, request.GetId())
 	if held == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
 	}
@@ -34,27 +34,27 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read the shard to its end")
 	}
-	owner.decisions.Ask(ctx, func(now time.Time) { owner.noteTail(held, tail, now) })
-	reply, held, _ = owner.lookUp(ctx, request.GetId())
+	owner.eventLoop.Ask(ctx, func(now time.Time) { owner.applyRecords(held, tail, now) })
+	reply, held, _ = owner.jobState(ctx, request.GetId())
 	if held == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
 	}
 	return reply, nil
 }
 
-func (owner *Owner) lookUp(ctx context.Context, id string) (*wire.JobStateReply, *shard, int64) {
+func (owner *Owner) jobState(ctx context.Context, id string) (*wire.JobStateReply, *shard, int64) {
 	reply := &wire.JobStateReply{}
 	var found *shard
 	next := int64(0)
-	asked := owner.decisions.Ask(ctx, func(time.Time) {
-		held, made := owner.jobOf(id)
+	asked := owner.eventLoop.Ask(ctx, func(time.Time) {
+		held, made := owner.loadedJob(id)
 		if held == nil {
 			return
 		}
-		found, next = held, held.next
+		found, next = held, held.nextOffset
 		if made != nil {
 			reply.Known = true
-			reply.State = held.shown(made)
+			reply.State = held.visibleState(made)
 		}
 	})
 	if !asked {
@@ -63,10 +63,10 @@
 	return reply, found, next
 }
 
-// shown returns the state that a client may be told: an end only once it is in
+// visibleState returns the state that a client may be told: an end only once it is in
 // the store.
-func (held *shard) shown(made *job.Job) job.State {
-	if _, durable := held.durable[made.ID()]; made.HasEnded() && !durable {
+func (held *shard) visibleState(made *job.Job) job.State {
+	if _, durable := held.endStoredAt[made.ID()]; made.HasEnded() && !durable {
 		return job.State_STATE_RUNNING
 	}
 	return made.State()
@@ -76,9 +76,9 @@
 // this entry owns, none of whose tasks has begun.
 func (owner *Owner) Pending(ctx context.Context, request *wire.PendingRequest) (*wire.PendingReply, error) {
 	reply := &wire.PendingReply{}
-	asked := owner.decisions.Ask(ctx, func(time.Time) {
+	asked := owner.eventLoop.Ask(ctx, func(time.Time) {
 		for _, held := range owner.shards {
-			if !held.active {
+			if !held.loaded {
 				continue
 			}
 			reply.Shards = append(reply.Shards, int32(held.number))
@@ -100,10 +100,10 @@
 // over and reads it there.
 func (owner *Owner) Taken(_ context.Context, request *wire.TakenRequest) (*wire.TakenReply, error) {
 	record := platform.Record{Key: request.GetKey(), Value: request.GetValue()}
-	owner.decisions.Post(func(now time.Time) {
+	owner.eventLoop.Post(func(now time.Time) {
 		held, owned := owner.shards[int(request.GetShard())]
-		if owned && held.active {
-			owner.noteTail(held, platform.Tail{Records: []platform.Record{record}}, now)
+		if owned && held.loaded {
+			owner.applyRecords(held, platform.Tail{Records: []platform.Record{record}}, now)
 		}
 	})
 	return &wire.TakenReply{}, nil
--- a/owner/place.go
+++ b/owner/place.go
@@ -83,7 +83,7 @@
 func (owner *Owner) urgent(now time.Time) []*job.Job {
 	var waiting []*job.Job
 	for _, held := range owner.shards {
-		if !held.active {
+		if !held.loaded {
 			continue
 		}
 		for _, made := range held.live {
@@ -175,7 +175,7 @@
 	if len(ready) == 0 {
 		return
 	}
-	owner.looked += int64(len(among.workers))
+	owner.workersExamined += int64(len(among.workers))
 	patience := patienceOf(made.SlackRatio(now))
 	if made.IdleFor(now) >= idleMost {
 		patience = 0
@@ -238,7 +238,7 @@
 func (owner *Owner) placeTask(task *job.Task, among choice, now time.Time) bool {
 	best := owner.bestOf(task, among.workers, now)
 	if best != nil {
-		owner.start(task, best.view, now)
+		owner.startTask(task, best.view, now)
 		best.place(task, best.view.runs[task.Name()].demand)
 		return true
 	}
--- a/owner/place_test.go
+++ b/owner/place_test.go
@@ -20,8 +20,8 @@
 		made.step()
 		made.settle()
 		made.clock.Advance(95 * time.Millisecond)
-		made.owner.joinedAt = made.clock.Now()
-		made.view.heardAt = made.clock.Now()
+		made.owner.lastJoinAt = made.clock.Now()
+		made.view.lastMessageAt = made.clock.Now()
 	}
 	if got := of.Tasks()[0].Attempt(); got != 2 {
 		t.Errorf("after 0.8 s it is at attempt %d", got)
@@ -37,7 +37,7 @@
 	status := emptyWorker()
 	status.Tolerances = []*wire.Tolerance{{Image: "loud", MilliCpu: 0}}
 	hear := func() {
-		made.owner.joinedAt = made.clock.Now()
+		made.owner.lastJoinAt = made.clock.Now()
 		made.hear(&wire.AgentMessage{Status: status})
 		made.step()
 	}
--- a/owner/placebench_test.go
+++ b/owner/placebench_test.go
@@ -19,8 +19,8 @@
 				placing(made, workers, jobs)
 				b.ReportAllocs()
 				for b.Loop() {
-					made.owner.lookout.noteRoom(made.owner.agents["10.0.1.7:7001"])
-					made.owner.place(made.owner.lookout.take(made.clock.Now()), made.clock.Now())
+					made.owner.placementChanges.noteRoom(made.owner.agents["10.0.1.7:7001"])
+					made.owner.place(made.owner.placementChanges.take(made.clock.Now()), made.clock.Now())
 				}
 			})
 		}
@@ -36,10 +36,10 @@
 		})
 	}
 	for number := range workers {
-		view := newView(fmt.Sprintf("10.0.1.%d:7001", number))
-		view.link = &link{}
-		view.heardAt = made.clock.Now()
-		view.heard.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{
+		view := newAgentView(fmt.Sprintf("10.0.1.%d:7001", number))
+		view.conn = &agentConn{}
+		view.lastMessageAt = made.clock.Now()
+		view.statusDecoder.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{
 			Worker: fmt.Sprint(number), Service: "verbale", Ready: true, MilliCpu: 32_000, FreeMilliCpu: 8000, MemoryMb: 1000, FreeMemoryMb: 1000,
 		}})
 		made.owner.agents[view.address] = view
--- a/owner/preempt.go
+++ b/owner/preempt.go
@@ -54,7 +54,7 @@
 	view := worker.view
 	view.preemptedAt = now
 	demand := demandOf(task, now)
-	view.message.Preempts = append(view.message.Preempts, &wire.PreemptOrder{
+	view.nextMessage.Preempts = append(view.nextMessage.Preempts, &wire.PreemptOrder{
 		Shard: int32(task.Job().Shard()), Epoch: owner.shards[task.Job().Shard()].epoch, Worker: view.status().GetWorker(), Born: view.status().GetBorn(), Demand: demand,
 	})
 	owner.log(event.RunPreempted, slog.String("task", task.Name()), slog.String("worker", view.status().GetWorker()),
--- a/owner/preempt_test.go
+++ b/owner/preempt_test.go
@@ -31,7 +31,7 @@
 			status.FreeMemoryMb = 20
 			status.Reclaimable = []*wire.Reclaimable{test.reclaimable}
 			for range 4 {
-				made.owner.joinedAt = made.clock.Now()
+				made.owner.lastJoinAt = made.clock.Now()
 				made.hear(&wire.AgentMessage{Status: status})
 				made.step()
 				made.clock.Advance(100 * time.Millisecond)
--- a/owner/reconcile_test.go
+++ b/owner/reconcile_test.go
@@ -11,15 +11,15 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestInheritedRunWaitsOutItsGrant: the owner before may have granted time until
+// TestInheritedRunIsKeptUntilGrantExpires: the owner before may have granted time until
 // it gave up. The case that forced it: after all processes had been killed, tasks
 // were started a second time beside their first runs.
-func TestInheritedRunWaitsOutItsGrant(t *testing.T) {
+func TestInheritedRunIsKeptUntilGrantExpires(t *testing.T) {
 	made := newBench(t)
 	of := made.inherit(life)
 	made.step()
-	made.clock.Advance(grantAlone)
-	made.owner.joinedAt = made.clock.Now()
+	made.clock.Advance(storeOutageTolerance)
+	made.owner.lastJoinAt = made.clock.Now()
 	made.step()
 	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released while the owner before may still have granted")
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestInheritedRunIsReleasedWhereItsAgentLacksIt: once the agent has heard of the
+// TestInheritedRunIsReleasedIfNotListed: once the agent has heard of the
 // claim, no order of an earlier owner can start anything.
-func TestInheritedRunIsReleasedWhereItsAgentLacksIt(t *testing.T) {
+func TestInheritedRunIsReleasedIfNotListed(t *testing.T) {
 	made := newBench(t)
 	of := made.inherit(life)
 	made.attach()
@@ -49,11 +49,11 @@
 	}
 }
 
-func TestSilentAgentKeepsItsRunsUntilTheGrantEnds(t *testing.T) {
+func TestSilentAgentKeepsRunsUntilGrantExpires(t *testing.T) {
 	made := newBench(t)
 	of := made.submit()
 	made.attachAndStart()
-	made.owner.noteDetached(made.view, made.view.link, context.Canceled)
+	made.owner.handleDisconnected(made.view, made.view.conn, context.Canceled)
 	made.clock.Advance(6 * time.Second)
 	made.step()
 	if of.Tasks()[0].Attempt() != 1 || of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestAnotherIncarnationEndsTheRuns: the case that forced it left lasting tasks
+// TestNewIncarnationReleasesRuns: the case that forced it left lasting tasks
 // waiting for twenty seconds after all machines had lost power.
-func TestAnotherIncarnationEndsTheRuns(t *testing.T) {
+func TestNewIncarnationReleasesRuns(t *testing.T) {
 	made := newBench(t)
 	of := made.inherit("i-0")
 	made.attach()
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestWorkerThatTheStoreSaysHasEnded: the case that forced it is a worker that left
+// TestRunsOfEndedIncarnationAreReleased: the case that forced it is a worker that left
 // with its machine while its owner was cut off from the store; the next owner
 // waited 17 s for lasting tasks to be over.
-func TestWorkerThatTheStoreSaysHasEnded(t *testing.T) {
+func TestRunsOfEndedIncarnationAreReleased(t *testing.T) {
 	tests := map[string]bool{"read before the shard": true, "read after the shard": false}
 	for name, before := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -94,11 +94,11 @@
 			of.StartRun(of.Tasks()[0], job.Place{Incarnation: incarnation.New(life, 0), AgentAddress: agentAt}, made.clock.Now())
 			registered := platform.Tail{Records: []platform.Record{record(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAt, Ended: []string{life}})}}
 			if before {
-				made.owner.noteAgents(registered, made.clock.Now())
+				made.owner.applyAgentRecords(registered, made.clock.Now())
 			}
 			made.owner.adoptRuns(made.held, made.clock.Now())
 			if !before {
-				made.owner.noteAgents(registered, made.clock.Now())
+				made.owner.applyAgentRecords(registered, made.clock.Now())
 			}
 			if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
 				t.Error("not released")
@@ -107,14 +107,14 @@
 	}
 }
 
-func TestNoGrantOnceOwnershipMayBeGone(t *testing.T) {
+func TestNoGrantWithoutRecentJoin(t *testing.T) {
 	made := newBench(t)
 	made.attach()
 	made.step()
 	if got := made.sent(); len(got) == 0 || got[len(got)-1].GetGrantUntilNanos() == 0 {
 		t.Fatalf("no grant at first: %v", got)
 	}
-	made.clock.Advance(grantAlone + time.Second)
+	made.clock.Advance(storeOutageTolerance + time.Second)
 	made.hear(&wire.AgentMessage{})
 	made.step()
 	for _, message := range made.sent() {
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestUnprovenWorkerReplacesNone has an agent that has just started name an incarnation by a heartbeat
+// TestUnreadyWorkerReleasesNoRuns has an agent that has just started name an incarnation by a heartbeat
 // that was held up: the worker has not answered as that one yet, and the one before may go on.
-func TestUnprovenWorkerReplacesNone(t *testing.T) {
+func TestUnreadyWorkerReleasesNoRuns(t *testing.T) {
 	for name, ready := range map[string]bool{"it has not answered": false, "it has answered": true} {
 		t.Run(name, func(t *testing.T) {
 			made := newBench(t)
--- a/owner/records.go
+++ b/owner/records.go
@@ -11,13 +11,13 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-func (owner *Owner) noteSubmission(held *shard, record platform.Record, now time.Time) {
+func (owner *Owner) applySubmission(held *shard, record platform.Record, now time.Time) {
 	if len(record.Value) == 0 {
 		return
 	}
 	submission := &job.Submission{}
 	if err := proto.Unmarshal(record.Value, submission); err != nil {
-		owner.unreadable(held, record, err)
+		owner.logUnreadable(held, record, err)
 		return
 	}
 	if held.jobs[submission.GetId()] != nil {
@@ -26,14 +26,14 @@
 	made := job.New(submission, held.number)
 	held.jobs[made.ID()] = made
 	held.live[made.ID()] = made
-	if held.active {
+	if held.loaded {
 		made.RebaseObjective(now)
-		owner.lookout.noteJob(made)
+		owner.placementChanges.noteJob(made)
 	}
 	if held.cancelled[made.ID()] {
 		owner.cancelJob(held, made, now)
 	}
-	if held.active {
+	if held.loaded {
 		owner.log(event.JobTaken, slog.String("job", made.ID()), slog.String("queue", submission.GetQueue()),
 			slog.Int("tasks", len(made.Tasks())), slog.Duration("age", now.Sub(time.UnixMilli(submission.GetSubmittedMs()))),
 			slog.Time("objective", made.Objective()), slog.Duration("allowed", made.TargetDuration()), slog.Bool("lasting", made.IsLasting()),
@@ -41,13 +41,13 @@
 	}
 }
 
-func (owner *Owner) noteProgress(held *shard, record platform.Record, now time.Time) {
+func (owner *Owner) applyProgress(held *shard, record platform.Record, now time.Time) {
 	if len(record.Value) == 0 {
 		return
 	}
 	kept := &job.Progress{}
 	if err := proto.Unmarshal(record.Value, kept); err != nil {
-		owner.unreadable(held, record, err)
+		owner.logUnreadable(held, record, err)
 		return
 	}
 	made, found := held.jobs[kept.GetId()]
@@ -56,25 +56,25 @@
 	}
 	made.Restore(kept, now)
 	if made.HasEnded() {
-		held.durable[made.ID()] = now
+		held.endStoredAt[made.ID()] = now
 	}
-	held.settleLive(made)
+	held.removeIfSettled(made)
 }
 
-// settleLive keeps a job among the live ones while anything may still happen.
-func (held *shard) settleLive(made *job.Job) {
+// removeIfSettled keeps a job among the live ones while anything may still happen.
+func (held *shard) removeIfSettled(made *job.Job) {
 	if made.HasEnded() && len(made.RunningTasks()) == 0 {
 		delete(held.live, made.ID())
 	}
 }
 
-func (owner *Owner) noteCancellation(held *shard, record platform.Record, now time.Time) {
+func (owner *Owner) applyCancellation(held *shard, record platform.Record, now time.Time) {
 	if len(record.Value) == 0 {
 		return
 	}
 	cancellation := &job.Cancellation{}
 	if err := proto.Unmarshal(record.Value, cancellation); err != nil {
-		owner.unreadable(held, record, err)
+		owner.logUnreadable(held, record, err)
 		return
 	}
 	held.cancelled[cancellation.GetId()] = true
@@ -87,32 +87,32 @@
 	if !made.Cancel(now) {
 		return
 	}
-	owner.changed(held, made)
-	owner.logEnded(held, made)
-	held.settleLive(made)
+	owner.markDirty(held, made)
+	owner.reportEndOnceStored(held, made)
+	held.removeIfSettled(made)
 }
 
-func (owner *Owner) unreadable(held *shard, record platform.Record, err error) {
+func (owner *Owner) logUnreadable(held *shard, record platform.Record, err error) {
 	owner.log(event.RecordUnreadable, slog.Int("shard", held.number),
 		slog.String("key", record.Key), slog.Int64("offset", record.Offset), slog.Any("error", err))
 }
 
-// changed has the job's progress written.
-func (owner *Owner) changed(held *shard, made *job.Job) {
+// markDirty has the job's progress written.
+func (owner *Owner) markDirty(held *shard, made *job.Job) {
 	held.dirty[made.ID()] = made
 }
 
-// freed has the job's progress written after a run is over, and places looked for what may start now.
-func (owner *Owner) freed(held *shard, made *job.Job, view *agentView) {
-	owner.changed(held, made)
-	owner.lookout.noteJob(made)
-	owner.lookout.noteRoom(view)
+// markRunOver has the job's progress written after a run is over, and places looked for what may start now.
+func (owner *Owner) markRunOver(held *shard, made *job.Job, view *agentView) {
+	owner.markDirty(held, made)
+	owner.placementChanges.noteJob(made)
+	owner.placementChanges.noteRoom(view)
 }
 
-func (owner *Owner) logEnded(held *shard, made *job.Job) {
-	held.after = append(held.after, func(now time.Time) {
-		held.durable[made.ID()] = now
-		owner.meters.jobEnded(owner.ctx, made)
+func (owner *Owner) reportEndOnceStored(held *shard, made *job.Job) {
+	held.afterFlush = append(held.afterFlush, func(now time.Time) {
+		held.endStoredAt[made.ID()] = now
+		owner.metrics.recordJobEnd(owner.ctx, made)
 		owner.log(event.JobEnded, slog.String("job", made.ID()), slog.String("state", made.State().String()),
 			slog.Duration("took", made.EndedAt().Sub(time.UnixMilli(made.Submission().GetSubmittedMs()))),
 			slog.Duration("past_objective", made.EndedAt().Sub(made.Objective())))
--- a/owner/refused_test.go
+++ b/owner/refused_test.go
@@ -47,8 +47,8 @@
 	var workers []*candidate
 	for number := range fleetWorkers {
 		then := max(0, len(made.past)-2-made.draws.IntN(viewsKept))
-		view := newView(fmt.Sprintf("10.0.1.%d:7001", number))
-		view.heard.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{
+		view := newAgentView(fmt.Sprintf("10.0.1.%d:7001", number))
+		view.statusDecoder.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{
 			Worker: fmt.Sprint(number), Service: "verbale", Ready: true, MilliCpu: fleetMilli, MemoryMb: 1000, FreeMemoryMb: 1000,
 			FreeMilliCpu: made.past[then][number], ServingImages: []string{"counter"},
 		}})
--- a/owner/remember_test.go
+++ b/owner/remember_test.go
@@ -7,18 +7,18 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// sharedShard has the bench's owner own the shard whose owner puts together what has
+// addSharedShard has the bench's owner own the shard whose owner puts together what has
 // been learned.
-func (made *bench) sharedShard(ctx context.Context, epoch int64) *shard {
+func (made *bench) addSharedShard(ctx context.Context, epoch int64) *shard {
 	held := newShard(ctx, job.InterferenceShard, epoch, made.clock.Now())
-	held.active = true
+	held.loaded = true
 	made.owner.shards[job.InterferenceShard] = held
 	return held
 }
 
-// weightOf returns the weight that an agent would be told of the pair "s" and "f", and on how
+// learnedWeight returns the weight that an agent would be told of the pair "s" and "f", and on how
 // many readings it rests.
-func weightOf(told []*job.Interference) (weight float64, readings int32) {
+func learnedWeight(told []*job.Interference) (weight float64, readings int32) {
 	for _, known := range told {
 		if known.GetServing() == "s" && known.GetFill() == "f" {
 			return known.GetWeight(), known.GetReadings()
@@ -27,23 +27,23 @@
 	return 0, 0
 }
 
-// TestLearnedIsKept: once all gateways and agents have lost power, the next owner of the
+// TestLearnedIsPersisted: once all gateways and agents have lost power, the next owner of the
 // shared shard tells at once what was learned before.
-func TestLearnedIsKept(t *testing.T) {
+func TestLearnedIsPersisted(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	made := newBench(t)
-	held := made.sharedShard(ctx, 4)
+	held := made.addSharedShard(ctx, 4)
 	held.learned.note(made.view, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
-	go made.owner.keepLearned(held)
-	made.owner.decisions.RunOne(made.clock.Now()) // Nothing is remembered yet.
+	go made.owner.persistLearned(held)
+	made.owner.eventLoop.RunOne(made.clock.Now()) // Nothing is remembered yet.
 	for range 2 {
 		// The second time it is the same, and is not written again.
 		if err := made.clock.BlockUntilContext(ctx, 1); err != nil {
 			t.Fatal(err)
 		}
-		made.clock.Advance(rememberEvery)
-		made.owner.decisions.RunOne(made.clock.Now())
+		made.clock.Advance(learnedWriteInterval)
+		made.owner.eventLoop.RunOne(made.clock.Now())
 	}
 	if err := made.clock.BlockUntilContext(ctx, 1); err != nil {
 		t.Fatal(err)
@@ -57,15 +57,15 @@
 	after.owner = newOwner(t, after.clock, made.store)
 	after.owner.ctx = ctx
 	after.owner.agents[agentAt] = after.view
-	next := after.sharedShard(ctx, 5)
-	after.view.sharedAt = after.clock.Now()
-	go after.owner.keepLearned(next)
-	after.owner.decisions.RunOne(after.clock.Now())
-	weight, readings := weightOf(next.learned.without(after.view))
-	if weight != 0.5 || readings != rememberedReadings {
+	next := after.addSharedShard(ctx, 5)
+	after.view.learnedSentAt = after.clock.Now()
+	go after.owner.persistLearned(next)
+	after.owner.eventLoop.RunOne(after.clock.Now())
+	weight, readings := learnedWeight(next.learned.without(after.view))
+	if weight != 0.5 || readings != maxStoredReadings {
 		t.Errorf("the next owner tells a weight of %v by %d readings", weight, readings)
 	}
-	if !after.view.sharedAt.IsZero() {
+	if !after.view.learnedSentAt.IsZero() {
 		t.Error("the agent is not told at once")
 	}
 }
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -10,7 +10,7 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-func TestOrderOnlyOnceTheStartIsInTheStore(t *testing.T) {
+func TestStartIsStoredBeforeOrder(t *testing.T) {
 	made := newBench(t)
 	made.submit()
 	made.attach()
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestEndIsSeenOnlyOnceItIsInTheStore(t *testing.T) {
+func TestEndIsStoredBeforeAcknowledged(t *testing.T) {
 	made := newBench(t)
 	of := made.submit()
 	made.attachAndStart()
@@ -36,7 +36,7 @@
 	if of.State() != job.State_STATE_COMPLETED {
 		t.Fatalf("state %v", of.State())
 	}
-	if shown := made.held.shown(of); shown != job.State_STATE_RUNNING {
+	if shown := made.held.visibleState(of); shown != job.State_STATE_RUNNING {
 		t.Errorf("shown as %v before the store had it", shown)
 	}
 	made.step()
@@ -51,8 +51,8 @@
 	for _, message := range made.sent() {
 		seen += len(message.GetSeen())
 	}
-	if seen != 1 || made.held.shown(of) != job.State_STATE_COMPLETED {
-		t.Errorf("seen %d, shown %v", seen, made.held.shown(of))
+	if seen != 1 || made.held.visibleState(of) != job.State_STATE_COMPLETED {
+		t.Errorf("seen %d, shown %v", seen, made.held.visibleState(of))
 	}
 }
 
@@ -70,11 +70,11 @@
 	}
 }
 
-// TestOldJobsAreForgotten: an ended job is known for as long as it must be, and
+// TestEndedJobsArePruned: an ended job is known for as long as it must be, and
 // then dropped from the store too.
-func TestOldJobsAreForgotten(t *testing.T) {
+func TestEndedJobsArePruned(t *testing.T) {
 	made := newBench(t)
-	made.owner.options.StatusKept = 2 * time.Minute
+	made.owner.options.JobRetention = 2 * time.Minute
 	of := made.submit()
 	made.owner.cancelJob(made.held, of, made.clock.Now())
 	made.step()
@@ -86,7 +86,7 @@
 	}
 	made.clock.Advance(time.Minute)
 	made.step()
-	made.owner.decisions.RunOne(made.clock.Now()) // What was handed in is dropped.
+	made.owner.eventLoop.RunOne(made.clock.Now()) // What was handed in is dropped.
 	made.step()
 	made.settle()
 	if made.held.jobs[jobID] != nil {
@@ -97,16 +97,16 @@
 	}
 }
 
-// TestTakenIsTakenUpOnce: what a gateway tells and what the store's read brings is
+// TestTakenJobIsAddedOnce: what a gateway tells and what the store's read brings is
 // one job, and a cancellation that is told stops it.
-func TestTakenIsTakenUpOnce(t *testing.T) {
+func TestTakenJobIsAddedOnce(t *testing.T) {
 	made := newBench(t)
 	tell := func(handed platform.Record) {
 		request := &wire.TakenRequest{Shard: int32(made.held.number), Key: handed.Key, Value: handed.Value}
 		if _, err := made.owner.Taken(context.Background(), request); err != nil {
 			t.Fatal(err)
 		}
-		made.owner.decisions.RunOne(made.clock.Now())
+		made.owner.eventLoop.RunOne(made.clock.Now())
 	}
 	handed := record(t, job.SubmissionKey(jobID), submission())
 	tell(handed)
--- a/owner/share.go
+++ b/owner/share.go
@@ -12,26 +12,26 @@
 // all that others have learned.
 func (owner *Owner) share(view *agentView, now time.Time) {
 	table := owner.learned()
-	if table == nil || !view.greeted || now.Sub(view.sharedAt) < shareEvery {
+	if table == nil || !view.heardOnConn || now.Sub(view.learnedSentAt) < shareEvery {
 		return
 	}
-	view.sharedAt = now
+	view.learnedSentAt = now
 	if !view.keepsLearned {
-		view.message.Learned = table.without(view)
+		view.nextMessage.Learned = table.without(view)
 		return
 	}
 	owner.publishLearned(table, now)
-	if view.sharedVersion < table.version {
-		view.message.LearnedByAll = table.since(view.sharedVersion)
-		view.sharedVersion = table.version
+	if view.learnedSentVersion < table.version {
+		view.nextMessage.LearnedByAll = table.since(view.learnedSentVersion)
+		view.learnedSentVersion = table.version
 	}
 }
 
 // publishLearned begins a new version of the table where that is due: once for all agents.
 func (owner *Owner) publishLearned(table *learnedTable, now time.Time) {
-	if now.Sub(owner.publishedAt) < shareEvery {
+	if now.Sub(owner.learnedPublishedAt) < shareEvery {
 		return
 	}
-	owner.publishedAt = now
+	owner.learnedPublishedAt = now
 	table.publish()
 }
--- a/owner/stall.go
+++ b/owner/stall.go
@@ -21,10 +21,10 @@
 
 // noteProgressOf stops a run that stands still, so that its task goes on at
 // another worker.
-func (owner *Owner) noteProgressOf(view *agentView, entry *runEntry, run *wire.RunStatus, now time.Time) {
-	if run.GetPercent() != entry.percent || entry.movedAt.IsZero() {
-		entry.percent = run.GetPercent()
-		entry.movedAt = now
+func (owner *Owner) noteProgressOf(view *agentView, entry *trackedRun, run *wire.RunStatus, now time.Time) {
+	if run.GetPercent() != entry.progressPercent || entry.progressedAt.IsZero() {
+		entry.progressPercent = run.GetPercent()
+		entry.progressedAt = now
 		return
 	}
 	spec := entry.task.Spec()
@@ -32,12 +32,12 @@
 		return
 	}
 	limit := stallLeast + time.Duration(stallShare*float64(spec.GetEstimateMs()))*time.Millisecond
-	if now.Sub(entry.movedAt) < limit || now.Sub(entry.stopAt) < stopAgain {
+	if now.Sub(entry.progressedAt) < limit || now.Sub(entry.stopOrderedAt) < stopRetryInterval {
 		return
 	}
-	entry.stopAt = now
-	view.avoidUntil = now.Add(doubtLength)
-	view.failures = max(view.failures, failuresBeforeDoubt)
-	owner.logRun(event.RunStopOrdered, entry, slog.String("worker", entry.place.Incarnation.WorkerID()), slog.String("reason", "it stands still"), slog.Duration("since", now.Sub(entry.movedAt)))
-	view.orderStop(entry.held, entry.name, entry.attempt, entry.place.Incarnation)
+	entry.stopOrderedAt = now
+	view.avoidUntil = now.Add(probationDuration)
+	view.consecutiveFailures = max(view.consecutiveFailures, failuresBeforeProbation)
+	owner.logRun(event.RunStopOrdered, entry, slog.String("worker", entry.place.Incarnation.WorkerID()), slog.String("reason", "it stands still"), slog.Duration("since", now.Sub(entry.progressedAt)))
+	view.addStopOrder(entry.shard, entry.taskName, entry.attempt, entry.place.Incarnation)
 }
--- a/owner/stall_test.go
+++ b/owner/stall_test.go
@@ -29,7 +29,7 @@
 			stops := 0
 			for _, percent := range test.percents {
 				made.clock.Advance(time.Second)
-				made.owner.joinedAt = made.clock.Now()
+				made.owner.lastJoinAt = made.clock.Now()
 				made.hear(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: taskOne, Attempt: 1, Percent: percent}}})
 				made.step()
 				for _, message := range made.sent() {
--- a/owner/standing.go
+++ b/owner/standing.go
@@ -34,8 +34,8 @@
 
 // keepCandidacy has the entry offer itself as an owner while it is a candidate, until ctx ends.
 func (owner *Owner) keepCandidacy(ctx context.Context) {
-	defer close(owner.applied)
-	seat := candidacy.New(candidacy.Options{Self: entryOf(owner.Member()), Shards: owner.options.Shards})
+	defer close(owner.candidacyDone)
+	seat := candidacy.New(candidacy.Options{Self: entryOf(owner.MemberName()), Shards: owner.options.Shards})
 	heard := int64(0)
 	lost := time.Time{}
 	for ctx.Err() == nil {
@@ -45,9 +45,9 @@
 		// Whether it is among the first by rank is known before it connects to all agents.
 		owner.lookAtHolders(ctx, seat)
 		if err != nil {
-			lost = owner.noteStoreLost(ctx, lost, asked, err)
+			lost = owner.logStoreLost(ctx, lost, asked, err)
 		} else {
-			owner.noteStoreBack(ctx, lost, asked)
+			owner.logStoreRecovered(ctx, lost, asked)
 			lost = time.Time{}
 		}
 		if !owner.stand(ctx, seat) {
@@ -71,7 +71,7 @@
 	if heard == 0 {
 		return 0, nil
 	}
-	if err := owner.leaveGroup(ctx, job.SeatsGroup, owner.Member()); err != nil {
+	if err := owner.leaveGroup(ctx, job.SeatsGroup, owner.MemberName()); err != nil {
 		return heard, err
 	}
 	return 0, nil
@@ -113,13 +113,13 @@
 
 // entryOf returns the entry with a member's name. One of an earlier build does not say what its machine bears.
 func entryOf(member string) candidacy.Entry {
-	return candidacy.Entry{Name: member, Strong: !strings.HasPrefix(member, weakMark)}
+	return candidacy.Entry{Name: member, Strong: !strings.HasPrefix(member, weakPrefix)}
 }
 
 // countAgents counts the agents: those that the entry looks at, or those that the store has registered.
 func (owner *Owner) countAgents(ctx context.Context, seat *candidacy.Candidacy) {
 	count := 0
-	if !owner.decisions.Ask(ctx, func(time.Time) { count = len(owner.agents) }) {
+	if !owner.eventLoop.Ask(ctx, func(time.Time) { count = len(owner.agents) }) {
 		return
 	}
 	if count > 0 {
@@ -143,8 +143,8 @@
 func (owner *Owner) applyForSeat(ctx context.Context, seat *candidacy.Candidacy, heard int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	silent := max(seatSilent, owner.options.Silent)
-	deal, err := owner.options.Store.Join(ctx, job.SeatsGroup, owner.Member(), job.SeatTopics(), silent, heard)
+	silent := max(seatSilent, owner.options.MemberTimeout)
+	deal, err := owner.options.Store.Join(ctx, job.SeatsGroup, owner.MemberName(), job.SeatTopics(), silent, heard)
 	if err != nil {
 		return heard, err
 	}
@@ -155,14 +155,14 @@
 // stand begins or ends to stand where the candidacy says so. It reports false once the owner has ended.
 func (owner *Owner) stand(ctx context.Context, seat *candidacy.Candidacy) bool {
 	stands := false
-	if !owner.decisions.Ask(ctx, func(now time.Time) { stands = seat.Decide(len(owner.shards), now) }) {
+	if !owner.eventLoop.Ask(ctx, func(now time.Time) { stands = seat.Decide(len(owner.shards), now) }) {
 		return false
 	}
 	switch {
-	case stands && owner.present == nil:
+	case stands && owner.session == nil:
 		owner.log(event.CandidacyBegun, slog.Bool("strong", owner.options.Strong))
-		owner.present = owner.beginStanding(ctx)
-	case !stands && owner.present != nil:
+		owner.session = owner.beginStanding(ctx)
+	case !stands && owner.session != nil:
 		owner.log(event.CandidacyEnded, slog.Bool("strong", owner.options.Strong))
 		err := owner.endStanding(ctx, "not a candidate any more")
 		if err != nil {
@@ -174,49 +174,49 @@
 }
 
 func (owner *Owner) beginStanding(ctx context.Context) *standing {
-	owner.decisions.Ask(ctx, func(time.Time) { owner.withdrawn = false })
+	owner.eventLoop.Ask(ctx, func(time.Time) { owner.agentsDropped = false })
 	begun := &standing{joined: make(chan struct{})}
 	begun.joining, begun.stopJoining = context.WithCancel(owner.ctx)
 	following, stopFollowing := context.WithCancel(owner.ctx)
 	begun.stopFollowing = stopFollowing
-	owner.renew.Store(true)
+	owner.leaveBeforeJoin.Store(true)
 	go func() {
 		defer close(begun.joined)
-		owner.keepMembership(begun.joining)
+		owner.maintainMembership(begun.joining)
 	}()
-	owner.followAgents(following)
+	owner.followAgentRecords(following)
 	return begun
 }
 
 // endStanding gives all shards up, so that others take them at once, and leaves the agents.
 func (owner *Owner) endStanding(ctx context.Context, reason string) error {
-	ended := owner.present
-	owner.present = nil
+	ended := owner.session
+	owner.session = nil
 	// No join may reach the store after the leave: it would bring shards back
 	// to an entry that no longer schedules them.
 	ended.stopJoining()
 	<-ended.joined
 	// Once the loop of decisions has ended there is nothing left to give up.
-	owner.decisions.Ask(ctx, func(now time.Time) {
+	owner.eventLoop.Ask(ctx, func(now time.Time) {
 		for _, held := range owner.shards {
-			owner.giveUp(held, reason, now)
+			owner.releaseShard(held, reason, now)
 		}
 	})
-	err := owner.leaveGroup(ctx, job.OwnersGroup, owner.Member())
+	err := owner.leaveGroup(ctx, job.OwnersGroup, owner.MemberName())
 	ended.stopFollowing()
-	owner.decisions.Ask(ctx, func(time.Time) { owner.withdraw() })
+	owner.eventLoop.Ask(ctx, func(time.Time) { owner.dropAgents() })
 	return err
 }
 
 // Leave gives all shards up, so that others take them at once.
 func (owner *Owner) Leave(ctx context.Context) error {
-	owner.stopApplying()
-	<-owner.applied
+	owner.stopCandidacy()
+	<-owner.candidacyDone
 	var left error
-	if owner.present != nil {
+	if owner.session != nil {
 		left = owner.endStanding(ctx, "the process stops")
 	}
-	err := owner.leaveGroup(ctx, job.SeatsGroup, owner.Member())
+	err := owner.leaveGroup(ctx, job.SeatsGroup, owner.MemberName())
 	if left != nil {
 		return left
 	}
--- a/owner/suspect_test.go
+++ b/owner/suspect_test.go
@@ -24,7 +24,7 @@
 	}})
 	pass := func(length time.Duration) (suspects, others int) {
 		made.clock.Advance(length)
-		made.owner.joinedAt = made.clock.Now()
+		made.owner.lastJoinAt = made.clock.Now()
 		made.hear(&wire.AgentMessage{})
 		made.step()
 		made.settle()
@@ -44,7 +44,7 @@
 	if suspects, _ := pass(100 * time.Millisecond); suspects != 0 {
 		t.Errorf("%d suspects soon after", suspects)
 	}
-	if suspects, _ := pass(suspectsApart); suspects != 1 {
+	if suspects, _ := pass(suspectSpacing); suspects != 1 {
 		t.Errorf("%d suspects later", suspects)
 	}
 	if of.HasEnded() {
@@ -64,7 +64,7 @@
 	if now.Before(made.view.avoidUntil) {
 		t.Error("the worker is avoided")
 	}
-	if !now.Before(made.view.suspectUntil) {
+	if !now.Before(made.view.noSuspectsUntil) {
 		t.Error("other suspects are not kept away")
 	}
 }
@@ -76,8 +76,8 @@
 	task := made.submit().Tasks()[0]
 	made.attachAndStart()
 	made.hear(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: life, Task: taskOne, Attempt: 1, Reason: wire.EndReason_END_CRASHED}}})
-	other := newView("10.0.0.2:7001")
-	other.heard.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{Worker: "i-2", Service: "verbale", Ready: true, FreeMilliCpu: 1000, FreeMemoryMb: 4000}})
+	other := newAgentView("10.0.0.2:7001")
+	other.statusDecoder.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{Worker: "i-2", Service: "verbale", Ready: true, FreeMilliCpu: 1000, FreeMemoryMb: 4000}})
 	if !better(task, newCandidate(other), newCandidate(made.view)) {
 		t.Error("it goes where it met the crash")
 	}
@@ -103,8 +103,8 @@
 				of.EndRun(task, attempt, job.EndCrashed, "", made.clock.Now())
 			}
 			worker := func(number int, free int64, rack string) *candidate {
-				view := newView(fmt.Sprint("10.0.0.", number))
-				view.heard.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{
+				view := newAgentView(fmt.Sprint("10.0.0.", number))
+				view.statusDecoder.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{
 					Worker: fmt.Sprint("i-", number), Service: "verbale", Ready: true, Labels: []string{"a", rack}, FreeMilliCpu: free, FreeMemoryMb: 4000,
 				}})
 				return newCandidate(view)
--- a/owner/suspended.go
+++ b/owner/suspended.go
@@ -17,10 +17,10 @@
 
 // noteSuspended makes the last word from the store that this entry still owns its shards older
 // by the time that the machine was suspended: others may have taken them meanwhile, and count
-// on it that no more than grantAlone is granted since. What agents said stays as new as it
+// on it that no more than storeOutageTolerance is granted since. What agents said stays as new as it
 // is: runs of silent ones are taken for over later than need be.
 func (owner *Owner) noteSuspended(slept time.Duration, _ time.Time) {
 	owner.log(event.MachineWasSuspended, slog.Duration("slept", slept))
-	owner.joinedAt = owner.joinedAt.Add(-slept)
-	owner.knowledge.Age(slept)
+	owner.lastJoinAt = owner.lastJoinAt.Add(-slept)
+	owner.evacuationState.Age(slept)
 }
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -12,7 +12,7 @@
 // than without the store. It grants again once the store has said that it still owns them.
 func TestSuspendedOwnerGrantsNothing(t *testing.T) {
 	grants := func(made *bench) bool {
-		made.clock.Advance(grantEvery)
+		made.clock.Advance(grantInterval)
 		made.step()
 		for _, message := range made.sent() {
 			if message.GetGrantUntilNanos() > 0 {
@@ -27,7 +27,7 @@
 	if !grants(made) {
 		t.Fatal("grants nothing")
 	}
-	made.owner.noteSuspended(grantAlone-time.Second, made.clock.Now())
+	made.owner.noteSuspended(storeOutageTolerance-time.Second, made.clock.Now())
 	if !grants(made) {
 		t.Error("grants nothing after a short suspension")
 	}
@@ -35,7 +35,7 @@
 	if grants(made) {
 		t.Error("grants after a long one")
 	}
-	made.owner.noteDeal(platform.Deal{Generation: 3, Parts: []int{made.held.number}}, made.clock.Now(), made.clock.Now())
+	made.owner.applyAssignment(platform.Deal{Generation: 3, Parts: []int{made.held.number}}, made.clock.Now(), made.clock.Now())
 	if !grants(made) {
 		t.Error("grants nothing after word from the store")
 	}
--- a/owner/write.go
+++ b/owner/write.go
@@ -13,27 +13,27 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// flush writes what has changed. What waits for it is done once it is in the
+// flushShard writes what has changed. What waits for it is done once it is in the
 // store.
-func (owner *Owner) flush(held *shard, now time.Time) {
-	if !held.active || held.writing {
+func (owner *Owner) flushShard(held *shard, now time.Time) {
+	if !held.loaded || held.writing {
 		return
 	}
-	after := held.after
-	held.after = nil
-	if len(held.dirty)+len(held.dropped) == 0 {
+	after := held.afterFlush
+	held.afterFlush = nil
+	if len(held.dirty)+len(held.tombstones) == 0 {
 		for _, done := range after {
 			done(now)
 		}
 		return
 	}
-	records := owner.dirtyRecords(held)
+	records := owner.takeDirtyRecords(held)
 	held.writing = true
 	go func() {
-		if !owner.write(held, records) {
+		if !owner.appendUntilStored(held, records) {
 			return
 		}
-		owner.decisions.Post(func(now time.Time) {
+		owner.eventLoop.Post(func(now time.Time) {
 			if owner.shards[held.number] != held {
 				return
 			}
@@ -45,9 +45,9 @@
 	}()
 }
 
-func (owner *Owner) dirtyRecords(held *shard) []platform.Record {
-	records := held.dropped
-	held.dropped = nil
+func (owner *Owner) takeDirtyRecords(held *shard) []platform.Record {
+	records := held.tombstones
+	held.tombstones = nil
 	for id, made := range held.dirty {
 		value, err := proto.Marshal(made.Progress())
 		if err != nil {
@@ -61,9 +61,9 @@
 	return records
 }
 
-// write appends records under the shard's epoch until the store has them. It
+// appendUntilStored appends records under the shard's epoch until the store has them. It
 // reports false when the shard is no longer owned.
-func (owner *Owner) write(held *shard, records []platform.Record) bool {
+func (owner *Owner) appendUntilStored(held *shard, records []platform.Record) bool {
 	held.sequence++
 	add := platform.Append{
 		Topic: job.TopicRuns, Part: held.number, Records: records,
@@ -75,43 +75,43 @@
 		_, err := owner.options.Store.Append(ctx, add)
 		cancel()
 		if err == nil {
-			owner.noteAppended(held, add, owner.options.Clock.Since(began))
+			owner.recordAppend(held, add, owner.options.Clock.Since(began))
 			return true
 		}
 		var refused *platform.RefusedError
 		if errors.As(err, &refused) && !refused.Busy() {
-			owner.decisions.Post(func(now time.Time) { owner.noteFenced(held, refused, now) })
+			owner.eventLoop.Post(func(now time.Time) { owner.handleFenced(held, refused, now) })
 			return false
 		}
 		if tries == 1 {
 			owner.log(event.AppendRetried, slog.String("call", "append"), slog.Int("shard", held.number),
 				slog.Int64("sequence", add.Sequence), slog.Any("error", err))
 		}
-		owner.sleep(held.ctx, storePause)
+		owner.sleep(held.ctx, storeRetryDelay)
 	}
 	return false
 }
 
-// slowAppend is what an append takes at least to be logged: the store's usual
+// slowAppendThreshold is what an append takes at least to be logged: the store's usual
 // answer comes within 10 ms.
-const slowAppend = 200 * time.Millisecond
+const slowAppendThreshold = 200 * time.Millisecond
 
-func (owner *Owner) noteAppended(held *shard, add platform.Append, took time.Duration) {
-	owner.meters.appends.Record(owner.ctx, took.Seconds())
-	if took >= slowAppend {
+func (owner *Owner) recordAppend(held *shard, add platform.Append, took time.Duration) {
+	owner.metrics.appendDuration.Record(owner.ctx, took.Seconds())
+	if took >= slowAppendThreshold {
 		owner.log(event.StoreSlow, slog.Int("shard", held.number), slog.Int64("sequence", add.Sequence), slog.Duration("took", took))
 	}
 }
 
-// noteFenced gives up a shard that another owner has written to.
-func (owner *Owner) noteFenced(held *shard, refused *platform.RefusedError, now time.Time) {
+// handleFenced gives up a shard that another owner has written to.
+func (owner *Owner) handleFenced(held *shard, refused *platform.RefusedError, now time.Time) {
 	if owner.shards[held.number] != held {
 		return
 	}
-	owner.fenced[held.number] = held.epoch
+	owner.fencedEpochs[held.number] = held.epoch
 	if !refused.Fenced() {
 		// Somebody wrote under this very epoch: only another one helps.
-		owner.renew.Store(true)
+		owner.leaveBeforeJoin.Store(true)
 	}
-	owner.giveUp(held, refused.Error(), now)
+	owner.releaseShard(held, refused.Error(), now)
 }
