--- a/owner/membership.go
+++ b/owner/membership.go
@@ -22,7 +22,7 @@
 	heard := int64(0)
 	lost := time.Time{}
 	for ctx.Err() == nil {
-		sent, sentAfter := owner.options.Clock.Now(), owner.suspended()
+		sent, sentAfter := owner.options.Clock.Now(), owner.suspendedFor()
 		if owner.leaveBeforeJoin.Load() {
 			if err := owner.leaveGroup(ctx, job.OwnersGroup, owner.MemberName()); err != nil {
 				lost = owner.logStoreLost(ctx, lost, sent, err)
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -106,7 +106,7 @@
 	candidacyDone chan struct{}
 	// session is nil while the entry does not offer itself as an owner. Only the candidacy changes it, and
 	// Leave once that has ended.
-	session *standing
+	session *membership
 	// leaveBeforeJoin has the membership leave the group before it joins. A process that
 	// comes back before it was missed would else be dealt its shards under the
 	// epoch that it wrote with before, and a late append of its earlier life
@@ -121,7 +121,7 @@
 	agentsDropped bool
 	// evacuationState is what is known of evacuations.
 	evacuationState  operator.Knowledge
-	placementChanges lookout
+	placementChanges placementChanges
 	// workersExamined counts the workers that were looked at for a place, once for each job, since the meters were set.
 	workersExamined int64
 	// learnedPublishedAt is when what agents are told of interference was last worked out.
@@ -147,11 +147,11 @@
 		traffic:          traffic.New(options.Meters),
 		metrics:          newMetrics(options.Meters),
 		advice:           adviceQueue{steps: map[string]*stepAdvice{}},
-		placementChanges: newLookout(),
+		placementChanges: newPlacementChanges(),
 	}
 	made.leaveBeforeJoin.Store(true)
 	if options.Suspended != nil {
-		made.eventLoop.WatchSuspension(options.Suspended, made.noteSuspended)
+		made.eventLoop.WatchSuspension(options.Suspended, made.handleSuspension)
 	}
 	return made
 }
@@ -159,7 +159,7 @@
 // Run schedules until ctx ends.
 func (owner *Owner) Run(ctx context.Context) {
 	owner.ctx = ctx
-	go owner.keepCandidacy(owner.candidacyCtx)
+	go owner.runCandidacy(owner.candidacyCtx)
 	owner.eventLoop.Run(ctx, tickInterval, owner.tick)
 	owner.stopCandidacy()
 }
@@ -196,8 +196,8 @@
 	for _, view := range owner.agents {
 		owner.releaseExpiredRuns(view, now)
 	}
-	if owner.placementChanges.due(now) {
-		owner.place(owner.placementChanges.take(now), now)
+	if owner.placementChanges.isDue(now) {
+		owner.placeJobs(owner.placementChanges.take(now), now)
 	}
 	for _, held := range owner.shards {
 		owner.flushShard(held, now)
@@ -208,7 +208,7 @@
 	}
 	owner.recordGauges(now)
 	owner.traffic.Log(owner.ctx, owner.options.Events, now)
-	owner.forgetAdvice(now)
+	owner.expireAdvice(now)
 }
 
 func (owner *Owner) log(code event.Code, attributes ...slog.Attr) {
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -18,7 +18,7 @@
 	if message.GetAgent() != "" && view.agentID != message.GetAgent() {
 		view.agentID = message.GetAgent()
 		view.consecutiveFailures = 0
-		owner.forgetLearned(view)
+		owner.removeLearned(view)
 	}
 	if !view.heardOnConn {
 		view.heardOnConn = true
@@ -30,7 +30,7 @@
 	view.recordHandled(message.GetHandled(), now)
 	before := view.incarnation()
 	if view.statusDecoder.Apply(message) {
-		owner.placementChanges.noteRoom(view)
+		owner.placementChanges.addWorker(view)
 	}
 	if view.incarnation() != before {
 		// Doubts are about a life: what failed on one says nothing of the next.
@@ -46,7 +46,7 @@
 	if message.GetComplete() {
 		owner.reconcile(view, message, now)
 	}
-	owner.noteLearned(view, message.GetLearned())
+	owner.updateLearned(view, message.GetLearned())
 }
 
 // markRunsInStatus marks the runs that the agent's account of its room includes.
@@ -78,7 +78,7 @@
 			// have been carried out by the next one.
 			entry.place.Incarnation = worker
 			owner.handleListedRun(view, entry, run, now)
-			owner.noteProgressOf(view, entry, run, now)
+			owner.checkProgress(view, entry, run, now)
 			continue
 		}
 		owner.handleUnlistedRun(view, entry, worker, now)
--- a/owner/records.go
+++ b/owner/records.go
@@ -28,7 +28,7 @@
 	held.live[made.ID()] = made
 	if held.loaded {
 		made.RebaseObjective(now)
-		owner.placementChanges.noteJob(made)
+		owner.placementChanges.addJob(made)
 	}
 	if held.cancelled[made.ID()] {
 		owner.cancelJob(held, made, now)
@@ -105,8 +105,8 @@
 // markRunOver has the job's progress written after a run is over, and places looked for what may start now.
 func (owner *Owner) markRunOver(held *shard, made *job.Job, view *agentView) {
 	owner.markDirty(held, made)
-	owner.placementChanges.noteJob(made)
-	owner.placementChanges.noteRoom(view)
+	owner.placementChanges.addJob(made)
+	owner.placementChanges.addWorker(view)
 }
 
 func (owner *Owner) reportEndOnceStored(held *shard, made *job.Job) {
--- a/owner/remember.go
+++ b/owner/remember.go
@@ -59,7 +59,7 @@
 // reports false once this owner is not to write any more.
 func (owner *Owner) writeLearned(record *learnedRecord) bool {
 	var learned []*job.Interference
-	if !owner.eventLoop.Ask(record.shard.ctx, func(time.Time) { learned = record.shard.learned.without(nil) }) {
+	if !owner.eventLoop.Ask(record.shard.ctx, func(time.Time) { learned = record.shard.learned.meansExcluding(nil) }) {
 		return false
 	}
 	value, err := proto.Marshal(&job.Learned{Pairs: pairsToStore(learned)})
@@ -123,7 +123,7 @@
 	if owner.shards[held.number] != held || len(remembered) == 0 {
 		return
 	}
-	held.learned.remember(remembered)
+	held.learned.addStored(remembered)
 	owner.learnedPublishedAt = time.Time{}
 	for _, view := range owner.agents {
 		view.learnedSentAt = time.Time{}
--- a/owner/remember_test.go
+++ b/owner/remember_test.go
@@ -9,7 +9,7 @@
 
 // addSharedShard has the bench's owner own the shard whose owner puts together what has
 // been learned.
-func (made *bench) addSharedShard(ctx context.Context, epoch int64) *shard {
+func (made *harness) addSharedShard(ctx context.Context, epoch int64) *shard {
 	held := newShard(ctx, job.InterferenceShard, epoch, made.clock.Now())
 	held.loaded = true
 	made.owner.shards[job.InterferenceShard] = held
@@ -32,9 +32,9 @@
 func TestLearnedIsPersisted(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	made := newBench(t)
+	made := newHarness(t)
 	held := made.addSharedShard(ctx, 4)
-	held.learned.note(made.view, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
+	held.learned.update(made.agent, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
 	go made.owner.persistLearned(held)
 	made.owner.eventLoop.RunOne(made.clock.Now()) // Nothing is remembered yet.
 	for range 2 {
@@ -52,20 +52,20 @@
 		t.Errorf("%d appends", appends)
 	}
 
-	after := newBench(t)
+	after := newHarness(t)
 	after.store = made.store
 	after.owner = newOwner(t, after.clock, made.store)
 	after.owner.ctx = ctx
-	after.owner.agents[agentAt] = after.view
+	after.owner.agents[agentAddress] = after.agent
 	next := after.addSharedShard(ctx, 5)
-	after.view.learnedSentAt = after.clock.Now()
+	after.agent.learnedSentAt = after.clock.Now()
 	go after.owner.persistLearned(next)
 	after.owner.eventLoop.RunOne(after.clock.Now())
-	weight, readings := learnedWeight(next.learned.without(after.view))
+	weight, readings := learnedWeight(next.learned.meansExcluding(after.agent))
 	if weight != 0.5 || readings != maxStoredReadings {
 		t.Errorf("the next owner tells a weight of %v by %d readings", weight, readings)
 	}
-	if !after.view.learnedSentAt.IsZero() {
+	if !after.agent.learnedSentAt.IsZero() {
 		t.Error("the agent is not told at once")
 	}
 }
--- a/owner/runs.go
+++ b/owner/runs.go
@@ -39,7 +39,7 @@
 	waited, obstacle := task.UnplacedFor(now)
 	made.StartRun(task, job.Place{Incarnation: view.incarnation(), AgentAddress: view.address}, now)
 	entry := newTrackedRun(held, task, now)
-	entry.ticket, _ = owner.ticket(task, entry.place.Incarnation, now)
+	entry.ticket, _ = owner.ticketFor(task, entry.place.Incarnation, now)
 	view.runs[entry.taskName] = entry
 	if task.IsSuspect() {
 		view.noSuspectsUntil = now.Add(suspectSpacing)
@@ -62,7 +62,7 @@
 		owner.releaseRun(view, entry, "its place went away before the order", now)
 		return
 	}
-	if owner.evacuated(view) {
+	if owner.isEvacuated(view) {
 		owner.releaseRun(view, entry, "its failure domain was evacuated before the order", now)
 		return
 	}
--- a/owner/shard.go
+++ b/owner/shard.go
@@ -163,7 +163,7 @@
 	held.loaded = true
 	held.nextOffset = jobs.Next
 	owner.adoptRuns(held, now)
-	owner.placementChanges.noteAll()
+	owner.placementChanges.addAll()
 	owner.log(event.ShardLoaded, slog.Int("shard", held.number), slog.Int64("epoch", held.epoch),
 		slog.Int("jobs", len(held.jobs)), slog.Int("live", len(held.live)), slog.Duration("after", now.Sub(held.acquiredAt)))
 }
--- a/owner/tell.go
+++ b/owner/tell.go
@@ -19,13 +19,13 @@
 	if !view.claimsSent {
 		owner.addShardClaims(view)
 	}
-	owner.tellEvacuations(view)
+	owner.addEvacuations(view)
 	grantDue := now.Sub(view.sentAt) >= owner.sendInterval()
 	if !grantDue && !message.Owned && message.Evacuations == nil && len(message.Starts)+len(message.Stops)+len(message.Seen)+len(message.Runs)+len(message.Preempts) == 0 {
 		return
 	}
 	owner.addGrant(view, now)
-	owner.share(view, now)
+	owner.addLearned(view, now)
 	view.sentSequence++
 	message.Sequence = view.sentSequence
 	view.nextMessage = &wire.OwnerMessage{}
