--- a/owner/again_test.go
+++ b/owner/again_test.go
@@ -27,20 +27,20 @@
 }
 
 // restoreRun is a run of the job on a life of a worker, as an owner before left it in the store.
-func (made *harness) restoreRun(born ...int64) *job.Job {
-	made.t.Helper()
-	of := made.submit()
-	made.owner.applyProgress(made.shard, newRecord(made.t, jobID, &job.Progress{
+func (h *harness) restoreRun(born ...int64) *job.Job {
+	h.t.Helper()
+	j := h.submit()
+	h.owner.applyProgress(h.shard, newRecord(h.t, jobID, &job.Progress{
 		Id: jobID, State: job.State_STATE_RUNNING, Workers: []string{workerID}, Agents: []string{agentAddress}, Born: born,
 		Tasks: []*job.TaskProgress{{Attempt: 1, State: job.TaskState_TASK_STARTED, Worker: 1}},
-	}), made.clock.Now())
-	made.owner.adoptRuns(made.shard, made.clock.Now())
-	return of
+	}), h.clock.Now())
+	h.owner.adoptRuns(h.shard, h.clock.Now())
+	return j
 }
 
 // firstRunActive reports whether the task's first run is taken to go on.
-func firstRunActive(of *job.Job) bool {
-	task := of.Tasks()[0]
+func firstRunActive(j *job.Job) bool {
+	task := j.Tasks()[0]
 	return task.State() == job.TaskState_TASK_STARTED && task.Attempt() == 1
 }
 
@@ -50,37 +50,37 @@
 // TestEndOfEarlierIncarnation: that a life has ended says nothing about a run on the next one, nor does an id
 // alone, which an earlier build wrote of a life that it could not tell from others.
 func TestEndOfEarlierIncarnation(t *testing.T) {
-	over := func(born int64) *job.AgentRecord {
+	endedRecord := func(born int64) *job.AgentRecord {
 		return &job.AgentRecord{Name: "side-1", Address: agentAddress, Over: []*job.Incarnation{{Id: workerID, Born: born}}}
 	}
-	byID := &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}}
+	endedByID := &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}}
 	tests := map[string]struct {
 		born   []int64 // of the life that the run is on
 		ended  *job.AgentRecord
 		goesOn bool
 	}{
-		"the life before":                      {[]int64{secondBorn}, over(firstBorn), true},
-		"its own life":                         {[]int64{secondBorn}, over(secondBorn), false},
-		"an id alone":                          {[]int64{secondBorn}, byID, true},
-		"an id alone, and the run has no more": {nil, byID, false},
-		"a life, and the run has an id alone":  {nil, over(firstBorn), true},
+		"the life before":                      {[]int64{secondBorn}, endedRecord(firstBorn), true},
+		"its own life":                         {[]int64{secondBorn}, endedRecord(secondBorn), false},
+		"an id alone":                          {[]int64{secondBorn}, endedByID, true},
+		"an id alone, and the run has no more": {nil, endedByID, false},
+		"a life, and the run has an id alone":  {nil, endedRecord(firstBorn), true},
 	}
 	for name, test := range tests {
-		for when, before := range map[string]bool{", read before the shard": true, ", read after it": false} {
-			t.Run(name+when, func(t *testing.T) {
-				made := newHarness(t)
+		for order, before := range map[string]bool{", read before the shard": true, ", read after it": false} {
+			t.Run(name+order, func(t *testing.T) {
+				h := newHarness(t)
 				read := func() {
-					made.owner.applyAgentRecords(platform.Tail{Records: []platform.Record{newRecord(t, "side-1", test.ended)}}, made.clock.Now())
+					h.owner.applyAgentRecords(platform.Tail{Records: []platform.Record{newRecord(t, "side-1", test.ended)}}, h.clock.Now())
 				}
 				if before {
 					read()
 				}
-				of := made.restoreRun(test.born...)
+				j := h.restoreRun(test.born...)
 				if !before {
 					read()
 				}
-				if firstRunActive(of) != test.goesOn {
-					t.Errorf("goes on: %v", firstRunActive(of))
+				if firstRunActive(j) != test.goesOn {
+					t.Errorf("goes on: %v", firstRunActive(j))
 				}
 			})
 		}
@@ -105,16 +105,16 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			of := made.restoreRun(test.born...)
-			made.attach()
+			h := newHarness(t)
+			j := h.restoreRun(test.born...)
+			h.attach()
 			for range 2 {
-				made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(test.status), Complete: true, Runs: test.runs})
-				made.step()
-				made.takeSent()
+				h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(test.status), Complete: true, Runs: test.runs})
+				h.step()
+				h.takeSent()
 			}
-			if firstRunActive(of) != test.goesOn {
-				t.Errorf("goes on: %v", firstRunActive(of))
+			if firstRunActive(j) != test.goesOn {
+				t.Errorf("goes on: %v", firstRunActive(j))
 			}
 		})
 	}
@@ -123,46 +123,46 @@
 // TestOrdersNameIncarnation: a start, its end and the word that the end is in the store name the life that they are
 // about, and so does the record of the start.
 func TestOrdersNameIncarnation(t *testing.T) {
-	made := newHarness(t)
-	of := made.submit()
-	made.attach()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
-	made.step()
-	made.awaitWrites()
-	made.step()
-	orders := startOrders(made.takeSent())
+	h := newHarness(t)
+	j := h.submit()
+	h.attach()
+	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	h.step()
+	h.awaitWrites()
+	h.step()
+	orders := startOrders(h.takeSent())
 	if len(orders) != 1 || orders[0].GetBorn() != secondBorn {
 		t.Fatalf("ordered %v", orders)
 	}
-	if kept := of.Progress(); len(kept.GetBorn()) != 1 || kept.GetBorn()[0] != secondBorn {
-		t.Errorf("kept %v", kept)
+	if progress := j.Progress(); len(progress.GetBorn()) != 1 || progress.GetBorn()[0] != secondBorn {
+		t.Errorf("kept %v", progress)
 	}
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn), Ends: []*wire.RunEnd{
+	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn), Ends: []*wire.RunEnd{
 		{Worker: workerID, Born: secondBorn, Number: 7, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE},
 	}})
-	made.step()
-	made.awaitWrites()
-	made.step()
-	var seen []*wire.EndSeen
-	for _, message := range made.takeSent() {
-		seen = append(seen, message.GetSeen()...)
+	h.step()
+	h.awaitWrites()
+	h.step()
+	var acknowledged []*wire.EndSeen
+	for _, message := range h.takeSent() {
+		acknowledged = append(acknowledged, message.GetSeen()...)
 	}
-	if len(seen) != 1 || seen[0].GetBorn() != secondBorn || seen[0].GetNumber() != 7 {
-		t.Errorf("told of ends in the store: %v", seen)
+	if len(acknowledged) != 1 || acknowledged[0].GetBorn() != secondBorn || acknowledged[0].GetNumber() != 7 {
+		t.Errorf("told of ends in the store: %v", acknowledged)
 	}
 }
 
 // TestWorkerRestartsBeforeStartOrder: a run that was placed on one life is not ordered of the next one.
 func TestWorkerRestartsBeforeStartOrder(t *testing.T) {
-	made := newHarness(t)
-	made.submit()
-	made.attach()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
-	made.step()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
-	made.awaitWrites()
-	made.owner.sendUpdate(made.agent, made.clock.Now())
-	for _, order := range startOrders(made.takeSent()) {
+	h := newHarness(t)
+	h.submit()
+	h.attach()
+	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	h.step()
+	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	h.awaitWrites()
+	h.owner.sendUpdate(h.agent, h.clock.Now())
+	for _, order := range startOrders(h.takeSent()) {
 		if order.GetBorn() != secondBorn {
 			t.Errorf("ordered %v of another life", order)
 		}
@@ -171,39 +171,39 @@
 
 // TestProbationEndsWithIncarnation: what failed on one life of a worker says nothing of the next one.
 func TestProbationEndsWithIncarnation(t *testing.T) {
-	made := newHarness(t)
-	made.attach()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
-	made.agent.consecutiveFailures, made.agent.avoidUntil = failuresBeforeProbation, made.clock.Now().Add(time.Minute)
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
-	if made.agent.consecutiveFailures != 0 || !made.agent.avoidUntil.IsZero() {
-		t.Errorf("%d failures, avoided until %v", made.agent.consecutiveFailures, made.agent.avoidUntil)
+	h := newHarness(t)
+	h.attach()
+	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	h.agent.consecutiveFailures, h.agent.avoidUntil = failuresBeforeProbation, h.clock.Now().Add(time.Minute)
+	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	if h.agent.consecutiveFailures != 0 || !h.agent.avoidUntil.IsZero() {
+		t.Errorf("%d failures, avoided until %v", h.agent.consecutiveFailures, h.agent.avoidUntil)
 	}
 }
 
 // TestTicketIsPerIncarnation: the next life of a worker is asked about anew.
 func TestTicketIsPerIncarnation(t *testing.T) {
-	made := newHarness(t)
-	of := made.submitWith(func(handed *job.Submission) { handed.Advice = &job.Advice{ValidMs: 60_000} })
-	made.attach()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
-	task, now := of.Tasks()[0], made.clock.Now()
-	known := &stepAdvice{timing: of.Submission().GetAdvice(), service: "verbale"}
+	h := newHarness(t)
+	j := h.submitWith(func(submission *job.Submission) { submission.Advice = &job.Advice{ValidMs: 60_000} })
+	h.attach()
+	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	task, now := j.Tasks()[0], h.clock.Now()
+	advice := &stepAdvice{timing: j.Submission().GetAdvice(), service: "verbale"}
 	name := stepName(task)
-	made.owner.advice.steps[name] = known
-	asked := made.owner.workersToQuery(known)
-	if len(asked) != 1 {
-		t.Fatalf("asks about %v", asked)
+	h.owner.advice.steps[name] = advice
+	queried := h.owner.workersToQuery(advice)
+	if len(queried) != 1 {
+		t.Fatalf("asks about %v", queried)
 	}
-	made.owner.handleAdvice(name, known, asked, platform.Advice{Tickets: map[string]string{workerID: "t-1"}, Valid: time.Minute}, nil, now)
-	if best := made.owner.bestWorker(task, made.owner.candidates(made.owner.agentViews(), now), now); best == nil {
+	h.owner.handleAdvice(name, advice, queried, platform.Advice{Tickets: map[string]string{workerID: "t-1"}, Valid: time.Minute}, nil, now)
+	if worker := h.owner.bestWorker(task, h.owner.candidates(h.owner.agentViews(), now), now); worker == nil {
 		t.Fatal("no place with a ticket")
 	}
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
-	if best := made.owner.bestWorker(task, made.owner.candidates(made.owner.agentViews(), now), now); best != nil {
+	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	if worker := h.owner.bestWorker(task, h.owner.candidates(h.owner.agentViews(), now), now); worker != nil {
 		t.Error("the ticket of the life before is used")
 	}
-	if again := made.owner.workersToQuery(known); len(again) != 1 {
+	if again := h.owner.workersToQuery(advice); len(again) != 1 {
 		t.Errorf("asks about %v", again)
 	}
 }
@@ -212,8 +212,8 @@
 // agent. It is over once the agent can account for all that runs, though its worker is silent for good or
 // none has come: it would wait for an end that nobody will tell.
 func TestInheritedRunOnUnresponsiveWorker(t *testing.T) {
-	silent := emptyWorkerBorn(firstBorn)
-	silent.Ready = false
+	unready := emptyWorkerBorn(firstBorn)
+	unready.Ready = false
 	accounted := emptyWorkerBorn(firstBorn)
 	accounted.Ready, accounted.Accounted = false, true
 	tests := map[string]struct {
@@ -221,7 +221,7 @@
 		runs   []*wire.RunStatus
 		goesOn bool
 	}{
-		"the agent can't account for it":         {silent, nil, true},
+		"the agent can't account for it":         {unready, nil, true},
 		"the agent lists it":                     {accounted, firstRunListed(), true},
 		"the agent accounts for all, without":    {accounted, nil, false},
 		"no worker, and the lease may go on":     {&wire.WorkerStatus{}, nil, true},
@@ -230,18 +230,18 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			of := made.restoreRun(firstBorn)
-			made.attach()
-			made.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
-			if !firstRunActive(of) {
+			h := newHarness(t)
+			j := h.restoreRun(firstBorn)
+			h.attach()
+			h.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
+			if !firstRunActive(j) {
 				t.Fatal("released before the agent had heard of the claim")
 			}
-			made.step()
-			made.takeSent()
-			made.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
-			if firstRunActive(of) != test.goesOn {
-				t.Errorf("goes on: %v", firstRunActive(of))
+			h.step()
+			h.takeSent()
+			h.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
+			if firstRunActive(j) != test.goesOn {
+				t.Errorf("goes on: %v", firstRunActive(j))
 			}
 		})
 	}
--- a/owner/agents.go
+++ b/owner/agents.go
@@ -97,15 +97,15 @@
 // have come it lets more gather: agents register together, and a read for each of their
 // records by each reader would grow with the product of both.
 func (owner *Owner) followAgentPartition(ctx context.Context, part int) {
-	next := int64(-1)
+	nextOffset := int64(-1)
 	for ctx.Err() == nil {
-		tail, err := owner.readAgentRecords(ctx, part, next)
+		tail, err := owner.readAgentRecords(ctx, part, nextOffset)
 		if err != nil {
-			next = owner.nextAgentOffset(err, next)
+			nextOffset = owner.nextAgentOffset(err, nextOffset)
 			owner.sleep(ctx, storeRetryDelay)
 			continue
 		}
-		next = tail.Next
+		nextOffset = tail.Next
 		if len(tail.Records) == 0 {
 			continue
 		}
@@ -114,31 +114,31 @@
 	}
 }
 
-func (owner *Owner) nextAgentOffset(err error, next int64) int64 {
+func (owner *Owner) nextAgentOffset(err error, nextOffset int64) int64 {
 	if platform.IsGone(err) {
 		return -1
 	}
-	return next
+	return nextOffset
 }
 
-func (owner *Owner) readAgentRecords(ctx context.Context, part int, next int64) (platform.Tail, error) {
+func (owner *Owner) readAgentRecords(ctx context.Context, part int, nextOffset int64) (platform.Tail, error) {
 	ctx, cancel := context.WithTimeout(ctx, agentReadWait+readTimeoutMargin)
 	defer cancel()
-	if next < 0 {
+	if nextOffset < 0 {
 		return owner.options.Store.Newest(ctx, job.TopicAgents, part)
 	}
-	return owner.options.Store.Read(ctx, job.TopicAgents, part, next, agentReadWait)
+	return owner.options.Store.Read(ctx, job.TopicAgents, part, nextOffset, agentReadWait)
 }
 
 func (owner *Owner) applyAgentRecords(tail platform.Tail, now time.Time) {
 	for _, record := range tail.Records {
-		registered := &job.AgentRecord{}
-		if err := proto.Unmarshal(record.Value, registered); err != nil {
+		agentRecord := &job.AgentRecord{}
+		if err := proto.Unmarshal(record.Value, agentRecord); err != nil {
 			owner.log(event.RecordUnreadable, slog.String("key", record.Key), slog.Any("error", err))
 			continue
 		}
-		if view := owner.ensureAgent(registered.GetAddress()); view != nil {
-			owner.markIncarnationsEnded(view, registered.EndedIncarnations(), now)
+		if view := owner.ensureAgent(agentRecord.GetAddress()); view != nil {
+			owner.markIncarnationsEnded(view, agentRecord.EndedIncarnations(), now)
 		}
 	}
 }
@@ -148,15 +148,15 @@
 	for _, worker := range ended {
 		view.endedIncarnations[worker] = true
 	}
-	for _, entry := range view.runs {
-		owner.releaseIfIncarnationEnded(view, entry, now)
+	for _, run := range view.runs {
+		owner.releaseIfIncarnationEnded(view, run, now)
 	}
 }
 
 // releaseIfIncarnationEnded releases a run if its worker's incarnation has ended for certain.
-func (owner *Owner) releaseIfIncarnationEnded(view *agentView, entry *trackedRun, now time.Time) {
-	if view.endedIncarnations[entry.place.Incarnation] {
-		owner.releaseRun(view, entry, "its worker's incarnation is over", now)
+func (owner *Owner) releaseIfIncarnationEnded(view *agentView, run *trackedRun, now time.Time) {
+	if view.endedIncarnations[run.place.Incarnation] {
+		owner.releaseRun(view, run, "its worker's incarnation is over", now)
 	}
 }
 
@@ -185,12 +185,12 @@
 }
 
 // dropShard drops what was on its way for a shard that is no longer owned.
-func (view *agentView) dropShard(held *shard) {
-	for name, entry := range view.runs {
-		if entry.shard == held {
+func (view *agentView) dropShard(s *shard) {
+	for name, run := range view.runs {
+		if run.shard == s {
 			delete(view.runs, name)
 		}
 	}
 	view.claimsSent = false
-	delete(view.claimSequences, held.number)
+	delete(view.claimSequences, s.number)
 }
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -36,13 +36,13 @@
 
 // keepConnected connects to an agent, again and again, until ctx ends.
 func (owner *Owner) keepConnected(ctx context.Context, view *agentView) {
-	pause := minReconnectDelay
+	delay := minReconnectDelay
 	for ctx.Err() == nil {
 		if owner.connect(ctx, view) {
-			pause = minReconnectDelay
+			delay = minReconnectDelay
 		}
-		owner.sleep(ctx, pause)
-		pause = min(pause*2, maxReconnectDelay)
+		owner.sleep(ctx, delay)
+		delay = min(delay*2, maxReconnectDelay)
 	}
 }
 
@@ -51,50 +51,50 @@
 func (owner *Owner) connect(ctx context.Context, view *agentView) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dialled, done := context.WithTimeout(ctx, dialTimeout)
-	conn, err := owner.options.Dial(dialled, view.address)
-	done()
+	dialCtx, cancelDial := context.WithTimeout(ctx, dialTimeout)
+	rpcConn, err := owner.options.Dial(dialCtx, view.address)
+	cancelDial()
 	if err != nil {
 		return false
 	}
-	defer conn.Close() //nolint:errcheck // the connection has ended either way.
-	stream, err := wire.NewDRPCAgentClient(conn).Attach(ctx)
+	defer rpcConn.Close() //nolint:errcheck // the connection has ended either way.
+	stream, err := wire.NewDRPCAgentClient(rpcConn).Attach(ctx)
 	if err != nil {
 		return false
 	}
-	made := &agentConn{outbox: make(chan *wire.OwnerMessage, outboxSize), cancel: cancel}
-	go owner.sendMessages(ctx, made, stream, conn)
-	owner.eventLoop.Post(func(now time.Time) { owner.handleConnected(view, made) })
-	heard := false
+	conn := &agentConn{outbox: make(chan *wire.OwnerMessage, outboxSize), cancel: cancel}
+	go owner.sendMessages(ctx, conn, stream, rpcConn)
+	owner.eventLoop.Post(func(now time.Time) { owner.handleConnected(view, conn) })
+	received := false
 	for {
 		message, err := stream.Recv()
 		if err != nil {
-			owner.eventLoop.Post(func(now time.Time) { owner.handleDisconnected(view, made, err) })
-			return heard
+			owner.eventLoop.Post(func(now time.Time) { owner.handleDisconnected(view, conn, err) })
+			return received
 		}
-		heard = true
-		owner.eventLoop.Post(func(now time.Time) { owner.handleAgentMessage(view, made, message, now) })
+		received = true
+		owner.eventLoop.Post(func(now time.Time) { owner.handleAgentMessage(view, conn, message, now) })
 	}
 }
 
-func (owner *Owner) sendMessages(ctx context.Context, made *agentConn, stream wire.DRPCAgent_AttachClient, conn drpc.Conn) {
+func (owner *Owner) sendMessages(ctx context.Context, conn *agentConn, stream wire.DRPCAgent_AttachClient, rpcConn drpc.Conn) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case message := <-made.outbox:
+		case message := <-conn.outbox:
 			if err := stream.Send(message); err != nil {
-				made.cancel()
+				conn.cancel()
 				// The reader reports the end of the connection.
-				_ = conn.Close()
+				_ = rpcConn.Close()
 				return
 			}
 		}
 	}
 }
 
-func (owner *Owner) handleConnected(view *agentView, made *agentConn) {
-	view.conn = made
+func (owner *Owner) handleConnected(view *agentView, conn *agentConn) {
+	view.conn = conn
 	view.connectionCount++
 	view.nextMessage = &wire.OwnerMessage{
 		Owner: owner.MemberName(), FailureDomain: owner.options.FailureDomain, TakesChanges: true, Connection: view.connectionCount,
@@ -106,15 +106,15 @@
 	view.heardOnConn, view.keepsLearned = false, false
 	view.learnedSentAt, view.learnedSentVersion = time.Time{}, 0
 	view.sentEvacuations = nil
-	for _, entry := range view.runs {
-		entry.orderedEarlier = true
-		entry.orderSequence = 0
+	for _, run := range view.runs {
+		run.orderedEarlier = true
+		run.orderSequence = 0
 	}
 	owner.log(event.AgentAttached, slog.String("agent", view.address))
 }
 
-func (owner *Owner) handleDisconnected(view *agentView, made *agentConn, err error) {
-	if view.conn != made {
+func (owner *Owner) handleDisconnected(view *agentView, conn *agentConn, err error) {
+	if view.conn != conn {
 		return
 	}
 	view.conn = nil
@@ -135,11 +135,11 @@
 // nextAckDeadline returns when an agent must have answered what is sent now. Agents of earlier
 // builds answer an owner that has claimed no shard as seldom as it speaks.
 func (view *agentView) nextAckDeadline(now time.Time) time.Time {
-	pause := grantInterval
+	interval := grantInterval
 	if !view.keepsLearned {
-		pause = idleSendInterval
+		interval = idleSendInterval
 	}
-	return now.Add(pause + ackTimeout)
+	return now.Add(interval + ackTimeout)
 }
 
 // recordHandled takes note of how far an agent has handled the owner's messages.
--- a/owner/connection_test.go
+++ b/owner/connection_test.go
@@ -20,26 +20,26 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			made.submit()
-			made.attach()
-			ended := false
-			made.agent.conn.cancel = func() { ended = true }
+			h := newHarness(t)
+			h.submit()
+			h.attach()
+			closed := false
+			h.agent.conn.cancel = func() { closed = true }
 			for range 60 {
-				made.step()
-				handled := made.handledSequence
-				made.takeSent()
+				h.step()
+				handled := h.handledSequence
+				h.takeSent()
 				if !test.hears {
-					made.handledSequence = handled
+					h.handledSequence = handled
 				}
 				if test.speaks {
-					made.receive(&wire.AgentMessage{})
+					h.receive(&wire.AgentMessage{})
 				}
-				made.clock.Advance(100 * time.Millisecond)
-				made.owner.lastJoinAt = made.clock.Now()
+				h.clock.Advance(100 * time.Millisecond)
+				h.owner.lastJoinAt = h.clock.Now()
 			}
-			if ended != test.ended {
-				t.Errorf("ended: %v", ended)
+			if closed != test.ended {
+				t.Errorf("ended: %v", closed)
 			}
 		})
 	}
@@ -49,18 +49,18 @@
 // claims each 3 s. It is not taken for silent by an owner that has just taken a shard, nor
 // by one whose shard is still to be read.
 func TestAcquiringShardKeepsOldAgentsConnected(t *testing.T) {
-	made := newHarness(t)
-	made.shard.loaded = false
-	made.attach()
-	made.agent.conn.cancel = func() { t.Error("cut off") }
+	h := newHarness(t)
+	h.shard.loaded = false
+	h.attach()
+	h.agent.conn.cancel = func() { t.Error("cut off") }
 	for range 10 {
 		for range idleSendInterval / grantInterval {
-			made.clock.Advance(grantInterval)
-			made.owner.lastJoinAt = made.clock.Now()
-			made.step()
+			h.clock.Advance(grantInterval)
+			h.owner.lastJoinAt = h.clock.Now()
+			h.step()
 		}
-		made.takeSent()
-		made.receive(&wire.AgentMessage{})
+		h.takeSent()
+		h.receive(&wire.AgentMessage{})
 	}
 }
 
@@ -76,25 +76,25 @@
 // TestGrantWaitsForFirstMessage has an owner speak first on a connection to an agent that may
 // be another process than the one that it heard before.
 func TestGrantWaitsForFirstMessage(t *testing.T) {
-	made := newHarness(t)
-	made.attach()
-	made.receive(&wire.AgentMessage{UptimeNanos: int64(time.Hour)})
-	made.step()
-	made.takeSent()
-	made.owner.handleConnected(made.agent, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
-	made.step()
-	for _, message := range made.takeSent() {
-		if granted := time.Duration(message.GetGrantUntilNanos()); granted > 0 {
-			t.Errorf("runs were granted time until %v before the agent was heard", granted)
+	h := newHarness(t)
+	h.attach()
+	h.receive(&wire.AgentMessage{UptimeNanos: int64(time.Hour)})
+	h.step()
+	h.takeSent()
+	h.owner.handleConnected(h.agent, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
+	h.step()
+	for _, message := range h.takeSent() {
+		if grantedUntil := time.Duration(message.GetGrantUntilNanos()); grantedUntil > 0 {
+			t.Errorf("runs were granted time until %v before the agent was heard", grantedUntil)
 		}
 	}
-	made.receive(&wire.AgentMessage{UptimeNanos: int64(time.Second)})
-	made.step()
-	granted := time.Duration(0)
-	for _, message := range made.takeSent() {
-		granted = max(granted, time.Duration(message.GetGrantUntilNanos()))
+	h.receive(&wire.AgentMessage{UptimeNanos: int64(time.Second)})
+	h.step()
+	grantedUntil := time.Duration(0)
+	for _, message := range h.takeSent() {
+		grantedUntil = max(grantedUntil, time.Duration(message.GetGrantUntilNanos()))
 	}
-	if want := time.Second + made.owner.options.GrantDuration; granted != want {
-		t.Errorf("runs were granted time until %v once the agent was heard, want %v", granted, want)
+	if want := time.Second + h.owner.options.GrantDuration; grantedUntil != want {
+		t.Errorf("runs were granted time until %v once the agent was heard, want %v", grantedUntil, want)
 	}
 }
--- a/owner/cut_test.go
+++ b/owner/cut_test.go
@@ -24,32 +24,32 @@
 // TestPartitionedTaskCompletesOnce cuts an owner off from an agent while runs end there.
 func TestPartitionedTaskCompletesOnce(t *testing.T) {
 	const tasks = 8
-	made := newFleet(t, 2)
-	made.submit(fleetJobID, tasks)
-	var cut *machine
-	if !made.advanceUntil(20*time.Second, func() bool { cut = made.firstBusyMachine(); return cut != nil }) {
+	f := newFleet(t, 2)
+	f.submit(fleetJobID, tasks)
+	var partitioned *machine
+	if !f.advanceUntil(20*time.Second, func() bool { partitioned = f.firstBusyMachine(); return partitioned != nil }) {
 		t.Fatal("nothing was started")
 	}
-	everyone := func([]byte) bool { return true }
-	cut.relay.Hold(everyone, true, true)
-	completed := func() bool { return made.state(fleetJobID) == job.State_STATE_COMPLETED }
-	if !made.advanceUntil(30*time.Second, completed) {
+	allTraffic := func([]byte) bool { return true }
+	partitioned.relay.Hold(allTraffic, true, true)
+	completed := func() bool { return f.state(fleetJobID) == job.State_STATE_COMPLETED }
+	if !f.advanceUntil(30*time.Second, completed) {
 		t.Fatal("the tasks of the machine that is cut off were not done elsewhere")
 	}
-	cut.relay.LetGo()
-	made.advanceUntil(10*time.Second, func() bool { return false })
-	again := 0
+	partitioned.relay.LetGo()
+	f.advanceUntil(10*time.Second, func() bool { return false })
+	restarted := 0
 	for index := range tasks {
 		task := fmt.Sprintf("%s.0.0.%d", fleetJobID, index)
-		if made.startCount(task) < 2 {
+		if f.startCount(task) < 2 {
 			continue
 		}
-		again++
-		if cut.acknowledgedDone(task) {
+		restarted++
+		if partitioned.acknowledgedDone(task) {
 			t.Errorf("%s was started again, and its first run is noted as done", task)
 		}
 	}
-	if again == 0 {
+	if restarted == 0 {
 		t.Fatal("no task was started again, so nothing was shown")
 	}
 }
@@ -57,8 +57,8 @@
 const fleetJobID = "0123456789abcdef"
 
 // firstBusyMachine returns the first machine on which something runs, or nil.
-func (made *fleet) firstBusyMachine() *machine {
-	for _, machine := range made.machines {
+func (f *fleet) firstBusyMachine() *machine {
+	for _, machine := range f.machines {
 		machine.mu.Lock()
 		atWork := len(machine.startedAt) > 0
 		machine.mu.Unlock()
--- a/owner/entry.go
+++ b/owner/entry.go
@@ -34,16 +34,16 @@
 
 // storeLatency returns how long the store took to keep the start; 0 if that is not
 // known. The entry may be nil.
-func (entry *trackedRun) storeLatency(task *job.Task) time.Duration {
-	if entry == nil || entry.orderedAt.IsZero() {
+func (run *trackedRun) storeLatency(task *job.Task) time.Duration {
+	if run == nil || run.orderedAt.IsZero() {
 		return 0
 	}
-	return entry.orderedAt.Sub(task.StartedAt())
+	return run.orderedAt.Sub(task.StartedAt())
 }
 
-func newTrackedRun(held *shard, task *job.Task, now time.Time) *trackedRun {
+func newTrackedRun(s *shard, task *job.Task, now time.Time) *trackedRun {
 	return &trackedRun{
-		task: task, shard: held, taskName: task.Name(), attempt: task.Attempt(), place: task.Place(),
+		task: task, shard: s, taskName: task.Name(), attempt: task.Attempt(), place: task.Place(),
 		demand: demandOf(task, now),
 	}
 }
--- a/owner/entry_test.go
+++ b/owner/entry_test.go
@@ -12,21 +12,21 @@
 // TestRunDescriptionHasRemainingSpareTime: an agent that has been replaced hears what the job may
 // lose from now on, not what it could when the run was ordered.
 func TestRunDescriptionHasRemainingSpareTime(t *testing.T) {
-	made := newHarness(t)
-	made.submit()
-	made.attachAndStart()
-	ordered := made.agent.runs[firstTask].demand.GetSpareMs()
-	made.clock.Advance(600 * time.Millisecond)
+	h := newHarness(t)
+	h.submit()
+	h.attachAndStart()
+	orderedSpareMs := h.agent.runs[firstTask].demand.GetSpareMs()
+	h.clock.Advance(600 * time.Millisecond)
 	unready := idleWorkerStatus()
 	unready.Ready = false
-	made.receive(&wire.AgentMessage{Complete: true, Status: unready, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1}}})
-	made.step()
-	described := runDescriptions(made.takeSent())
-	if len(described) != 1 {
-		t.Fatalf("described: %v", described)
+	h.receive(&wire.AgentMessage{Complete: true, Status: unready, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1}}})
+	h.step()
+	descriptions := runDescriptions(h.takeSent())
+	if len(descriptions) != 1 {
+		t.Fatalf("described: %v", descriptions)
 	}
-	if got := described[0].GetDemand().GetSpareMs(); got != ordered-600 {
-		t.Errorf("%d ms to spare, %d with the order", got, ordered)
+	if got := descriptions[0].GetDemand().GetSpareMs(); got != orderedSpareMs-600 {
+		t.Errorf("%d ms to spare, %d with the order", got, orderedSpareMs)
 	}
 }
 
@@ -45,13 +45,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			handed := newSubmission()
-			test.change(handed.Steps[0])
-			of := job.New(handed, 0)
-			task := of.Tasks()[0]
+			submission := newSubmission()
+			test.change(submission.Steps[0])
+			j := job.New(submission, 0)
+			task := j.Tasks()[0]
 			for range test.ends {
-				of.StartRun(task, job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, time.UnixMilli(0))
-				of.EndRun(task, task.Attempt(), job.EndInterrupted, "", time.UnixMilli(0))
+				j.StartRun(task, job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, time.UnixMilli(0))
+				j.EndRun(task, task.Attempt(), job.EndInterrupted, "", time.UnixMilli(0))
 			}
 			if got := isMovable(task); got != test.want {
 				t.Errorf("got %v", got)
@@ -61,9 +61,9 @@
 }
 
 func runDescriptions(messages []*wire.OwnerMessage) []*wire.RunDescription {
-	var described []*wire.RunDescription
+	var descriptions []*wire.RunDescription
 	for _, message := range messages {
-		described = append(described, message.GetRuns()...)
+		descriptions = append(descriptions, message.GetRuns()...)
 	}
-	return described
+	return descriptions
 }
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -82,60 +82,60 @@
 	acknowledgedMu sync.Mutex
 }
 
-func newFleet(t *testing.T, machines int, crashers ...string) *fleet {
+func newFleet(t *testing.T, machineCount int, crashers ...string) *fleet {
 	clock := clockwork.NewFakeClock()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	made := &fleet{t: t, clock: clock, store: wirestore.New(fleetShards, clock.Now)}
-	served := httptest.NewServer(made.store)
+	f := &fleet{t: t, clock: clock, store: wirestore.New(fleetShards, clock.Now)}
+	server := httptest.NewServer(f.store)
 	t.Cleanup(func() {
-		served.CloseClientConnections()
-		served.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
-	calls := func() *platform.Store {
-		return platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.Transport())
+	newStore := func() *platform.Store {
+		return platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport())
 	}
-	made.owner = owner.New(owner.Options{
+	f.owner = owner.New(owner.Options{
 		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: fleetShards, GrantDuration: 5 * time.Second, MemberTimeout: 1500 * time.Millisecond,
-		JobRetention: time.Minute, Store: calls(), Dial: rpc.DialOne, Clock: clock, Events: event.Discard(),
+		JobRetention: time.Minute, Store: newStore(), Dial: rpc.DialOne, Clock: clock, Events: event.Discard(),
 	})
-	for number := range machines {
-		made.machines = append(made.machines, made.newMachine(ctx, calls(), number, crashers))
+	for number := range machineCount {
+		f.machines = append(f.machines, f.newMachine(ctx, newStore(), number, crashers))
 	}
-	go made.owner.Run(ctx)
-	return made
+	go f.owner.Run(ctx)
+	return f
 }
 
-func (made *fleet) newMachine(ctx context.Context, store *platform.Store, number int, crashers []string) *machine {
-	begun := &machine{name: fmt.Sprintf("side-%d", number), fleet: made, reportsStartTime: number%2 == 1, crashingTasks: map[string]bool{}, startCounts: map[string]int{}, acknowledged: map[string]bool{}}
+func (f *fleet) newMachine(ctx context.Context, store *platform.Store, number int, crashers []string) *machine {
+	machine := &machine{name: fmt.Sprintf("side-%d", number), fleet: f, reportsStartTime: number%2 == 1, crashingTasks: map[string]bool{}, startCounts: map[string]int{}, acknowledged: map[string]bool{}}
 	for _, task := range crashers {
-		begun.crashingTasks[task] = true
+		machine.crashingTasks[task] = true
 	}
-	begun.startWorker()
-	begun.server = httptest.NewServer(begun)
-	made.t.Cleanup(func() {
-		begun.server.CloseClientConnections()
-		begun.server.Close()
+	machine.startWorker()
+	machine.server = httptest.NewServer(machine)
+	f.t.Cleanup(func() {
+		machine.server.CloseClientConnections()
+		machine.server.Close()
 	})
-	begun.agent = agent.New(agent.Options{
-		Name: begun.name, Shards: fleetShards, FirstToken: made.clock.Now().UnixMilli(), Clock: made.clock, Events: event.Discard(),
+	machine.agent = agent.New(agent.Options{
+		Name: machine.name, Shards: fleetShards, FirstToken: f.clock.Now().UnixMilli(), Clock: f.clock, Events: event.Discard(),
 		EvacuationDeadline: 5 * time.Second,
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
 			return platform.NewWorker(address, of, platform.Transport())
 		},
 	})
-	listening, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, begun.agent) })
+	server, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, machine.agent) })
 	if err != nil {
-		made.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	go func() { _ = listening.Serve(ctx) }()
-	go begun.agent.Run(ctx)
-	begun.relay, err = relay.New(ctx, listening.Address())
+	go func() { _ = server.Serve(ctx) }()
+	go machine.agent.Run(ctx)
+	machine.relay, err = relay.New(ctx, server.Address())
 	if err != nil {
-		made.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	go begun.agent.Register(ctx, store, begun.relay.Address())
-	return begun
+	go machine.agent.Register(ctx, store, machine.relay.Address())
+	return machine
 }
 
 // startWorker begins the next life of the worker: under the id of the one before where it says when it started.
@@ -166,7 +166,7 @@
 
 // ServeHTTP is the worker's address. A start of a task that brings workers down is taken, and
 // the worker with all its connections is gone.
-func (machine *machine) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
+func (machine *machine) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -180,17 +180,17 @@
 	request.Body = io.NopCloser(bytes.NewReader(body))
 	before := len(worker.Starts())
 	if request.URL.Path != "/v1/run-start" {
-		worker.ServeHTTP(answer, request)
+		worker.ServeHTTP(response, request)
 		return
 	}
-	kept := httptest.NewRecorder()
-	worker.ServeHTTP(kept, request)
+	recorded := httptest.NewRecorder()
+	worker.ServeHTTP(recorded, request)
 	if machine.recordStarts(worker, before) {
 		go machine.server.CloseClientConnections()
 		panic(http.ErrAbortHandler)
 	}
-	answer.WriteHeader(kept.Code)
-	_, _ = answer.Write(kept.Body.Bytes())
+	response.WriteHeader(recorded.Code)
+	_, _ = response.Write(recorded.Body.Bytes())
 }
 
 // recordStarts takes note of what a worker has started, and reports whether that brings it down.
@@ -202,7 +202,7 @@
 	}
 	now := machine.fleet.clock.Now()
 	for _, start := range worker.Starts()[before:] {
-		if _, runs := worker.Running(start.Task); !runs {
+		if _, running := worker.Running(start.Task); !running {
 			continue
 		}
 		machine.startCounts[start.Task]++
@@ -224,8 +224,8 @@
 		}
 		machine.startWorker()
 	}
-	for task, begun := range machine.startedAt {
-		if now.Sub(begun) >= taskDuration {
+	for task, startedAt := range machine.startedAt {
+		if now.Sub(startedAt) >= taskDuration {
 			machine.worker.End(task, "done")
 			delete(machine.startedAt, task)
 		}
@@ -242,20 +242,20 @@
 }
 
 // submit hands a job of one step in.
-func (made *fleet) submit(id string, tasks int32) {
+func (f *fleet) submit(id string, tasks int32) {
 	value, err := proto.Marshal(&job.Submission{
-		Id: id, Queue: "r-1", Service: "verbale", Attempts: 3, Extension: 4, TargetLatencyMs: 1000, SubmittedMs: made.clock.Now().UnixMilli(),
+		Id: id, Queue: "r-1", Service: "verbale", Attempts: 3, Extension: 4, TargetLatencyMs: 1000, SubmittedMs: f.clock.Now().UnixMilli(),
 		Steps: []*job.StepSpec{{Count: tasks, MilliCpu: 500, MemoryMb: 100, EstimateMs: taskDuration.Milliseconds()}},
 	})
 	if err != nil {
-		made.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	made.store.Put(job.TopicJobs, job.ShardOf(id, fleetShards), job.SubmissionKey(id), value)
+	f.store.Put(job.TopicJobs, job.ShardOf(id, fleetShards), job.SubmissionKey(id), value)
 }
 
 // state returns what a client is told of a job.
-func (made *fleet) state(id string) job.State {
-	reply, err := made.owner.JobState(context.Background(), &wire.JobStateRequest{Id: id, Shard: int32(job.ShardOf(id, fleetShards))})
+func (f *fleet) state(id string) job.State {
+	reply, err := f.owner.JobState(context.Background(), &wire.JobStateRequest{Id: id, Shard: int32(job.ShardOf(id, fleetShards))})
 	if err != nil {
 		return job.State_STATE_QUEUED
 	}
@@ -263,9 +263,9 @@
 }
 
 // startCount counts the starts of a task on all workers.
-func (made *fleet) startCount(task string) int {
+func (f *fleet) startCount(task string) int {
 	count := 0
-	for _, machine := range made.machines {
+	for _, machine := range f.machines {
 		machine.mu.Lock()
 		count += machine.startCounts[task]
 		machine.mu.Unlock()
@@ -274,9 +274,9 @@
 }
 
 // incarnationCount counts the lives of all workers.
-func (made *fleet) incarnationCount() int {
+func (f *fleet) incarnationCount() int {
 	count := 0
-	for _, machine := range made.machines {
+	for _, machine := range f.machines {
 		machine.mu.Lock()
 		count += machine.incarnations
 		machine.mu.Unlock()
@@ -285,17 +285,17 @@
 }
 
 // advanceUntil lets time pass until what is waited for holds, most of it at most.
-func (made *fleet) advanceUntil(most time.Duration, holds func() bool) bool {
-	for end := made.clock.Now().Add(most); made.clock.Now().Before(end); {
-		made.owner.UpdateEvacuations(operator.NewEvacuations(1, nil), made.clock.Now())
+func (f *fleet) advanceUntil(timeout time.Duration, condition func() bool) bool {
+	for end := f.clock.Now().Add(timeout); f.clock.Now().Before(end); {
+		f.owner.UpdateEvacuations(operator.NewEvacuations(1, nil), f.clock.Now())
 		for range 50 {
-			made.clock.Advance(fleetTick)
+			f.clock.Advance(fleetTick)
 			time.Sleep(fleetTickPause)
-			for _, machine := range made.machines {
-				machine.step(made.clock.Now())
+			for _, machine := range f.machines {
+				machine.step(f.clock.Now())
 			}
 		}
-		if holds() {
+		if condition() {
 			return true
 		}
 	}
--- a/owner/forget.go
+++ b/owner/forget.go
@@ -24,72 +24,72 @@
 //
 // What was handed in goes first, and what became of it only once the store has taken that: the other
 // way round an owner that comes in between would read a job without progress and start it again.
-func (owner *Owner) pruneJobs(held *shard, now time.Time) {
-	if !held.loaded || held.pruning || now.Sub(held.prunedAt) < pruneInterval {
+func (owner *Owner) pruneJobs(s *shard, now time.Time) {
+	if !s.loaded || s.pruning || now.Sub(s.prunedAt) < pruneInterval {
 		return
 	}
-	held.prunedAt = now
-	var old []string
-	var handed []platform.Record
-	for id := range held.jobs {
-		if !owner.isExpired(held, id, now) {
+	s.prunedAt = now
+	var expired []string
+	var records []platform.Record
+	for id := range s.jobs {
+		if !owner.isExpired(s, id, now) {
 			continue
 		}
-		old = append(old, id)
-		handed = append(handed, platform.Record{Key: job.SubmissionKey(id)})
-		if held.cancelled[id] {
-			handed = append(handed, platform.Record{Key: job.CancellationKey(id)})
+		expired = append(expired, id)
+		records = append(records, platform.Record{Key: job.SubmissionKey(id)})
+		if s.cancelled[id] {
+			records = append(records, platform.Record{Key: job.CancellationKey(id)})
 		}
-		if len(old) == maxPrunedJobs {
+		if len(expired) == maxPrunedJobs {
 			break
 		}
 	}
-	if len(old) > 0 {
-		held.pruning = true
-		go owner.deleteSubmissions(held, old, handed)
+	if len(expired) > 0 {
+		s.pruning = true
+		go owner.deleteSubmissions(s, expired, records)
 	}
 }
 
 // isExpired reports whether nobody asks for a job any more. The time counts from when this process found the
 // end in the store, on its steady clock: the time of day, which the record has, may jump.
-func (owner *Owner) isExpired(held *shard, id string, now time.Time) bool {
-	durableAt, durable := held.endStoredAt[id]
-	return durable && held.live[id] == nil && now.Sub(durableAt) >= owner.options.JobRetention+retentionMargin
+func (owner *Owner) isExpired(s *shard, id string, now time.Time) bool {
+	durableAt, durable := s.endStoredAt[id]
+	return durable && s.live[id] == nil && now.Sub(durableAt) >= owner.options.JobRetention+retentionMargin
 }
 
 // deleteSubmissions drops submissions and cancellations from the store.
-func (owner *Owner) deleteSubmissions(held *shard, old []string, records []platform.Record) {
-	add := platform.Append{Topic: job.TopicJobs, Part: held.number, Records: records}
-	for tries := 1; held.ctx.Err() == nil; tries++ {
-		ctx, cancel := context.WithTimeout(held.ctx, storeTimeout)
-		_, err := owner.options.Store.Append(ctx, add)
+func (owner *Owner) deleteSubmissions(s *shard, ids []string, records []platform.Record) {
+	request := platform.Append{Topic: job.TopicJobs, Part: s.number, Records: records}
+	for attempt := 1; s.ctx.Err() == nil; attempt++ {
+		ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
+		_, err := owner.options.Store.Append(ctx, request)
 		cancel()
 		if err == nil {
-			owner.eventLoop.Post(func(time.Time) { owner.removePruned(held, old) })
+			owner.eventLoop.Post(func(time.Time) { owner.removePruned(s, ids) })
 			return
 		}
-		if tries == 1 {
-			owner.log(event.AppendRetried, slog.String("call", "drop"), slog.Int("shard", held.number), slog.Any("error", err))
+		if attempt == 1 {
+			owner.log(event.AppendRetried, slog.String("call", "drop"), slog.Int("shard", s.number), slog.Any("error", err))
 		}
-		owner.sleep(held.ctx, storeRetryDelay)
+		owner.sleep(s.ctx, storeRetryDelay)
 	}
 }
 
 // removePruned forgets jobs whose submissions are dropped; their progress goes with the next append.
-func (owner *Owner) removePruned(held *shard, old []string) {
-	if owner.shards[held.number] != held {
+func (owner *Owner) removePruned(s *shard, ids []string) {
+	if owner.shards[s.number] != s {
 		return
 	}
-	held.pruning = false
-	for _, id := range old {
-		delete(held.jobs, id)
-		delete(held.endStoredAt, id)
-		delete(held.cancelled, id)
-		held.deleteProgress(id)
+	s.pruning = false
+	for _, id := range ids {
+		delete(s.jobs, id)
+		delete(s.endStoredAt, id)
+		delete(s.cancelled, id)
+		s.deleteProgress(id)
 	}
 }
 
 // deleteProgress drops the record of what became of a job that is no longer in the store.
-func (held *shard) deleteProgress(id string) {
-	held.tombstones = append(held.tombstones, platform.Record{Key: id})
+func (s *shard) deleteProgress(id string) {
+	s.tombstones = append(s.tombstones, platform.Record{Key: id})
 }
--- a/owner/forget_test.go
+++ b/owner/forget_test.go
@@ -22,25 +22,25 @@
 
 // newEndedJobBench is a bench whose job has ended, and is known for as long as it has to be.
 func newEndedJobBench(t *testing.T) *harness {
-	made := newHarness(t)
-	made.owner.options.JobRetention = time.Minute
+	h := newHarness(t)
+	h.owner.options.JobRetention = time.Minute
 	value, err := proto.Marshal(newSubmission())
 	if err != nil {
 		t.Fatal(err)
 	}
-	made.store.Put(job.TopicJobs, made.shard.number, job.SubmissionKey(jobID), value)
-	made.submit()
-	made.attachAndStart()
-	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
-	made.step()
-	made.awaitWrites()
-	return made
+	h.store.Put(job.TopicJobs, h.shard.number, job.SubmissionKey(jobID), value)
+	h.submit()
+	h.attachAndStart()
+	h.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
+	h.step()
+	h.awaitWrites()
+	return h
 }
 
 // storedRecords reports what the store holds of the job.
-func (made *harness) storedRecords() (handedIn, progress bool) {
-	_, handedIn = made.store.Newest(job.TopicJobs, made.shard.number, job.SubmissionKey(jobID))
-	_, progress = made.store.Newest(job.TopicRuns, made.shard.number, jobID)
+func (h *harness) storedRecords() (handedIn, progress bool) {
+	_, handedIn = h.store.Newest(job.TopicJobs, h.shard.number, job.SubmissionKey(jobID))
+	_, progress = h.store.Newest(job.TopicRuns, h.shard.number, jobID)
 	return handedIn, progress
 }
 
@@ -53,22 +53,22 @@
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newEndedJobBench(t)
+			h := newEndedJobBench(t)
 			failures := 1
-			made.store.FailTopic(job.TopicJobs, func() wirestore.Fault {
+			h.store.FailTopic(job.TopicJobs, func() wirestore.Fault {
 				failures--
 				if failures >= 0 {
 					return fault
 				}
 				return wirestore.FaultNone
 			})
-			made.clock.Advance(3 * time.Minute)
+			h.clock.Advance(3 * time.Minute)
 			for try := 0; try < 200; try++ {
-				made.step()
-				made.awaitWrites()
-				made.clock.Advance(100 * time.Millisecond)
-				made.runPending()
-				handedIn, progress := made.storedRecords()
+				h.step()
+				h.awaitWrites()
+				h.clock.Advance(100 * time.Millisecond)
+				h.runPending()
+				handedIn, progress := h.storedRecords()
 				if handedIn && !progress {
 					t.Fatal("the store holds what was handed in without what became of it: the next owner takes the job for new")
 				}
@@ -82,24 +82,24 @@
 }
 
 // runPending gives what is on its way a moment, and runs what has come back.
-func (made *harness) runPending() {
+func (h *harness) runPending() {
 	time.Sleep(2 * time.Millisecond)
-	for made.owner.eventLoop.RunAny(made.clock.Now()) {
+	for h.owner.eventLoop.RunAny(h.clock.Now()) {
 	}
 }
 
 // TestClockJumpPrunesNothing has an owner read a job that ended hours ago by the time of day, as it
 // is after that has jumped ahead: clients may still ask for it, or hand it in again.
 func TestClockJumpPrunesNothing(t *testing.T) {
-	made := newHarness(t)
-	ended := job.New(newSubmission(), made.shard.number)
-	ended.Cancel(made.clock.Now().Add(-5 * time.Hour))
-	made.shard.loaded = false
-	made.owner.activateShard(made.shard,
+	h := newHarness(t)
+	ended := job.New(newSubmission(), h.shard.number)
+	ended.Cancel(h.clock.Now().Add(-5 * time.Hour))
+	h.shard.loaded = false
+	h.owner.activateShard(h.shard,
 		platform.Tail{Records: []platform.Record{newRecord(t, job.SubmissionKey(jobID), newSubmission())}},
-		platform.Tail{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, made.clock.Now())
-	made.step()
-	if made.shard.jobs[jobID] == nil || len(made.shard.tombstones) > 0 {
+		platform.Tail{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, h.clock.Now())
+	h.step()
+	if h.shard.jobs[jobID] == nil || len(h.shard.tombstones) > 0 {
 		t.Error("a job that was just read as ended is forgotten")
 	}
 }
@@ -107,16 +107,16 @@
 // TestProgressWithoutJobIsDeleted has an owner read what became of a job that the one before it had
 // begun to drop.
 func TestProgressWithoutJobIsDeleted(t *testing.T) {
-	made := newHarness(t)
-	ended := job.New(newSubmission(), made.shard.number)
-	ended.Cancel(made.clock.Now())
-	kept := newRecord(t, jobID, ended.Progress())
-	made.store.Put(job.TopicRuns, made.shard.number, jobID, kept.Value)
-	made.shard.loaded = false
-	made.owner.activateShard(made.shard, platform.Tail{}, platform.Tail{Records: []platform.Record{kept}}, made.clock.Now())
-	made.step()
-	made.awaitWrites()
-	if _, progress := made.storedRecords(); progress {
+	h := newHarness(t)
+	ended := job.New(newSubmission(), h.shard.number)
+	ended.Cancel(h.clock.Now())
+	progress := newRecord(t, jobID, ended.Progress())
+	h.store.Put(job.TopicRuns, h.shard.number, jobID, progress.Value)
+	h.shard.loaded = false
+	h.owner.activateShard(h.shard, platform.Tail{}, platform.Tail{Records: []platform.Record{progress}}, h.clock.Now())
+	h.step()
+	h.awaitWrites()
+	if _, progress := h.storedRecords(); progress {
 		t.Error("what became of a job that is gone stays in the store")
 	}
 }
--- a/owner/membership.go
+++ b/owner/membership.go
@@ -19,30 +19,30 @@
 
 // maintainMembership joins the group, and again and again, until ctx ends.
 func (owner *Owner) maintainMembership(ctx context.Context) {
-	heard := int64(0)
-	lost := time.Time{}
+	generation := int64(0)
+	lostAt := time.Time{}
 	for ctx.Err() == nil {
-		sent, sentAfter := owner.options.Clock.Now(), owner.suspendedFor()
+		sentAt, suspendedBefore := owner.options.Clock.Now(), owner.suspendedFor()
 		if owner.leaveBeforeJoin.Load() {
 			if err := owner.leaveGroup(ctx, job.OwnersGroup, owner.MemberName()); err != nil {
-				lost = owner.logStoreLost(ctx, lost, sent, err)
+				lostAt = owner.logStoreLost(ctx, lostAt, sentAt, err)
 				owner.sleep(ctx, joinInterval)
 				continue
 			}
 			owner.leaveBeforeJoin.Store(false)
 		}
-		deal, err := owner.join(ctx, heard)
+		assignment, err := owner.join(ctx, generation)
 		if err != nil {
-			lost = owner.logStoreLost(ctx, lost, sent, err)
+			lostAt = owner.logStoreLost(ctx, lostAt, sentAt, err)
 			owner.sleep(ctx, joinInterval)
 			continue
 		}
-		owner.logStoreRecovered(ctx, lost, sent)
-		lost = time.Time{}
-		changed := deal.Generation != heard
-		heard = deal.Generation
+		owner.logStoreRecovered(ctx, lostAt, sentAt)
+		lostAt = time.Time{}
+		changed := assignment.Generation != generation
+		generation = assignment.Generation
 		if !owner.eventLoop.Ask(ctx, func(now time.Time) {
-			owner.applyAssignment(deal, sent.Add(min(sentAfter-owner.eventLoop.Suspended(), 0)), now)
+			owner.applyAssignment(assignment, sentAt.Add(min(suspendedBefore-owner.eventLoop.Suspended(), 0)), now)
 		}) {
 			return
 		}
@@ -54,42 +54,42 @@
 	}
 }
 
-func (owner *Owner) join(ctx context.Context, heard int64) (platform.Deal, error) {
+func (owner *Owner) join(ctx context.Context, generation int64) (platform.Deal, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	return owner.options.Store.Join(ctx, job.OwnersGroup, owner.MemberName(), []string{job.TopicJobs}, owner.options.MemberTimeout, heard)
+	return owner.options.Store.Join(ctx, job.OwnersGroup, owner.MemberName(), []string{job.TopicJobs}, owner.options.MemberTimeout, generation)
 }
 
-func (owner *Owner) logStoreLost(ctx context.Context, lost, now time.Time, err error) time.Time {
-	if !lost.IsZero() {
-		return lost
+func (owner *Owner) logStoreLost(ctx context.Context, lostAt, now time.Time, err error) time.Time {
+	if !lostAt.IsZero() {
+		return lostAt
 	}
 	owner.options.Events.Log(ctx, event.StoreLost, slog.Any("error", err))
 	return now
 }
 
-func (owner *Owner) logStoreRecovered(ctx context.Context, lost, now time.Time) {
-	if !lost.IsZero() {
-		owner.options.Events.Log(ctx, event.StoreBack, slog.Duration("after", now.Sub(lost)))
+func (owner *Owner) logStoreRecovered(ctx context.Context, lostAt, now time.Time) {
+	if !lostAt.IsZero() {
+		owner.options.Events.Log(ctx, event.StoreBack, slog.Duration("after", now.Sub(lostAt)))
 	}
 }
 
 // applyAssignment takes up the shards that are dealt to this entry and gives up others.
-func (owner *Owner) applyAssignment(deal platform.Deal, sent, now time.Time) {
-	owner.lastJoinAt = sent
-	dealt := map[int]bool{}
-	for _, number := range deal.Parts {
-		dealt[number] = true
+func (owner *Owner) applyAssignment(assignment platform.Deal, sentAt, now time.Time) {
+	owner.lastJoinAt = sentAt
+	assigned := map[int]bool{}
+	for _, number := range assignment.Parts {
+		assigned[number] = true
 	}
-	for number, held := range owner.shards {
-		if !dealt[number] {
-			owner.releaseShard(held, "dealt to another entry", now)
+	for number, s := range owner.shards {
+		if !assigned[number] {
+			owner.releaseShard(s, "dealt to another entry", now)
 		}
 	}
-	for number := range dealt {
+	for number := range assigned {
 		_, owned := owner.shards[number]
-		if !owned && deal.Generation > owner.fencedEpochs[number] {
-			owner.acquireShard(number, deal.Generation, now)
+		if !owned && assignment.Generation > owner.fencedEpochs[number] {
+			owner.acquireShard(number, assignment.Generation, now)
 		}
 	}
 }
--- a/owner/membership_test.go
+++ b/owner/membership_test.go
@@ -12,17 +12,17 @@
 
 // runOwner starts an owner whose clock stands still but for what until lets pass.
 func runOwner(t *testing.T, clock *clockwork.FakeClock, store *wirestore.Store) (*Owner, context.CancelFunc) {
-	started := newOwner(t, clock, store)
+	o := newOwner(t, clock, store)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go started.Run(ctx)
-	return started, cancel
+	go o.Run(ctx)
+	return o, cancel
 }
 
-func advanceUntil(t *testing.T, clock *clockwork.FakeClock, holds func() bool) {
+func advanceUntil(t *testing.T, clock *clockwork.FakeClock, condition func() bool) {
 	t.Helper()
 	for range 3000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		clock.Advance(10 * time.Millisecond)
@@ -31,16 +31,16 @@
 	t.Fatal("what was waited for did not happen")
 }
 
-func ownedEpochs(asked *Owner) map[int]int64 {
-	found := map[int]int64{}
-	asked.eventLoop.Ask(context.Background(), func(time.Time) {
-		for number, held := range asked.shards {
-			if held.loaded {
-				found[number] = held.epoch
+func ownedEpochs(o *Owner) map[int]int64 {
+	epochs := map[int]int64{}
+	o.eventLoop.Ask(context.Background(), func(time.Time) {
+		for number, s := range o.shards {
+			if s.loaded {
+				epochs[number] = s.epoch
 			}
 		}
 	})
-	return found
+	return epochs
 }
 
 // TestRestartedOwnerGetsLaterEpoch: a process that comes back before it was
@@ -49,10 +49,10 @@
 func TestRestartedOwnerGetsLaterEpoch(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	first, kill := runOwner(t, clock, store)
+	first, stop := runOwner(t, clock, store)
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(first)) == 8 })
 	before := ownedEpochs(first)
-	kill()
+	stop()
 	second, _ := runOwner(t, clock, store)
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(second)) == 8 })
 	for number, epoch := range ownedEpochs(second) {
@@ -67,9 +67,9 @@
 func TestNoJoinAfterLeave(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	only, _ := runOwner(t, clock, store)
-	advanceUntil(t, clock, func() bool { return len(ownedEpochs(only)) == 8 })
-	if err := only.Leave(context.Background()); err != nil {
+	o, _ := runOwner(t, clock, store)
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(o)) == 8 })
+	if err := o.Leave(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	joins := store.Calls("/v1/log-join")
@@ -79,7 +79,7 @@
 	if got := store.Calls("/v1/log-join"); got != joins {
 		t.Errorf("%d joins after the leave", got-joins)
 	}
-	if got := ownedEpochs(only); len(got) != 0 {
+	if got := ownedEpochs(o); len(got) != 0 {
 		t.Errorf("it still owns %v", got)
 	}
 }
@@ -88,7 +88,7 @@
 func TestShardsMoveFromSilentOwner(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	first, kill := runOwner(t, clock, store)
+	first, stop := runOwner(t, clock, store)
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(first)) == 8 })
 	second := newOwner(t, clock, store)
 	second.options.Name = "edge-2"
@@ -96,7 +96,7 @@
 	t.Cleanup(cancel)
 	go second.Run(ctx)
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(first)) == 4 && len(ownedEpochs(second)) == 4 })
-	kill()
+	stop()
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(second)) == 8 })
 }
 
@@ -113,6 +113,6 @@
 		count++
 		return []wirestore.Fault{wirestore.FaultLost, wirestore.FaultReset, wirestore.FaultBusy, wirestore.FaultNone}[count%4]
 	})
-	only, _ := runOwner(t, clock, store)
-	advanceUntil(t, clock, func() bool { return len(ownedEpochs(only)) == 8 })
+	o, _ := runOwner(t, clock, store)
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(o)) == 8 })
 }
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -32,26 +32,26 @@
 // accepts, so its errors can't occur.
 func newMetrics(provider metric.MeterProvider) metrics {
 	meter := telemetry.Meter(provider, "owner")
-	var made metrics
-	made.runsEnded, _ = meter.Int64Counter("ambertiller.run.ended", metric.WithDescription("Runs that ended, by reason."))
-	made.startsRefused, _ = meter.Int64Counter("ambertiller.run.not_started", metric.WithDescription("Starts that were refused, by outcome."))
-	made.runsLost, _ = meter.Int64Counter("ambertiller.run.lost", metric.WithDescription("Runs that were over without an end, by reason."))
-	made.supersededEnds, _ = meter.Int64Counter("ambertiller.run.ended_earlier", metric.WithDescription("Ends of runs as done whose task had been started again."))
-	made.jobsEnded, _ = meter.Int64Counter("ambertiller.job.ended", metric.WithDescription("Jobs that ended, by state."))
-	made.appendDuration, _ = meter.Float64Histogram("ambertiller.shard.append.duration", metric.WithUnit("s"), metric.WithDescription("Time until the store had a shard's records, with retries."))
-	made.jobWait, _ = meter.Float64Histogram("ambertiller.job.wait", metric.WithUnit("s"), metric.WithDescription("Time from handing a job in to its first start."))
-	made.jobDuration, _ = meter.Float64Histogram("ambertiller.job.duration", metric.WithUnit("s"), metric.WithDescription("Time from handing a job in to its end."))
-	made.ownedShards, _ = meter.Int64Gauge("ambertiller.shard.owned", metric.WithDescription("Shards that this entry owns and has read."))
-	made.liveJobs, _ = meter.Int64Gauge("ambertiller.job.live", metric.WithDescription("Jobs of the shards that have not ended."))
-	made.attachedAgents, _ = meter.Int64Gauge("ambertiller.agent.attached", metric.WithDescription("Agents that this owner is connected to."))
-	made.workersExamined, _ = meter.Int64Counter("ambertiller.place.looked", metric.WithDescription("Workers that were looked at for a place, once for each job."))
-	made.evacuatedDomains, _ = meter.Int64Gauge("ambertiller.failure_domain.evacuated", metric.WithDescription("Failure domains that operators have evacuated, as this owner knows."))
-	return made
+	var m metrics
+	m.runsEnded, _ = meter.Int64Counter("ambertiller.run.ended", metric.WithDescription("Runs that ended, by reason."))
+	m.startsRefused, _ = meter.Int64Counter("ambertiller.run.not_started", metric.WithDescription("Starts that were refused, by outcome."))
+	m.runsLost, _ = meter.Int64Counter("ambertiller.run.lost", metric.WithDescription("Runs that were over without an end, by reason."))
+	m.supersededEnds, _ = meter.Int64Counter("ambertiller.run.ended_earlier", metric.WithDescription("Ends of runs as done whose task had been started again."))
+	m.jobsEnded, _ = meter.Int64Counter("ambertiller.job.ended", metric.WithDescription("Jobs that ended, by state."))
+	m.appendDuration, _ = meter.Float64Histogram("ambertiller.shard.append.duration", metric.WithUnit("s"), metric.WithDescription("Time until the store had a shard's records, with retries."))
+	m.jobWait, _ = meter.Float64Histogram("ambertiller.job.wait", metric.WithUnit("s"), metric.WithDescription("Time from handing a job in to its first start."))
+	m.jobDuration, _ = meter.Float64Histogram("ambertiller.job.duration", metric.WithUnit("s"), metric.WithDescription("Time from handing a job in to its end."))
+	m.ownedShards, _ = meter.Int64Gauge("ambertiller.shard.owned", metric.WithDescription("Shards that this entry owns and has read."))
+	m.liveJobs, _ = meter.Int64Gauge("ambertiller.job.live", metric.WithDescription("Jobs of the shards that have not ended."))
+	m.attachedAgents, _ = meter.Int64Gauge("ambertiller.agent.attached", metric.WithDescription("Agents that this owner is connected to."))
+	m.workersExamined, _ = meter.Int64Counter("ambertiller.place.looked", metric.WithDescription("Workers that were looked at for a place, once for each job."))
+	m.evacuatedDomains, _ = meter.Int64Gauge("ambertiller.failure_domain.evacuated", metric.WithDescription("Failure domains that operators have evacuated, as this owner knows."))
+	return m
 }
 
-func (made *metrics) recordJobEnd(ctx context.Context, of *job.Job) {
-	made.jobsEnded.Add(ctx, 1, telemetry.By("state", of.State().String()))
-	made.jobDuration.Record(ctx, of.EndedAt().Sub(time.UnixMilli(of.Submission().GetSubmittedMs())).Seconds(), telemetry.By("queue", of.Submission().GetQueue()))
+func (m *metrics) recordJobEnd(ctx context.Context, j *job.Job) {
+	m.jobsEnded.Add(ctx, 1, telemetry.By("state", j.State().String()))
+	m.jobDuration.Record(ctx, j.EndedAt().Sub(time.UnixMilli(j.Submission().GetSubmittedMs())).Seconds(), telemetry.By("queue", j.Submission().GetQueue()))
 }
 
 // gaugeInterval is how often the gauges are set: metrics are read every few seconds.
@@ -64,11 +64,11 @@
 	}
 	owner.gaugesRecordedAt = now
 	shards, live, attached := int64(0), int64(0), int64(0)
-	for _, held := range owner.shards {
-		if held.loaded {
+	for _, s := range owner.shards {
+		if s.loaded {
 			shards++
 		}
-		live += int64(len(held.live))
+		live += int64(len(s.live))
 	}
 	for _, view := range owner.agents {
 		if view.conn != nil {
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -134,12 +134,12 @@
 
 // New returns an owner that owns nothing until Run.
 func New(options Options) *Owner {
-	applying, stopApplying := context.WithCancel(context.Background())
-	made := &Owner{
+	candidacyCtx, stopCandidacy := context.WithCancel(context.Background())
+	owner := &Owner{
 		options:          options,
 		eventLoop:        loop.New(options.Clock),
-		candidacyCtx:     applying,
-		stopCandidacy:    stopApplying,
+		candidacyCtx:     candidacyCtx,
+		stopCandidacy:    stopCandidacy,
 		candidacyDone:    make(chan struct{}),
 		shards:           map[int]*shard{},
 		fencedEpochs:     map[int]int64{},
@@ -149,11 +149,11 @@
 		advice:           adviceQueue{steps: map[string]*stepAdvice{}},
 		placementChanges: newPlacementChanges(),
 	}
-	made.leaveBeforeJoin.Store(true)
+	owner.leaveBeforeJoin.Store(true)
 	if options.Suspended != nil {
-		made.eventLoop.WatchSuspension(options.Suspended, made.handleSuspension)
+		owner.eventLoop.WatchSuspension(options.Suspended, owner.handleSuspension)
 	}
-	return made
+	return owner
 }
 
 // Run schedules until ctx ends.
@@ -167,11 +167,11 @@
 // MemberName is the name under which the entry joins groups: it begins with what its machine bears, and its
 // address tells others where to reach it.
 func (owner *Owner) MemberName() string {
-	mark := weakPrefix
+	prefix := weakPrefix
 	if owner.options.Strong {
-		mark = strongPrefix
+		prefix = strongPrefix
 	}
-	return mark + owner.options.Name + memberSeparator + owner.options.Address
+	return prefix + owner.options.Name + memberSeparator + owner.options.Address
 }
 
 const (
@@ -190,8 +190,8 @@
 }
 
 func (owner *Owner) tick(now time.Time) {
-	for _, held := range owner.shards {
-		owner.pruneJobs(held, now)
+	for _, s := range owner.shards {
+		owner.pruneJobs(s, now)
 	}
 	for _, view := range owner.agents {
 		owner.releaseExpiredRuns(view, now)
@@ -199,8 +199,8 @@
 	if owner.placementChanges.isDue(now) {
 		owner.placeJobs(owner.placementChanges.take(now), now)
 	}
-	for _, held := range owner.shards {
-		owner.flushShard(held, now)
+	for _, s := range owner.shards {
+		owner.flushShard(s, now)
 	}
 	for _, view := range owner.agents {
 		owner.closeIfUnresponsive(view, now)
@@ -217,16 +217,16 @@
 
 // loadedJob returns the job if its shard is owned and loaded.
 func (owner *Owner) loadedJob(id string) (*shard, *job.Job) {
-	held, owned := owner.shards[job.ShardOf(id, owner.options.Shards)]
-	if !owned || !held.loaded {
+	s, owned := owner.shards[job.ShardOf(id, owner.options.Shards)]
+	if !owned || !s.loaded {
 		return nil, nil
 	}
-	return held, held.jobs[id]
+	return s, s.jobs[id]
 }
 
-func (owner *Owner) sleep(ctx context.Context, length time.Duration) {
+func (owner *Owner) sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-owner.options.Clock.After(length):
+	case <-owner.options.Clock.After(duration):
 	}
 }
--- a/owner/peer.go
+++ b/owner/peer.go
@@ -16,27 +16,27 @@
 type NotOwnedError struct{ shard int }
 
 // Error implements error.
-func (missing *NotOwnedError) Error() string {
+func (err *NotOwnedError) Error() string {
 	return "this entry does not own the job's shard; ask its owner"
 }
 
 // JobState implements wire.DRPCPeerServer. An unknown job is reported as such
 // only after the shard has been read to its end.
 func (owner *Owner) JobState(ctx context.Context, request *wire.JobStateRequest) (*wire.JobStateReply, error) {
-	reply, held, next := owner.jobState(ctx, request.GetId())
-	if held == nil {
+	reply, s, nextOffset := owner.jobState(ctx, request.GetId())
+	if s == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
 	}
 	if reply.GetKnown() {
 		return reply, nil
 	}
-	tail, err := owner.options.Store.Read(ctx, job.TopicJobs, held.number, next, 0)
+	tail, err := owner.options.Store.Read(ctx, job.TopicJobs, s.number, nextOffset, 0)
 	if err != nil {
 		return nil, errors.Wrap(err, "read the shard to its end")
 	}
-	owner.eventLoop.Ask(ctx, func(now time.Time) { owner.applyRecords(held, tail, now) })
-	reply, held, _ = owner.jobState(ctx, request.GetId())
-	if held == nil {
+	owner.eventLoop.Ask(ctx, func(now time.Time) { owner.applyRecords(s, tail, now) })
+	reply, s, _ = owner.jobState(ctx, request.GetId())
+	if s == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
 	}
 	return reply, nil
@@ -44,52 +44,52 @@
 
 func (owner *Owner) jobState(ctx context.Context, id string) (*wire.JobStateReply, *shard, int64) {
 	reply := &wire.JobStateReply{}
-	var found *shard
-	next := int64(0)
-	asked := owner.eventLoop.Ask(ctx, func(time.Time) {
-		held, made := owner.loadedJob(id)
-		if held == nil {
+	var loaded *shard
+	nextOffset := int64(0)
+	ok := owner.eventLoop.Ask(ctx, func(time.Time) {
+		s, j := owner.loadedJob(id)
+		if s == nil {
 			return
 		}
-		found, next = held, held.nextOffset
-		if made != nil {
+		loaded, nextOffset = s, s.nextOffset
+		if j != nil {
 			reply.Known = true
-			reply.State = held.visibleState(made)
+			reply.State = s.visibleState(j)
 		}
 	})
-	if !asked {
+	if !ok {
 		return reply, nil, 0
 	}
-	return reply, found, next
+	return reply, loaded, nextOffset
 }
 
 // visibleState returns the state that a client may be told: an end only once it is in
 // the store.
-func (held *shard) visibleState(made *job.Job) job.State {
-	if _, durable := held.endStoredAt[made.ID()]; made.HasEnded() && !durable {
+func (s *shard) visibleState(j *job.Job) job.State {
+	if _, durable := s.endStoredAt[j.ID()]; j.HasEnded() && !durable {
 		return job.State_STATE_RUNNING
 	}
-	return made.State()
+	return j.State()
 }
 
 // Pending implements wire.DRPCPeerServer: the jobs of a queue, in the shards that
 // this entry owns, none of whose tasks has begun.
 func (owner *Owner) Pending(ctx context.Context, request *wire.PendingRequest) (*wire.PendingReply, error) {
 	reply := &wire.PendingReply{}
-	asked := owner.eventLoop.Ask(ctx, func(time.Time) {
-		for _, held := range owner.shards {
-			if !held.loaded {
+	ok := owner.eventLoop.Ask(ctx, func(time.Time) {
+		for _, s := range owner.shards {
+			if !s.loaded {
 				continue
 			}
-			reply.Shards = append(reply.Shards, int32(held.number))
-			for _, made := range held.live {
-				if made.Submission().GetQueue() == request.GetQueue() && made.State() == job.State_STATE_QUEUED {
+			reply.Shards = append(reply.Shards, int32(s.number))
+			for _, j := range s.live {
+				if j.Submission().GetQueue() == request.GetQueue() && j.State() == job.State_STATE_QUEUED {
 					reply.Pending++
 				}
 			}
 		}
 	})
-	if !asked {
+	if !ok {
 		return nil, errors.New("the entry stops; ask again")
 	}
 	return reply, nil
@@ -101,9 +101,9 @@
 func (owner *Owner) Taken(_ context.Context, request *wire.TakenRequest) (*wire.TakenReply, error) {
 	record := platform.Record{Key: request.GetKey(), Value: request.GetValue()}
 	owner.eventLoop.Post(func(now time.Time) {
-		held, owned := owner.shards[int(request.GetShard())]
-		if owned && held.loaded {
-			owner.applyRecords(held, platform.Tail{Records: []platform.Record{record}}, now)
+		s, owned := owner.shards[int(request.GetShard())]
+		if owned && s.loaded {
+			owner.applyRecords(s, platform.Tail{Records: []platform.Record{record}}, now)
 		}
 	})
 	return &wire.TakenReply{}, nil
@@ -112,11 +112,11 @@
 // Relay implements wire.DRPCPeerServer: it appends a record for an entry that the
 // store turns away.
 func (owner *Owner) Relay(ctx context.Context, request *wire.RelayRequest) (*wire.RelayReply, error) {
-	add := platform.Append{
+	appendRequest := platform.Append{
 		Topic: job.TopicJobs, Part: int(request.GetShard()),
 		Records: []platform.Record{{Key: request.GetKey(), Value: request.GetValue()}},
 	}
-	_, err := owner.options.Store.Append(ctx, add)
+	_, err := owner.options.Store.Append(ctx, appendRequest)
 	if err == nil {
 		return &wire.RelayReply{Appended: true}, nil
 	}
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -11,8 +11,8 @@
 )
 
 // handleAgentMessage takes in what an agent tells.
-func (owner *Owner) handleAgentMessage(view *agentView, from *agentConn, message *wire.AgentMessage, now time.Time) {
-	if view.conn != from {
+func (owner *Owner) handleAgentMessage(view *agentView, conn *agentConn, message *wire.AgentMessage, now time.Time) {
+	if view.conn != conn {
 		return
 	}
 	if message.GetAgent() != "" && view.agentID != message.GetAgent() {
@@ -51,9 +51,9 @@
 
 // markRunsInStatus marks the runs that the agent's account of its room includes.
 func (view *agentView) markRunsInStatus() {
-	for _, entry := range view.runs {
-		if view.hasHandled(entry.orderSequence) {
-			entry.inAgentStatus = true
+	for _, run := range view.runs {
+		if view.hasHandled(run.orderSequence) {
+			run.inAgentStatus = true
 		}
 	}
 }
@@ -67,98 +67,98 @@
 // reconcile compares the runs that an agent lists with those ordered there.
 func (owner *Owner) reconcile(view *agentView, message *wire.AgentMessage, now time.Time) {
 	listed := map[string]*wire.RunStatus{}
-	for _, run := range message.GetRuns() {
-		listed[run.GetTask()] = run
+	for _, reported := range message.GetRuns() {
+		listed[reported.GetTask()] = reported
 	}
 	worker := view.incarnation()
-	for name, entry := range view.runs {
-		run, found := listed[name]
-		if found && run.GetAttempt() == entry.attempt && worker.WorkerID() == entry.place.Incarnation.WorkerID() {
+	for name, run := range view.runs {
+		reported, found := listed[name]
+		if found && reported.GetAttempt() == run.attempt && worker.WorkerID() == run.place.Incarnation.WorkerID() {
 			// On which life of its worker a run goes is for the agent to say: an order that was late may
 			// have been carried out by the next one.
-			entry.place.Incarnation = worker
-			owner.handleListedRun(view, entry, run, now)
-			owner.checkProgress(view, entry, run, now)
+			run.place.Incarnation = worker
+			owner.handleListedRun(view, run, reported, now)
+			owner.checkProgress(view, run, reported, now)
 			continue
 		}
-		owner.handleUnlistedRun(view, entry, worker, now)
+		owner.handleUnlistedRun(view, run, worker, now)
 	}
-	for name, run := range listed {
-		owner.stopStrayRun(view, name, run, worker)
+	for name, reported := range listed {
+		owner.stopStrayRun(view, name, reported, worker)
 	}
 }
 
 // handleListedRun takes in what an agent tells of a run that was ordered there.
-func (owner *Owner) handleListedRun(view *agentView, entry *trackedRun, run *wire.RunStatus, now time.Time) {
-	owner.confirmRun(entry, now)
-	entry.inherited, entry.inAgentStatus = false, true
-	entry.task.Job().SetCheckpoint(entry.task, run.GetAttempt(), run.GetCheckpoint())
+func (owner *Owner) handleListedRun(view *agentView, run *trackedRun, reported *wire.RunStatus, now time.Time) {
+	owner.confirmRun(run, now)
+	run.inherited, run.inAgentStatus = false, true
+	run.task.Job().SetCheckpoint(run.task, reported.GetAttempt(), reported.GetCheckpoint())
 	if !view.status().GetReady() {
-		view.nextMessage.Runs = append(view.nextMessage.Runs, &wire.RunDescription{Task: entry.taskName, Attempt: entry.attempt, Demand: demandOf(entry.task, now)})
+		view.nextMessage.Runs = append(view.nextMessage.Runs, &wire.RunDescription{Task: run.taskName, Attempt: run.attempt, Demand: demandOf(run.task, now)})
 	}
 }
 
 // handleUnlistedRun looks at a run that its agent does not list.
-func (owner *Owner) handleUnlistedRun(view *agentView, entry *trackedRun, worker incarnation.ID, now time.Time) {
+func (owner *Owner) handleUnlistedRun(view *agentView, run *trackedRun, worker incarnation.ID, now time.Time) {
 	status := view.status()
 	if !status.GetReady() && !status.GetAccounted() {
 		return
 	}
-	if !worker.IsZero() && worker.WorkerID() != entry.place.Incarnation.WorkerID() {
+	if !worker.IsZero() && worker.WorkerID() != run.place.Incarnation.WorkerID() {
 		// A machine has one worker: another one that answers there means that the one before it has ended,
 		// with all that it ran. One that has not answered may be known by a heartbeat that was held up.
 		if status.GetReady() {
-			owner.releaseRun(view, entry, "its worker's incarnation is over", now)
+			owner.releaseRun(view, run, "its worker's incarnation is over", now)
 		}
 		return
 	}
 	// Another life under the same id may have carried the order out, which its agent tells to an owner
 	// whose message it has handled.
-	handled := view.hasHandled(entry.orderSequence)
-	if entry.orderedEarlier {
-		handled = view.hasHandled(view.claimSequences[entry.shard.number])
+	handled := view.hasHandled(run.orderSequence)
+	if run.orderedEarlier {
+		handled = view.hasHandled(view.claimSequences[run.shard.number])
 	}
 	if !handled {
 		return
 	}
 	reason := "not listed by its agent"
-	if worker.IsOtherIncarnationOf(entry.place.Incarnation) {
+	if worker.IsOtherIncarnationOf(run.place.Incarnation) {
 		if !status.GetReady() {
 			return
 		}
 		reason = "its worker has started again"
 	}
-	owner.releaseRun(view, entry, reason, now)
+	owner.releaseRun(view, run, reason, now)
 }
 
 // stopStrayRun stops a run that should not be.
-func (owner *Owner) stopStrayRun(view *agentView, name string, run *wire.RunStatus, worker incarnation.ID) {
+func (owner *Owner) stopStrayRun(view *agentView, name string, reported *wire.RunStatus, worker incarnation.ID) {
 	ref, err := job.ParseTaskRef(name)
 	if err != nil {
 		owner.log(event.RecordUnreadable, slog.String("task", name), slog.Any("error", err))
 		return
 	}
-	held, _ := owner.loadedJob(ref.Job)
-	entry, found := view.runs[name]
-	if held == nil || found && entry.attempt == run.GetAttempt() {
+	s, _ := owner.loadedJob(ref.Job)
+	run, found := view.runs[name]
+	if s == nil || found && run.attempt == reported.GetAttempt() {
 		return
 	}
-	owner.log(event.RunStopOrdered, slog.String("task", name), slog.Int("attempt", int(run.GetAttempt())), slog.String("reason", "not the task's present run"))
-	view.addStopOrder(held, name, run.GetAttempt(), worker)
+	owner.log(event.RunStopOrdered, slog.String("task", name), slog.Int("attempt", int(reported.GetAttempt())), slog.String("reason", "not the task's present run"))
+	view.addStopOrder(s, name, reported.GetAttempt(), worker)
 }
 
 // adoptRuns takes up the runs that earlier owners ordered.
-func (owner *Owner) adoptRuns(held *shard, now time.Time) {
-	for _, made := range held.live {
-		for _, task := range made.RunningTasks() {
+func (owner *Owner) adoptRuns(s *shard, now time.Time) {
+	for _, j := range s.live {
+		for _, task := range j.RunningTasks() {
 			view := owner.ensureAgent(task.Place().AgentAddress)
 			if view == nil {
 				continue
 			}
-			entry := newTrackedRun(held, task, now)
-			entry.orderedEarlier, entry.inherited, entry.inAgentStatus = true, true, true
-			view.runs[entry.taskName] = entry
-			owner.releaseIfIncarnationEnded(view, entry, now)
+			run := newTrackedRun(s, task, now)
+			run.orderedEarlier, run.inherited, run.inAgentStatus = true, true, true
+			view.runs[run.taskName] = run
+			owner.releaseIfIncarnationEnded(view, run, now)
 		}
 	}
 	for _, view := range owner.agents {
--- a/owner/reconcile_test.go
+++ b/owner/reconcile_test.go
@@ -15,18 +15,18 @@
 // it gave up. The case that forced it: after all processes had been killed, tasks
 // were started a second time beside their first runs.
 func TestInheritedRunIsKeptUntilGrantExpires(t *testing.T) {
-	made := newHarness(t)
-	of := made.adoptRun(workerID)
-	made.step()
-	made.clock.Advance(storeOutageTolerance)
-	made.owner.lastJoinAt = made.clock.Now()
-	made.step()
-	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
+	h := newHarness(t)
+	j := h.adoptRun(workerID)
+	h.step()
+	h.clock.Advance(storeOutageTolerance)
+	h.owner.lastJoinAt = h.clock.Now()
+	h.step()
+	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released while the owner before may still have granted")
 	}
-	made.clock.Advance(7 * time.Second)
-	made.step()
-	if of.Tasks()[0].State() == job.TaskState_TASK_STARTED {
+	h.clock.Advance(7 * time.Second)
+	h.step()
+	if j.Tasks()[0].State() == job.TaskState_TASK_STARTED {
 		t.Error("not released although every grant must have ended")
 	}
 }
@@ -34,34 +34,34 @@
 // TestInheritedRunIsReleasedIfNotListed: once the agent has heard of the
 // claim, no order of an earlier owner can start anything.
 func TestInheritedRunIsReleasedIfNotListed(t *testing.T) {
-	made := newHarness(t)
-	of := made.adoptRun(workerID)
-	made.attach()
-	made.receive(&wire.AgentMessage{Complete: true})
-	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
+	h := newHarness(t)
+	j := h.adoptRun(workerID)
+	h.attach()
+	h.receive(&wire.AgentMessage{Complete: true})
+	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released before the agent had heard of the claim")
 	}
-	made.step()
-	made.takeSent()
-	made.receive(&wire.AgentMessage{Complete: true})
-	if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
+	h.step()
+	h.takeSent()
+	h.receive(&wire.AgentMessage{Complete: true})
+	if j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
 		t.Error("not released although the agent lacks it")
 	}
 }
 
 func TestSilentAgentKeepsRunsUntilGrantExpires(t *testing.T) {
-	made := newHarness(t)
-	of := made.submit()
-	made.attachAndStart()
-	made.owner.handleDisconnected(made.agent, made.agent.conn, context.Canceled)
-	made.clock.Advance(6 * time.Second)
-	made.step()
-	if of.Tasks()[0].Attempt() != 1 || of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
+	h := newHarness(t)
+	j := h.submit()
+	h.attachAndStart()
+	h.owner.handleDisconnected(h.agent, h.agent.conn, context.Canceled)
+	h.clock.Advance(6 * time.Second)
+	h.step()
+	if j.Tasks()[0].Attempt() != 1 || j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released while its grant runs")
 	}
-	made.clock.Advance(2 * time.Second)
-	made.step()
-	if of.Tasks()[0].State() == job.TaskState_TASK_STARTED {
+	h.clock.Advance(2 * time.Second)
+	h.step()
+	if j.Tasks()[0].State() == job.TaskState_TASK_STARTED {
 		t.Error("not released although the grant must have ended")
 	}
 }
@@ -69,15 +69,15 @@
 // TestNewIncarnationReleasesRuns: the case that forced it left lasting tasks
 // waiting for twenty seconds after all machines had lost power.
 func TestNewIncarnationReleasesRuns(t *testing.T) {
-	made := newHarness(t)
-	of := made.adoptRun("i-0")
-	made.attach()
-	made.receive(&wire.AgentMessage{Complete: true, Status: &wire.WorkerStatus{}})
-	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
+	h := newHarness(t)
+	j := h.adoptRun("i-0")
+	h.attach()
+	h.receive(&wire.AgentMessage{Complete: true, Status: &wire.WorkerStatus{}})
+	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released while the agent knows of no worker")
 	}
-	made.receive(&wire.AgentMessage{Complete: true})
-	if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
+	h.receive(&wire.AgentMessage{Complete: true})
+	if j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
 		t.Error("not released although another incarnation stands there")
 	}
 }
@@ -87,20 +87,20 @@
 // waited 17 s for lasting tasks to be over.
 func TestRunsOfEndedIncarnationAreReleased(t *testing.T) {
 	tests := map[string]bool{"read before the shard": true, "read after the shard": false}
-	for name, before := range tests {
+	for name, readFirst := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			of := made.submit()
-			of.StartRun(of.Tasks()[0], job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, made.clock.Now())
-			registered := platform.Tail{Records: []platform.Record{newRecord(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}})}}
-			if before {
-				made.owner.applyAgentRecords(registered, made.clock.Now())
+			h := newHarness(t)
+			j := h.submit()
+			j.StartRun(j.Tasks()[0], job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, h.clock.Now())
+			records := platform.Tail{Records: []platform.Record{newRecord(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}})}}
+			if readFirst {
+				h.owner.applyAgentRecords(records, h.clock.Now())
 			}
-			made.owner.adoptRuns(made.shard, made.clock.Now())
-			if !before {
-				made.owner.applyAgentRecords(registered, made.clock.Now())
+			h.owner.adoptRuns(h.shard, h.clock.Now())
+			if !readFirst {
+				h.owner.applyAgentRecords(records, h.clock.Now())
 			}
-			if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
+			if j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
 				t.Error("not released")
 			}
 		})
@@ -108,16 +108,16 @@
 }
 
 func TestNoGrantWithoutRecentJoin(t *testing.T) {
-	made := newHarness(t)
-	made.attach()
-	made.step()
-	if got := made.takeSent(); len(got) == 0 || got[len(got)-1].GetGrantUntilNanos() == 0 {
+	h := newHarness(t)
+	h.attach()
+	h.step()
+	if got := h.takeSent(); len(got) == 0 || got[len(got)-1].GetGrantUntilNanos() == 0 {
 		t.Fatalf("no grant at first: %v", got)
 	}
-	made.clock.Advance(storeOutageTolerance + time.Second)
-	made.receive(&wire.AgentMessage{})
-	made.step()
-	for _, message := range made.takeSent() {
+	h.clock.Advance(storeOutageTolerance + time.Second)
+	h.receive(&wire.AgentMessage{})
+	h.step()
+	for _, message := range h.takeSent() {
 		if message.GetGrantUntilNanos() != 0 {
 			t.Error("granted without word from the store for longer than another owner waits")
 		}
@@ -125,13 +125,13 @@
 }
 
 func TestStrayRunIsStopped(t *testing.T) {
-	made := newHarness(t)
-	made.submit()
-	made.attach()
-	made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 9}}})
-	made.step()
+	h := newHarness(t)
+	h.submit()
+	h.attach()
+	h.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 9}}})
+	h.step()
 	stops := 0
-	for _, message := range made.takeSent() {
+	for _, message := range h.takeSent() {
 		stops += len(message.GetStops())
 	}
 	if stops != 1 {
@@ -144,13 +144,13 @@
 func TestUnreadyWorkerReleasesNoRuns(t *testing.T) {
 	for name, ready := range map[string]bool{"it has not answered": false, "it has answered": true} {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			of := made.submit()
-			made.attachAndStart()
+			h := newHarness(t)
+			j := h.submit()
+			h.attachAndStart()
 			status := idleWorkerStatus()
 			status.Worker, status.Ready = "i-0", ready
-			made.receive(&wire.AgentMessage{Status: status, Complete: true})
-			if released := of.Tasks()[0].State() == job.TaskState_TASK_WAITING; released != ready {
+			h.receive(&wire.AgentMessage{Status: status, Complete: true})
+			if released := j.Tasks()[0].State() == job.TaskState_TASK_WAITING; released != ready {
 				t.Errorf("the task waits again: %v", released)
 			}
 		})
--- a/owner/records.go
+++ b/owner/records.go
@@ -11,110 +11,110 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-func (owner *Owner) applySubmission(held *shard, record platform.Record, now time.Time) {
+func (owner *Owner) applySubmission(s *shard, record platform.Record, now time.Time) {
 	if len(record.Value) == 0 {
 		return
 	}
 	submission := &job.Submission{}
 	if err := proto.Unmarshal(record.Value, submission); err != nil {
-		owner.logUnreadable(held, record, err)
+		owner.logUnreadable(s, record, err)
 		return
 	}
-	if held.jobs[submission.GetId()] != nil {
+	if s.jobs[submission.GetId()] != nil {
 		return
 	}
-	made := job.New(submission, held.number)
-	held.jobs[made.ID()] = made
-	held.live[made.ID()] = made
-	if held.loaded {
-		made.RebaseObjective(now)
-		owner.placementChanges.addJob(made)
+	j := job.New(submission, s.number)
+	s.jobs[j.ID()] = j
+	s.live[j.ID()] = j
+	if s.loaded {
+		j.RebaseObjective(now)
+		owner.placementChanges.addJob(j)
 	}
-	if held.cancelled[made.ID()] {
-		owner.cancelJob(held, made, now)
+	if s.cancelled[j.ID()] {
+		owner.cancelJob(s, j, now)
 	}
-	if held.loaded {
-		owner.log(event.JobTaken, slog.String("job", made.ID()), slog.String("queue", submission.GetQueue()),
-			slog.Int("tasks", len(made.Tasks())), slog.Duration("age", now.Sub(time.UnixMilli(submission.GetSubmittedMs()))),
-			slog.Time("objective", made.Objective()), slog.Duration("allowed", made.TargetDuration()), slog.Bool("lasting", made.IsLasting()),
-			slog.Int64("core_ms", made.CoreMs()))
+	if s.loaded {
+		owner.log(event.JobTaken, slog.String("job", j.ID()), slog.String("queue", submission.GetQueue()),
+			slog.Int("tasks", len(j.Tasks())), slog.Duration("age", now.Sub(time.UnixMilli(submission.GetSubmittedMs()))),
+			slog.Time("objective", j.Objective()), slog.Duration("allowed", j.TargetDuration()), slog.Bool("lasting", j.IsLasting()),
+			slog.Int64("core_ms", j.CoreMs()))
 	}
 }
 
-func (owner *Owner) applyProgress(held *shard, record platform.Record, now time.Time) {
+func (owner *Owner) applyProgress(s *shard, record platform.Record, now time.Time) {
 	if len(record.Value) == 0 {
 		return
 	}
-	kept := &job.Progress{}
-	if err := proto.Unmarshal(record.Value, kept); err != nil {
-		owner.logUnreadable(held, record, err)
+	progress := &job.Progress{}
+	if err := proto.Unmarshal(record.Value, progress); err != nil {
+		owner.logUnreadable(s, record, err)
 		return
 	}
-	made, found := held.jobs[kept.GetId()]
+	j, found := s.jobs[progress.GetId()]
 	if !found {
 		return
 	}
-	made.Restore(kept, now)
-	if made.HasEnded() {
-		held.endStoredAt[made.ID()] = now
+	j.Restore(progress, now)
+	if j.HasEnded() {
+		s.endStoredAt[j.ID()] = now
 	}
-	held.removeIfSettled(made)
+	s.removeIfSettled(j)
 }
 
 // removeIfSettled keeps a job among the live ones while anything may still happen.
-func (held *shard) removeIfSettled(made *job.Job) {
-	if made.HasEnded() && len(made.RunningTasks()) == 0 {
-		delete(held.live, made.ID())
+func (s *shard) removeIfSettled(j *job.Job) {
+	if j.HasEnded() && len(j.RunningTasks()) == 0 {
+		delete(s.live, j.ID())
 	}
 }
 
-func (owner *Owner) applyCancellation(held *shard, record platform.Record, now time.Time) {
+func (owner *Owner) applyCancellation(s *shard, record platform.Record, now time.Time) {
 	if len(record.Value) == 0 {
 		return
 	}
 	cancellation := &job.Cancellation{}
 	if err := proto.Unmarshal(record.Value, cancellation); err != nil {
-		owner.logUnreadable(held, record, err)
+		owner.logUnreadable(s, record, err)
 		return
 	}
-	held.cancelled[cancellation.GetId()] = true
-	if made, found := held.jobs[cancellation.GetId()]; found {
-		owner.cancelJob(held, made, now)
+	s.cancelled[cancellation.GetId()] = true
+	if j, found := s.jobs[cancellation.GetId()]; found {
+		owner.cancelJob(s, j, now)
 	}
 }
 
-func (owner *Owner) cancelJob(held *shard, made *job.Job, now time.Time) {
-	if !made.Cancel(now) {
+func (owner *Owner) cancelJob(s *shard, j *job.Job, now time.Time) {
+	if !j.Cancel(now) {
 		return
 	}
-	owner.markDirty(held, made)
-	owner.reportEndOnceStored(held, made)
-	held.removeIfSettled(made)
+	owner.markDirty(s, j)
+	owner.reportEndOnceStored(s, j)
+	s.removeIfSettled(j)
 }
 
-func (owner *Owner) logUnreadable(held *shard, record platform.Record, err error) {
-	owner.log(event.RecordUnreadable, slog.Int("shard", held.number),
+func (owner *Owner) logUnreadable(s *shard, record platform.Record, err error) {
+	owner.log(event.RecordUnreadable, slog.Int("shard", s.number),
 		slog.String("key", record.Key), slog.Int64("offset", record.Offset), slog.Any("error", err))
 }
 
 // markDirty has the job's progress written.
-func (owner *Owner) markDirty(held *shard, made *job.Job) {
-	held.dirty[made.ID()] = made
+func (owner *Owner) markDirty(s *shard, j *job.Job) {
+	s.dirty[j.ID()] = j
 }
 
 // markRunOver has the job's progress written after a run is over, and places looked for what may start now.
-func (owner *Owner) markRunOver(held *shard, made *job.Job, view *agentView) {
-	owner.markDirty(held, made)
-	owner.placementChanges.addJob(made)
+func (owner *Owner) markRunOver(s *shard, j *job.Job, view *agentView) {
+	owner.markDirty(s, j)
+	owner.placementChanges.addJob(j)
 	owner.placementChanges.addWorker(view)
 }
 
-func (owner *Owner) reportEndOnceStored(held *shard, made *job.Job) {
-	held.afterFlush = append(held.afterFlush, func(now time.Time) {
-		held.endStoredAt[made.ID()] = now
-		owner.metrics.recordJobEnd(owner.ctx, made)
-		owner.log(event.JobEnded, slog.String("job", made.ID()), slog.String("state", made.State().String()),
-			slog.Duration("took", made.EndedAt().Sub(time.UnixMilli(made.Submission().GetSubmittedMs()))),
-			slog.Duration("past_objective", made.EndedAt().Sub(made.Objective())))
+func (owner *Owner) reportEndOnceStored(s *shard, j *job.Job) {
+	s.afterFlush = append(s.afterFlush, func(now time.Time) {
+		s.endStoredAt[j.ID()] = now
+		owner.metrics.recordJobEnd(owner.ctx, j)
+		owner.log(event.JobEnded, slog.String("job", j.ID()), slog.String("state", j.State().String()),
+			slog.Duration("took", j.EndedAt().Sub(time.UnixMilli(j.Submission().GetSubmittedMs()))),
+			slog.Duration("past_objective", j.EndedAt().Sub(j.Objective())))
 	})
 }
--- a/owner/registration_test.go
+++ b/owner/registration_test.go
@@ -38,60 +38,60 @@
 	agentNames []string
 }
 
-func newRegistrationFleet(t *testing.T, agents int, takes time.Duration) *registrationFleet {
+func newRegistrationFleet(t *testing.T, agents int, appendTime time.Duration) *registrationFleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	clock := clockwork.NewFakeClock()
-	made := &registrationFleet{clock: clock, store: wirestore.New(fleetShards, clock.Now)}
-	made.store.TakeTurns(clock, takes)
-	served := httptest.NewServer(made.store)
+	f := &registrationFleet{clock: clock, store: wirestore.New(fleetShards, clock.Now)}
+	f.store.TakeTurns(clock, appendTime)
+	server := httptest.NewServer(f.store)
 	t.Cleanup(func() {
 		cancel()
-		served.CloseClientConnections()
+		server.CloseClientConnections()
 		clock.Advance(time.Hour) // What waits its turn in the store is let go.
-		served.Close()
+		server.Close()
 	})
-	calls := func() *platform.Store {
-		return platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.Transport())
+	newStore := func() *platform.Store {
+		return platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport())
 	}
 	for number := range ownerCount {
-		scheduling := owner.New(owner.Options{
+		o := owner.New(owner.Options{
 			Name: fmt.Sprintf("edge-%d", number), Strong: true, Address: fmt.Sprintf("10.0.1.%d:7000", number), Shards: fleetShards,
-			GrantDuration: 5 * time.Second, MemberTimeout: time.Hour, JobRetention: time.Minute, Store: calls(), Clock: clock, Events: event.Discard(),
+			GrantDuration: 5 * time.Second, MemberTimeout: time.Hour, JobRetention: time.Minute, Store: newStore(), Clock: clock, Events: event.Discard(),
 			Dial: func(context.Context, string) (drpc.Conn, error) { return nil, errors.New("nobody is there") },
 		})
-		go scheduling.Run(ctx)
+		go o.Run(ctx)
 	}
 	for number := range agents {
 		name := fmt.Sprintf("side-%d", number)
-		made.agentNames = append(made.agentNames, name)
-		beside := agent.New(agent.Options{Name: name, Shards: fleetShards, Clock: clock, Events: event.Discard()})
-		go beside.Run(ctx)
-		go beside.Register(ctx, calls(), fmt.Sprintf("10.0.%d.%d:7001", 2+number/250, number%250))
+		f.agentNames = append(f.agentNames, name)
+		a := agent.New(agent.Options{Name: name, Shards: fleetShards, Clock: clock, Events: event.Discard()})
+		go a.Run(ctx)
+		go a.Register(ctx, newStore(), fmt.Sprintf("10.0.%d.%d:7001", 2+number/250, number%250))
 	}
-	return made
+	return f
 }
 
 // advance lets time pass.
-func (made *registrationFleet) advance(length time.Duration) {
-	for range length / registrationTick {
-		made.clock.Advance(registrationTick)
+func (f *registrationFleet) advance(duration time.Duration) {
+	for range duration / registrationTick {
+		f.clock.Advance(registrationTick)
 		time.Sleep(registrationTickPause)
 	}
 }
 
 // timeUntilRegistered returns how long it took until the store had the records of all agents, most if it had not by then.
-func (made *registrationFleet) timeUntilRegistered(most time.Duration) time.Duration {
-	took := time.Duration(0)
-	for ; took < most && !made.allRegistered(); took += 20 * registrationTick {
-		made.advance(20 * registrationTick)
+func (f *registrationFleet) timeUntilRegistered(timeout time.Duration) time.Duration {
+	elapsed := time.Duration(0)
+	for ; elapsed < timeout && !f.allRegistered(); elapsed += 20 * registrationTick {
+		f.advance(20 * registrationTick)
 	}
-	return took
+	return elapsed
 }
 
-func (made *registrationFleet) allRegistered() bool {
-	for _, name := range made.agentNames {
-		if _, found := made.store.Newest(job.TopicAgents, job.AgentPartition(name, fleetShards), name); !found {
+func (f *registrationFleet) allRegistered() bool {
+	for _, name := range f.agentNames {
+		if _, found := f.store.Newest(job.TopicAgents, job.AgentPartition(name, fleetShards), name); !found {
 			return false
 		}
 	}
@@ -114,23 +114,23 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newRegistrationFleet(t, test.agents, test.takes)
-			took := made.timeUntilRegistered(20 * time.Second)
-			if !made.allRegistered() {
-				t.Fatalf("not all agents are known after %v", took)
+			f := newRegistrationFleet(t, test.agents, test.takes)
+			elapsed := f.timeUntilRegistered(20 * time.Second)
+			if !f.allRegistered() {
+				t.Fatalf("not all agents are known after %v", elapsed)
 			}
-			made.advance(time.Second)
-			appends := made.store.TopicCalls("/v1/log-append", job.TopicAgents)
+			f.advance(time.Second)
+			appends := f.store.TopicCalls("/v1/log-append", job.TopicAgents)
 			if appends > test.agents*test.tries {
 				t.Errorf("%d appends of %d agents, want %d an agent at most", appends, test.agents, test.tries)
 			}
-			reads := made.store.TopicCalls("/v1/log-read", job.TopicAgents)
+			reads := f.store.TopicCalls("/v1/log-read", job.TopicAgents)
 			// The reads of a partition that find records are spaced, and one that waits comes after them.
-			most := ownerCount * job.AgentPartitions(fleetShards) * (int((took+time.Second)/minReadInterval) + 2)
-			if reads > most {
-				t.Errorf("%d reads of %d entries for %d agents in %v, want %d at most", reads, ownerCount, test.agents, took, most)
+			maxReads := ownerCount * job.AgentPartitions(fleetShards) * (int((elapsed+time.Second)/minReadInterval) + 2)
+			if reads > maxReads {
+				t.Errorf("%d reads of %d entries for %d agents in %v, want %d at most", reads, ownerCount, test.agents, elapsed, maxReads)
 			}
-			t.Logf("%d agents: known after %v, %d appends, %d reads of %d entries", test.agents, took, appends, reads, ownerCount)
+			t.Logf("%d agents: known after %v, %d appends, %d reads of %d entries", test.agents, elapsed, appends, reads, ownerCount)
 		})
 	}
 }
--- a/owner/remember.go
+++ b/owner/remember.go
@@ -32,16 +32,16 @@
 // all lost power know the weights again before the first task runs: over 48 days that end
 // with such a loss, serving tasks missed their targets for 137 s a day instead of 149 s,
 // and 184 runs were stopped instead of 216.
-func (owner *Owner) persistLearned(held *shard) {
-	found, ok := owner.readNewest(held, job.TopicInterference)
+func (owner *Owner) persistLearned(s *shard) {
+	tail, ok := owner.readNewest(s, job.TopicInterference)
 	if !ok {
 		return
 	}
-	remembered := owner.decodeLearned(held, found)
-	owner.eventLoop.Post(func(time.Time) { owner.applyStoredLearned(held, remembered) })
-	record := &learnedRecord{shard: held, nextSequence: 1}
+	stored := owner.decodeLearned(s, tail)
+	owner.eventLoop.Post(func(time.Time) { owner.applyStoredLearned(s, stored) })
+	record := &learnedRecord{shard: s, nextSequence: 1}
 	for {
-		owner.sleep(held.ctx, learnedWriteInterval)
+		owner.sleep(s.ctx, learnedWriteInterval)
 		if !owner.writeLearned(record) {
 			return
 		}
@@ -93,42 +93,42 @@
 }
 
 func (owner *Owner) appendLearned(record *learnedRecord, value []byte) error {
-	held := record.shard
-	ctx, cancel := context.WithTimeout(held.ctx, storeTimeout)
+	s := record.shard
+	ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
 	defer cancel()
 	_, err := owner.options.Store.Append(ctx, platform.Append{
-		Topic: job.TopicInterference, Part: held.number, Records: []platform.Record{{Key: job.InterferenceKey, Value: value}},
-		Producer: producer, Epoch: held.epoch, Sequence: record.nextSequence,
+		Topic: job.TopicInterference, Part: s.number, Records: []platform.Record{{Key: job.InterferenceKey, Value: value}},
+		Producer: producer, Epoch: s.epoch, Sequence: record.nextSequence,
 	})
 	return err
 }
 
-func (owner *Owner) decodeLearned(held *shard, found platform.Tail) []*job.Interference {
-	for _, record := range found.Records {
+func (owner *Owner) decodeLearned(s *shard, tail platform.Tail) []*job.Interference {
+	for _, record := range tail.Records {
 		if record.Key != job.InterferenceKey {
 			continue
 		}
-		kept := &job.Learned{}
-		if err := proto.Unmarshal(record.Value, kept); err != nil {
-			owner.logUnreadable(held, record, err)
+		stored := &job.Learned{}
+		if err := proto.Unmarshal(record.Value, stored); err != nil {
+			owner.logUnreadable(s, record, err)
 			return nil
 		}
-		return kept.GetPairs()
+		return stored.GetPairs()
 	}
 	return nil
 }
 
 // applyStoredLearned has all agents told at once what was remembered.
-func (owner *Owner) applyStoredLearned(held *shard, remembered []*job.Interference) {
-	if owner.shards[held.number] != held || len(remembered) == 0 {
+func (owner *Owner) applyStoredLearned(s *shard, stored []*job.Interference) {
+	if owner.shards[s.number] != s || len(stored) == 0 {
 		return
 	}
-	held.learned.addStored(remembered)
+	s.learned.addStored(stored)
 	owner.learnedPublishedAt = time.Time{}
 	for _, view := range owner.agents {
 		view.learnedSentAt = time.Time{}
 	}
-	owner.log(event.LearnedTakenUp, slog.Int("pairs", len(remembered)))
+	owner.log(event.LearnedTakenUp, slog.Int("pairs", len(stored)))
 }
 
 // pairsToStore returns what is worth keeping of what was learned, in a fixed order.
@@ -136,9 +136,9 @@
 	slices.SortFunc(learned, func(a, b *job.Interference) int {
 		return cmp.Or(cmp.Compare(b.GetReadings(), a.GetReadings()), cmp.Compare(a.GetServing(), b.GetServing()), cmp.Compare(a.GetFill(), b.GetFill()))
 	})
-	kept := learned[:min(len(learned), maxStoredPairs)]
-	for _, pair := range kept {
+	selected := learned[:min(len(learned), maxStoredPairs)]
+	for _, pair := range selected {
 		pair.Readings = min(pair.Readings, maxStoredReadings)
 	}
-	return kept
+	return selected
 }
--- a/owner/remember_test.go
+++ b/owner/remember_test.go
@@ -9,19 +9,19 @@
 
 // addSharedShard has the bench's owner own the shard whose owner puts together what has
 // been learned.
-func (made *harness) addSharedShard(ctx context.Context, epoch int64) *shard {
-	held := newShard(ctx, job.InterferenceShard, epoch, made.clock.Now())
-	held.loaded = true
-	made.owner.shards[job.InterferenceShard] = held
-	return held
+func (h *harness) addSharedShard(ctx context.Context, epoch int64) *shard {
+	s := newShard(ctx, job.InterferenceShard, epoch, h.clock.Now())
+	s.loaded = true
+	h.owner.shards[job.InterferenceShard] = s
+	return s
 }
 
 // learnedWeight returns the weight that an agent would be told of the pair "s" and "f", and on how
 // many readings it rests.
-func learnedWeight(told []*job.Interference) (weight float64, readings int32) {
-	for _, known := range told {
-		if known.GetServing() == "s" && known.GetFill() == "f" {
-			return known.GetWeight(), known.GetReadings()
+func learnedWeight(estimates []*job.Interference) (weight float64, readings int32) {
+	for _, estimate := range estimates {
+		if estimate.GetServing() == "s" && estimate.GetFill() == "f" {
+			return estimate.GetWeight(), estimate.GetReadings()
 		}
 	}
 	return 0, 0
@@ -32,40 +32,40 @@
 func TestLearnedIsPersisted(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	made := newHarness(t)
-	held := made.addSharedShard(ctx, 4)
-	held.learned.update(made.agent, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
-	go made.owner.persistLearned(held)
-	made.owner.eventLoop.RunOne(made.clock.Now()) // Nothing is remembered yet.
+	h := newHarness(t)
+	s := h.addSharedShard(ctx, 4)
+	s.learned.update(h.agent, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
+	go h.owner.persistLearned(s)
+	h.owner.eventLoop.RunOne(h.clock.Now()) // Nothing is remembered yet.
 	for range 2 {
 		// The second time it is the same, and is not written again.
-		if err := made.clock.BlockUntilContext(ctx, 1); err != nil {
+		if err := h.clock.BlockUntilContext(ctx, 1); err != nil {
 			t.Fatal(err)
 		}
-		made.clock.Advance(learnedWriteInterval)
-		made.owner.eventLoop.RunOne(made.clock.Now())
+		h.clock.Advance(learnedWriteInterval)
+		h.owner.eventLoop.RunOne(h.clock.Now())
 	}
-	if err := made.clock.BlockUntilContext(ctx, 1); err != nil {
+	if err := h.clock.BlockUntilContext(ctx, 1); err != nil {
 		t.Fatal(err)
 	}
-	if appends := made.store.Calls("/v1/log-append"); appends != 1 {
+	if appends := h.store.Calls("/v1/log-append"); appends != 1 {
 		t.Errorf("%d appends", appends)
 	}
 
-	after := newHarness(t)
-	after.store = made.store
-	after.owner = newOwner(t, after.clock, made.store)
-	after.owner.ctx = ctx
-	after.owner.agents[agentAddress] = after.agent
-	next := after.addSharedShard(ctx, 5)
-	after.agent.learnedSentAt = after.clock.Now()
-	go after.owner.persistLearned(next)
-	after.owner.eventLoop.RunOne(after.clock.Now())
-	weight, readings := learnedWeight(next.learned.meansExcluding(after.agent))
+	next := newHarness(t)
+	next.store = h.store
+	next.owner = newOwner(t, next.clock, h.store)
+	next.owner.ctx = ctx
+	next.owner.agents[agentAddress] = next.agent
+	nextShard := next.addSharedShard(ctx, 5)
+	next.agent.learnedSentAt = next.clock.Now()
+	go next.owner.persistLearned(nextShard)
+	next.owner.eventLoop.RunOne(next.clock.Now())
+	weight, readings := learnedWeight(nextShard.learned.meansExcluding(next.agent))
 	if weight != 0.5 || readings != maxStoredReadings {
 		t.Errorf("the next owner tells a weight of %v by %d readings", weight, readings)
 	}
-	if !after.agent.learnedSentAt.IsZero() {
+	if !next.agent.learnedSentAt.IsZero() {
 		t.Error("the agent is not told at once")
 	}
 }
--- a/owner/runs.go
+++ b/owner/runs.go
@@ -26,96 +26,96 @@
 )
 
 // logRun logs what becomes of a run.
-func (owner *Owner) logRun(code event.Code, entry *trackedRun, attributes ...slog.Attr) {
-	about := []slog.Attr{slog.String("task", entry.taskName), slog.Int("attempt", int(entry.attempt))}
+func (owner *Owner) logRun(code event.Code, run *trackedRun, attributes ...slog.Attr) {
+	about := []slog.Attr{slog.String("task", run.taskName), slog.Int("attempt", int(run.attempt))}
 	owner.log(code, append(about, attributes...)...)
 }
 
 // startTask decides that a task runs at an agent's worker. The order goes out once
 // the decision is in the store.
 func (owner *Owner) startTask(task *job.Task, view *agentView, now time.Time) {
-	made := task.Job()
-	held := owner.shards[made.Shard()]
+	j := task.Job()
+	s := owner.shards[j.Shard()]
 	waited, obstacle := task.UnplacedFor(now)
-	made.StartRun(task, job.Place{Incarnation: view.incarnation(), AgentAddress: view.address}, now)
-	entry := newTrackedRun(held, task, now)
-	entry.ticket, _ = owner.ticketFor(task, entry.place.Incarnation, now)
-	view.runs[entry.taskName] = entry
+	j.StartRun(task, job.Place{Incarnation: view.incarnation(), AgentAddress: view.address}, now)
+	run := newTrackedRun(s, task, now)
+	run.ticket, _ = owner.ticketFor(task, run.place.Incarnation, now)
+	view.runs[run.taskName] = run
 	if task.IsSuspect() {
 		view.noSuspectsUntil = now.Add(suspectSpacing)
 	}
-	owner.logRun(event.RunPlaced, entry, slog.String("worker", entry.place.Incarnation.WorkerID()), slog.Int64("born", entry.place.Incarnation.StartedMs()), slog.Int64("milli_cpu", entry.demand.GetMilliCpu()),
-		slog.Bool("fills", entry.demand.GetFills()), slog.String("image", entry.demand.GetImage()), slog.Int64("target_ms", entry.demand.GetTargetMs()), slog.Int64("estimate_ms", task.Spec().GetEstimateMs()),
+	owner.logRun(event.RunPlaced, run, slog.String("worker", run.place.Incarnation.WorkerID()), slog.Int64("born", run.place.Incarnation.StartedMs()), slog.Int64("milli_cpu", run.demand.GetMilliCpu()),
+		slog.Bool("fills", run.demand.GetFills()), slog.String("image", run.demand.GetImage()), slog.Int64("target_ms", run.demand.GetTargetMs()), slog.Int64("estimate_ms", task.Spec().GetEstimateMs()),
 		slog.Int64("free_milli_cpu", view.status().GetFreeMilliCpu()), slog.Int64("free_memory_mb", view.status().GetFreeMemoryMb()),
 		slog.Duration("age", now.Sub(view.lastMessageAt)), slog.Duration("waited", waited), slog.String("obstacle", obstacle))
-	owner.markDirty(held, made)
-	held.afterFlush = append(held.afterFlush, func(now time.Time) { owner.addStartOrder(view, entry, now) })
+	owner.markDirty(s, j)
+	s.afterFlush = append(s.afterFlush, func(now time.Time) { owner.addStartOrder(view, run, now) })
 }
 
 // addStartOrder sends the order for a run whose start is in the store.
-func (owner *Owner) addStartOrder(view *agentView, entry *trackedRun, now time.Time) {
-	if view.runs[entry.taskName] != entry {
+func (owner *Owner) addStartOrder(view *agentView, run *trackedRun, now time.Time) {
+	if view.runs[run.taskName] != run {
 		return
 	}
-	if view.conn == nil || view.incarnation() != entry.place.Incarnation || entry.task.Job().HasEnded() {
+	if view.conn == nil || view.incarnation() != run.place.Incarnation || run.task.Job().HasEnded() {
 		// Never ordered, so it never ran.
-		owner.releaseRun(view, entry, "its place went away before the order", now)
+		owner.releaseRun(view, run, "its place went away before the order", now)
 		return
 	}
 	if owner.isEvacuated(view) {
-		owner.releaseRun(view, entry, "its failure domain was evacuated before the order", now)
+		owner.releaseRun(view, run, "its failure domain was evacuated before the order", now)
 		return
 	}
-	made := entry.task.Job()
+	j := run.task.Job()
 	view.nextMessage.Starts = append(view.nextMessage.Starts, &wire.StartOrder{
-		Shard: int32(entry.shard.number), Epoch: entry.shard.epoch, Task: entry.taskName, Attempt: entry.attempt, Worker: entry.place.Incarnation.WorkerID(), Born: entry.place.Incarnation.StartedMs(),
-		Spec: made.Submission().GetSpec(), Checkpoint: made.ResumeCheckpoint(entry.task), Ticket: entry.ticket, Demand: entry.demand, Suspect: entry.task.IsSuspect(),
+		Shard: int32(run.shard.number), Epoch: run.shard.epoch, Task: run.taskName, Attempt: run.attempt, Worker: run.place.Incarnation.WorkerID(), Born: run.place.Incarnation.StartedMs(),
+		Spec: j.Submission().GetSpec(), Checkpoint: j.ResumeCheckpoint(run.task), Ticket: run.ticket, Demand: run.demand, Suspect: run.task.IsSuspect(),
 	})
-	entry.orderSequence = view.sentSequence + 1
-	entry.orderedAt = now
-	entry.orderedEarlier = false
-	owner.logRun(event.RunOrdered, entry, slog.String("worker", entry.place.Incarnation.WorkerID()), slog.Int64("message", entry.orderSequence))
+	run.orderSequence = view.sentSequence + 1
+	run.orderedAt = now
+	run.orderedEarlier = false
+	owner.logRun(event.RunOrdered, run, slog.String("worker", run.place.Incarnation.WorkerID()), slog.Int64("message", run.orderSequence))
 }
 
 // confirmRun notes that a run has started.
-func (owner *Owner) confirmRun(entry *trackedRun, now time.Time) {
-	if !entry.confirmed {
-		owner.logRun(event.RunStarted, entry, slog.String("worker", entry.place.Incarnation.WorkerID()))
+func (owner *Owner) confirmRun(run *trackedRun, now time.Time) {
+	if !run.confirmed {
+		owner.logRun(event.RunStarted, run, slog.String("worker", run.place.Incarnation.WorkerID()))
 	}
-	entry.confirmed = true
-	entry.task.ResetRefusals()
-	if entry.task.Job().MarkRunning(now) {
-		owner.metrics.jobWait.Record(owner.ctx, now.Sub(time.UnixMilli(entry.task.Job().Submission().GetSubmittedMs())).Seconds())
-		owner.markDirty(entry.shard, entry.task.Job())
+	run.confirmed = true
+	run.task.ResetRefusals()
+	if run.task.Job().MarkRunning(now) {
+		owner.metrics.jobWait.Record(owner.ctx, now.Sub(time.UnixMilli(run.task.Job().Submission().GetSubmittedMs())).Seconds())
+		owner.markDirty(run.shard, run.task.Job())
 	}
 }
 
 // handleStartResult takes in whether a run has started.
 func (owner *Owner) handleStartResult(view *agentView, result *wire.StartResult, now time.Time) {
-	entry, found := view.runs[result.GetTask()]
-	if !found || entry.attempt != result.GetAttempt() || !entry.place.Incarnation.MayEqual(result.Incarnation()) {
+	run, found := view.runs[result.GetTask()]
+	if !found || run.attempt != result.GetAttempt() || !run.place.Incarnation.MayEqual(result.Incarnation()) {
 		return
 	}
 	if result.GetOutcome() == wire.StartOutcome_START_STARTED {
-		owner.confirmRun(entry, now)
+		owner.confirmRun(run, now)
 		return
 	}
-	delete(view.runs, entry.taskName)
-	if entry.task.Attempt() != entry.attempt {
+	delete(view.runs, run.taskName)
+	if run.task.Attempt() != run.attempt {
 		return
 	}
-	owner.logRun(event.RunNotStarted, entry, slog.String("worker", entry.place.Incarnation.WorkerID()), slog.String("outcome", result.GetOutcome().String()))
+	owner.logRun(event.RunNotStarted, run, slog.String("worker", run.place.Incarnation.WorkerID()), slog.String("outcome", result.GetOutcome().String()))
 	owner.metrics.startsRefused.Add(owner.ctx, 1, telemetry.By("outcome", result.GetOutcome().String()))
-	made := entry.task.Job()
+	j := run.task.Job()
 	if result.GetOutcome() == wire.StartOutcome_START_NO_ROOM {
-		entry.task.AddRefusal()
+		run.task.AddRefusal()
 	}
 	if result.GetOutcome() == wire.StartOutcome_START_TICKET {
-		owner.dropAdvice(entry.task)
+		owner.dropAdvice(run.task)
 	}
-	owner.stopGang(entry.task)
-	made.Requeue(entry.task, now)
-	owner.markRunOver(entry.shard, made, view)
+	owner.stopGang(run.task)
+	j.Requeue(run.task, now)
+	owner.markRunOver(run.shard, j, view)
 	owner.handleRefusal(view, result.GetOutcome(), now)
 }
 
@@ -125,11 +125,11 @@
 		view.noSuspectsUntil = now.Add(suspectSpacing)
 		return
 	}
-	pause := refusalBackoff
+	backoff := refusalBackoff
 	if outcome == wire.StartOutcome_START_WORKER_FAILED {
-		pause = probationDuration
+		backoff = probationDuration
 	}
-	if until := now.Add(pause); until.After(view.avoidUntil) {
+	if until := now.Add(backoff); until.After(view.avoidUntil) {
 		view.avoidUntil = until
 	}
 }
@@ -142,54 +142,54 @@
 		owner.log(event.RecordUnreadable, slog.String("task", end.GetTask()), slog.Any("error", err))
 		return
 	}
-	held, made := owner.loadedJob(ref.Job)
-	if held == nil {
+	s, j := owner.loadedJob(ref.Job)
+	if s == nil {
 		return
 	}
-	if made != nil {
-		owner.applyRunEnd(view, held, made, ref, end, now)
+	if j != nil {
+		owner.applyRunEnd(view, s, j, ref, end, now)
 	}
 	if end.GetNumber() == 0 {
 		return
 	}
-	held.afterFlush = append(held.afterFlush, func(time.Time) {
+	s.afterFlush = append(s.afterFlush, func(time.Time) {
 		view.nextMessage.Seen = append(view.nextMessage.Seen, &wire.EndSeen{Worker: end.GetWorker(), Born: end.GetBorn(), Number: end.GetNumber()})
 	})
 }
 
-func (owner *Owner) applyRunEnd(view *agentView, held *shard, made *job.Job, ref job.TaskRef, end *wire.RunEnd, now time.Time) {
-	task := made.Task(ref)
+func (owner *Owner) applyRunEnd(view *agentView, s *shard, j *job.Job, ref job.TaskRef, end *wire.RunEnd, now time.Time) {
+	task := j.Task(ref)
 	if task == nil {
 		return
 	}
-	entry, found := view.runs[end.GetTask()]
-	if found && entry.attempt == end.GetAttempt() {
+	run, found := view.runs[end.GetTask()]
+	if found && run.attempt == end.GetAttempt() {
 		delete(view.runs, end.GetTask())
 	}
-	ended := made.HasEnded()
-	recorded := entry.storeLatency(task)
+	hadEnded := j.HasEnded()
+	storeLatency := run.storeLatency(task)
 	if end.GetProven() {
 		task.MarkSurvivedStart(end.GetAttempt())
 	}
 	reason := endReason(end.GetReason())
-	if !made.EndRun(task, end.GetAttempt(), reason, end.GetCheckpoint(), now) {
+	if !j.EndRun(task, end.GetAttempt(), reason, end.GetCheckpoint(), now) {
 		owner.logSupersededEnd(task, end)
-		held.removeIfSettled(made)
+		s.removeIfSettled(j)
 		return
 	}
 	owner.log(event.RunEnded, slog.String("task", end.GetTask()), slog.Int("attempt", int(end.GetAttempt())),
 		slog.String("worker", end.GetWorker()), slog.String("how", end.GetReason().String()), slog.Duration("ran", now.Sub(task.StartedAt())),
-		slog.Duration("recorded", recorded))
+		slog.Duration("recorded", storeLatency))
 	owner.metrics.runsEnded.Add(owner.ctx, 1, telemetry.By("reason", end.GetReason().String()))
 	if reason.IsCrash() && task.State() == job.TaskState_TASK_FAILED {
 		owner.log(event.TaskGivenUp, slog.String("task", end.GetTask()), slog.Int("crashes", task.Crashes()), slog.Int("doubts", task.AmbiguousCrashes()))
 	}
 	view.recordOutcome(end.GetReason(), now)
-	owner.markRunOver(held, made, view)
-	if made.HasEnded() && !ended {
-		owner.reportEndOnceStored(held, made)
+	owner.markRunOver(s, j, view)
+	if j.HasEnded() && !hadEnded {
+		owner.reportEndOnceStored(s, j)
 	}
-	held.removeIfSettled(made)
+	s.removeIfSettled(j)
 }
 
 // logSupersededEnd logs the end of a run as done whose task has been started again.
@@ -205,8 +205,8 @@
 // hasProbationRun reports whether a run goes that will show whether the worker does. One that lasts shows it by not
 // failing for as long as a doubt: it has no end to wait for, and nothing else would be placed beside it.
 func (view *agentView) hasProbationRun(now time.Time) bool {
-	for _, entry := range view.runs {
-		if !entry.confirmed || !entry.task.Spec().GetLasting() || now.Sub(entry.task.StartedAt()) < probationDuration {
+	for _, run := range view.runs {
+		if !run.confirmed || !run.task.Spec().GetLasting() || now.Sub(run.task.StartedAt()) < probationDuration {
 			return true
 		}
 	}
@@ -241,16 +241,16 @@
 }
 
 // releaseRun lets the task of a run that is over for certain wait again.
-func (owner *Owner) releaseRun(view *agentView, entry *trackedRun, reason string, now time.Time) {
-	delete(view.runs, entry.taskName)
-	if entry.task.Attempt() != entry.attempt {
+func (owner *Owner) releaseRun(view *agentView, run *trackedRun, reason string, now time.Time) {
+	delete(view.runs, run.taskName)
+	if run.task.Attempt() != run.attempt {
 		return
 	}
-	made := entry.task.Job()
-	owner.logRun(event.RunLost, entry, slog.String("worker", entry.place.Incarnation.WorkerID()), slog.Int64("born", entry.place.Incarnation.StartedMs()), slog.String("reason", reason), slog.Duration("after", now.Sub(entry.task.StartedAt())),
-		slog.Bool("attached", view.conn != nil), slog.Duration("unheard", now.Sub(view.lastMessageAt)), slog.Bool("inherited", entry.inherited))
+	j := run.task.Job()
+	owner.logRun(event.RunLost, run, slog.String("worker", run.place.Incarnation.WorkerID()), slog.Int64("born", run.place.Incarnation.StartedMs()), slog.String("reason", reason), slog.Duration("after", now.Sub(run.task.StartedAt())),
+		slog.Bool("attached", view.conn != nil), slog.Duration("unheard", now.Sub(view.lastMessageAt)), slog.Bool("inherited", run.inherited))
 	owner.metrics.runsLost.Add(owner.ctx, 1, telemetry.By("reason", reason))
-	made.Requeue(entry.task, now)
-	owner.markRunOver(entry.shard, made, view)
-	entry.shard.removeIfSettled(made)
+	j.Requeue(run.task, now)
+	owner.markRunOver(run.shard, j, view)
+	run.shard.removeIfSettled(j)
 }
--- a/owner/shard.go
+++ b/owner/shard.go
@@ -60,150 +60,150 @@
 
 // newShard returns a shard whose jobs have not been read yet.
 func newShard(ctx context.Context, number int, epoch int64, now time.Time) *shard {
-	held := &shard{
+	s := &shard{
 		number: number, epoch: epoch, acquiredAt: now,
 		jobs: map[string]*job.Job{}, live: map[string]*job.Job{}, dirty: map[string]*job.Job{},
 		endStoredAt: map[string]time.Time{}, cancelled: map[string]bool{},
 	}
 	if number == job.InterferenceShard {
-		held.learned = newLearnedTable()
+		s.learned = newLearnedTable()
 	}
-	held.ctx, held.cancel = context.WithCancel(ctx)
-	return held
+	s.ctx, s.cancel = context.WithCancel(ctx)
+	return s
 }
 
 // acquireShard begins to own a shard: earlier owners are fenced, then its jobs are read.
 func (owner *Owner) acquireShard(number int, epoch int64, now time.Time) {
-	held := newShard(owner.ctx, number, epoch, now)
-	owner.shards[number] = held
+	s := newShard(owner.ctx, number, epoch, now)
+	owner.shards[number] = s
 	owner.log(event.ShardTaken, slog.Int("shard", number), slog.Int64("epoch", epoch))
-	go owner.loadShard(held)
+	go owner.loadShard(s)
 }
 
 // releaseShard stops owning a shard. What was on its way for it has no effect.
-func (owner *Owner) releaseShard(held *shard, reason string, now time.Time) {
-	held.cancel()
-	if owner.shards[held.number] != held {
+func (owner *Owner) releaseShard(s *shard, reason string, now time.Time) {
+	s.cancel()
+	if owner.shards[s.number] != s {
 		return
 	}
-	delete(owner.shards, held.number)
+	delete(owner.shards, s.number)
 	for _, view := range owner.agents {
-		view.dropShard(held)
-		if held.number == job.InterferenceShard {
+		view.dropShard(s)
+		if s.number == job.InterferenceShard {
 			// The next owner of the shard begins a table of its own, also if it is
 			// this one.
 			view.learnedSentVersion = 0
 		}
 	}
-	owner.log(event.ShardGivenUp, slog.Int("shard", held.number), slog.Int64("epoch", held.epoch),
-		slog.String("reason", reason), slog.Duration("held", now.Sub(held.acquiredAt)))
+	owner.log(event.ShardGivenUp, slog.Int("shard", s.number), slog.Int64("epoch", s.epoch),
+		slog.String("reason", reason), slog.Duration("held", now.Sub(s.acquiredAt)))
 }
 
 // loadShard fences earlier owners and reads the shard.
-func (owner *Owner) loadShard(held *shard) {
-	if !owner.appendUntilStored(held, nil) {
+func (owner *Owner) loadShard(s *shard) {
+	if !owner.appendUntilStored(s, nil) {
 		return
 	}
-	jobs, ok := owner.readNewest(held, job.TopicJobs)
+	jobs, ok := owner.readNewest(s, job.TopicJobs)
 	if !ok {
 		return
 	}
-	runs, ok := owner.readNewest(held, job.TopicRuns)
+	runs, ok := owner.readNewest(s, job.TopicRuns)
 	if !ok {
 		return
 	}
 	owner.eventLoop.Post(func(now time.Time) {
-		if owner.shards[held.number] != held {
+		if owner.shards[s.number] != s {
 			return
 		}
-		owner.activateShard(held, jobs, runs, now)
-		go owner.followShard(held, jobs.Next)
+		owner.activateShard(s, jobs, runs, now)
+		go owner.followShard(s, jobs.Next)
 	})
-	if held.number == job.InterferenceShard {
-		go owner.persistLearned(held)
+	if s.number == job.InterferenceShard {
+		go owner.persistLearned(s)
 	}
 }
 
-func (owner *Owner) readNewest(held *shard, topic string) (platform.Tail, bool) {
-	for held.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(held.ctx, storeTimeout)
-		found, err := owner.options.Store.Newest(ctx, topic, held.number)
+func (owner *Owner) readNewest(s *shard, topic string) (platform.Tail, bool) {
+	for s.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
+		tail, err := owner.options.Store.Newest(ctx, topic, s.number)
 		cancel()
 		if err == nil {
-			return found, true
+			return tail, true
 		}
-		owner.log(event.AppendRetried, slog.String("call", "newest"), slog.Int("shard", held.number), slog.Any("error", err))
-		owner.sleep(held.ctx, storeRetryDelay)
+		owner.log(event.AppendRetried, slog.String("call", "newest"), slog.Int("shard", s.number), slog.Any("error", err))
+		owner.sleep(s.ctx, storeRetryDelay)
 	}
 	return platform.Tail{}, false
 }
 
-func (owner *Owner) activateShard(held *shard, jobs, runs platform.Tail, now time.Time) {
-	handedIn := map[string]bool{}
+func (owner *Owner) activateShard(s *shard, jobs, runs platform.Tail, now time.Time) {
+	submitted := map[string]bool{}
 	for _, record := range jobs.Records {
 		if job.IsSubmissionKey(record.Key) {
-			handedIn[record.Key] = true
-			owner.applySubmission(held, record, now)
+			submitted[record.Key] = true
+			owner.applySubmission(s, record, now)
 		}
 	}
 	for _, record := range runs.Records {
-		if !handedIn[job.SubmissionKey(record.Key)] {
+		if !submitted[job.SubmissionKey(record.Key)] {
 			// Progress is written once its job was read, so the job was dropped since. One
 			// whose record can't be read is still there, and keeps its progress.
-			held.deleteProgress(record.Key)
+			s.deleteProgress(record.Key)
 			continue
 		}
-		owner.applyProgress(held, record, now)
+		owner.applyProgress(s, record, now)
 	}
 	for _, record := range jobs.Records {
 		if job.IsCancellationKey(record.Key) {
-			owner.applyCancellation(held, record, now)
+			owner.applyCancellation(s, record, now)
 		}
 	}
-	held.loaded = true
-	held.nextOffset = jobs.Next
-	owner.adoptRuns(held, now)
+	s.loaded = true
+	s.nextOffset = jobs.Next
+	owner.adoptRuns(s, now)
 	owner.placementChanges.addAll()
-	owner.log(event.ShardLoaded, slog.Int("shard", held.number), slog.Int64("epoch", held.epoch),
-		slog.Int("jobs", len(held.jobs)), slog.Int("live", len(held.live)), slog.Duration("after", now.Sub(held.acquiredAt)))
+	owner.log(event.ShardLoaded, slog.Int("shard", s.number), slog.Int64("epoch", s.epoch),
+		slog.Int("jobs", len(s.jobs)), slog.Int("live", len(s.live)), slog.Duration("after", now.Sub(s.acquiredAt)))
 }
 
 // followShard reads the jobs and cancellations that entries append.
-func (owner *Owner) followShard(held *shard, next int64) {
-	for held.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(held.ctx, readWait+readTimeoutMargin)
-		tail, err := owner.options.Store.Read(ctx, job.TopicJobs, held.number, next, readWait)
+func (owner *Owner) followShard(s *shard, nextOffset int64) {
+	for s.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(s.ctx, readWait+readTimeoutMargin)
+		tail, err := owner.options.Store.Read(ctx, job.TopicJobs, s.number, nextOffset, readWait)
 		cancel()
 		if platform.IsGone(err) {
-			owner.log(event.TailRestarted, slog.Int("shard", held.number), slog.Int64("offset", next))
-			found, ok := owner.readNewest(held, job.TopicJobs)
+			owner.log(event.TailRestarted, slog.Int("shard", s.number), slog.Int64("offset", nextOffset))
+			newest, ok := owner.readNewest(s, job.TopicJobs)
 			if !ok {
 				return
 			}
-			tail, err = found, nil
+			tail, err = newest, nil
 		}
 		if err != nil {
-			owner.sleep(held.ctx, storeRetryDelay)
+			owner.sleep(s.ctx, storeRetryDelay)
 			continue
 		}
-		next = tail.Next
+		nextOffset = tail.Next
 		if len(tail.Records) > 0 {
-			owner.eventLoop.Post(func(now time.Time) { owner.applyRecords(held, tail, now) })
+			owner.eventLoop.Post(func(now time.Time) { owner.applyRecords(s, tail, now) })
 		}
 	}
 }
 
-func (owner *Owner) applyRecords(held *shard, tail platform.Tail, now time.Time) {
-	if owner.shards[held.number] != held {
+func (owner *Owner) applyRecords(s *shard, tail platform.Tail, now time.Time) {
+	if owner.shards[s.number] != s {
 		return
 	}
-	held.nextOffset = max(held.nextOffset, tail.Next)
+	s.nextOffset = max(s.nextOffset, tail.Next)
 	for _, record := range tail.Records {
 		switch {
 		case job.IsSubmissionKey(record.Key):
-			owner.applySubmission(held, record, now)
+			owner.applySubmission(s, record, now)
 		case job.IsCancellationKey(record.Key):
-			owner.applyCancellation(held, record, now)
+			owner.applyCancellation(s, record, now)
 		}
 	}
 }
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -11,48 +11,48 @@
 )
 
 func TestStartIsStoredBeforeOrder(t *testing.T) {
-	made := newHarness(t)
-	made.submit()
-	made.attach()
-	made.step()
-	if got := startOrders(made.takeSent()); len(got) != 0 {
+	h := newHarness(t)
+	h.submit()
+	h.attach()
+	h.step()
+	if got := startOrders(h.takeSent()); len(got) != 0 {
 		t.Fatalf("ordered before the store had it: %v", got)
 	}
-	made.awaitWrites()
-	if _, kept := made.store.Newest(job.TopicRuns, made.shard.number, jobID); !kept {
+	h.awaitWrites()
+	if _, stored := h.store.Newest(job.TopicRuns, h.shard.number, jobID); !stored {
 		t.Fatal("the start is not in the store")
 	}
-	made.step()
-	if got := startOrders(made.takeSent()); len(got) != 1 || got[0].GetTask() != firstTask || got[0].GetEpoch() != 3 {
+	h.step()
+	if got := startOrders(h.takeSent()); len(got) != 1 || got[0].GetTask() != firstTask || got[0].GetEpoch() != 3 {
 		t.Errorf("ordered: %v", got)
 	}
 }
 
 func TestEndIsStoredBeforeAcknowledged(t *testing.T) {
-	made := newHarness(t)
-	of := made.submit()
-	made.attachAndStart()
-	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 4, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
-	if of.State() != job.State_STATE_COMPLETED {
-		t.Fatalf("state %v", of.State())
-	}
-	if shown := made.shard.visibleState(of); shown != job.State_STATE_RUNNING {
-		t.Errorf("shown as %v before the store had it", shown)
-	}
-	made.step()
-	for _, message := range made.takeSent() {
+	h := newHarness(t)
+	j := h.submit()
+	h.attachAndStart()
+	h.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 4, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
+	if j.State() != job.State_STATE_COMPLETED {
+		t.Fatalf("state %v", j.State())
+	}
+	if visible := h.shard.visibleState(j); visible != job.State_STATE_RUNNING {
+		t.Errorf("shown as %v before the store had it", visible)
+	}
+	h.step()
+	for _, message := range h.takeSent() {
 		if len(message.GetSeen()) > 0 {
 			t.Error("seen before the store had it")
 		}
 	}
-	made.awaitWrites()
-	made.step()
-	seen := 0
-	for _, message := range made.takeSent() {
-		seen += len(message.GetSeen())
+	h.awaitWrites()
+	h.step()
+	acknowledged := 0
+	for _, message := range h.takeSent() {
+		acknowledged += len(message.GetSeen())
 	}
-	if seen != 1 || made.shard.visibleState(of) != job.State_STATE_COMPLETED {
-		t.Errorf("seen %d, shown %v", seen, made.shard.visibleState(of))
+	if acknowledged != 1 || h.shard.visibleState(j) != job.State_STATE_COMPLETED {
+		t.Errorf("seen %d, shown %v", acknowledged, h.shard.visibleState(j))
 	}
 }
 
@@ -60,12 +60,12 @@
 // The case that forced it: after the store had dropped its history a job ran on
 // that had been cancelled.
 func TestCancellationReadBeforeItsJob(t *testing.T) {
-	made := newHarness(t)
-	made.readRecords(
+	h := newHarness(t)
+	h.readRecords(
 		newRecord(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}),
 		newRecord(t, job.SubmissionKey(jobID), newSubmission()),
 	)
-	if got := made.shard.jobs[jobID].State(); got != job.State_STATE_CANCELLED {
+	if got := h.shard.jobs[jobID].State(); got != job.State_STATE_CANCELLED {
 		t.Errorf("state %v", got)
 	}
 }
@@ -73,26 +73,26 @@
 // TestEndedJobsArePruned: an ended job is known for as long as it must be, and
 // then dropped from the store too.
 func TestEndedJobsArePruned(t *testing.T) {
-	made := newHarness(t)
-	made.owner.options.JobRetention = 2 * time.Minute
-	of := made.submit()
-	made.owner.cancelJob(made.shard, of, made.clock.Now())
-	made.step()
-	made.awaitWrites()
-	made.clock.Advance(2*time.Minute + 30*time.Second)
-	made.step()
-	if made.shard.jobs[jobID] == nil {
+	h := newHarness(t)
+	h.owner.options.JobRetention = 2 * time.Minute
+	j := h.submit()
+	h.owner.cancelJob(h.shard, j, h.clock.Now())
+	h.step()
+	h.awaitWrites()
+	h.clock.Advance(2*time.Minute + 30*time.Second)
+	h.step()
+	if h.shard.jobs[jobID] == nil {
 		t.Fatal("forgotten too early")
 	}
-	made.clock.Advance(time.Minute)
-	made.step()
-	made.owner.eventLoop.RunOne(made.clock.Now()) // What was handed in is dropped.
-	made.step()
-	made.awaitWrites()
-	if made.shard.jobs[jobID] != nil {
+	h.clock.Advance(time.Minute)
+	h.step()
+	h.owner.eventLoop.RunOne(h.clock.Now()) // What was handed in is dropped.
+	h.step()
+	h.awaitWrites()
+	if h.shard.jobs[jobID] != nil {
 		t.Error("not forgotten")
 	}
-	if _, kept := made.store.Newest(job.TopicRuns, made.shard.number, jobID); kept {
+	if _, stored := h.store.Newest(job.TopicRuns, h.shard.number, jobID); stored {
 		t.Error("its progress is still in the store")
 	}
 }
@@ -100,25 +100,25 @@
 // TestTakenJobIsAddedOnce: what a gateway tells and what the store's read brings is
 // one job, and a cancellation that is told stops it.
 func TestTakenJobIsAddedOnce(t *testing.T) {
-	made := newHarness(t)
-	tell := func(handed platform.Record) {
-		request := &wire.TakenRequest{Shard: int32(made.shard.number), Key: handed.Key, Value: handed.Value}
-		if _, err := made.owner.Taken(context.Background(), request); err != nil {
+	h := newHarness(t)
+	notify := func(record platform.Record) {
+		request := &wire.TakenRequest{Shard: int32(h.shard.number), Key: record.Key, Value: record.Value}
+		if _, err := h.owner.Taken(context.Background(), request); err != nil {
 			t.Fatal(err)
 		}
-		made.owner.eventLoop.RunOne(made.clock.Now())
+		h.owner.eventLoop.RunOne(h.clock.Now())
 	}
-	handed := newRecord(t, job.SubmissionKey(jobID), newSubmission())
-	tell(handed)
-	first := made.shard.jobs[jobID]
+	record := newRecord(t, job.SubmissionKey(jobID), newSubmission())
+	notify(record)
+	first := h.shard.jobs[jobID]
 	if first == nil {
 		t.Fatal("not taken up")
 	}
-	made.readRecords(handed)
-	if made.shard.jobs[jobID] != first {
+	h.readRecords(record)
+	if h.shard.jobs[jobID] != first {
 		t.Error("taken up twice")
 	}
-	tell(newRecord(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
+	notify(newRecord(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
 	if first.State() != job.State_STATE_CANCELLED {
 		t.Errorf("state %v", first.State())
 	}
--- a/owner/silent.go
+++ b/owner/silent.go
@@ -13,17 +13,17 @@
 // releaseExpiredRuns releases the runs of an agent that has been silent until its
 // last grant must have ended.
 func (owner *Owner) releaseExpiredRuns(view *agentView, now time.Time) {
-	for _, entry := range view.runs {
+	for _, run := range view.runs {
 		if view.conn != nil && now.Sub(view.lastMessageAt) < 2*grantInterval {
 			continue
 		}
-		until := view.grantEnd.Add(grantMargin)
-		if entry.inherited {
+		deadline := view.grantEnd.Add(grantMargin)
+		if run.inherited {
 			// The owner before may have granted until it gave up.
-			until = entry.shard.acquiredAt.Add(storeOutageTolerance + owner.maxRunAfterGrant())
+			deadline = run.shard.acquiredAt.Add(storeOutageTolerance + owner.maxRunAfterGrant())
 		}
-		if now.After(until) {
-			owner.releaseRun(view, entry, "its agent is silent", now)
+		if now.After(deadline) {
+			owner.releaseRun(view, run, "its agent is silent", now)
 		}
 	}
 }
--- a/owner/tell.go
+++ b/owner/tell.go
@@ -60,11 +60,11 @@
 	view.claimsSent = true
 	view.nextMessage.Owned = true
 	view.nextMessage.Shards = nil
-	for number, held := range owner.shards {
-		if !held.loaded {
+	for number, s := range owner.shards {
+		if !s.loaded {
 			continue
 		}
-		view.nextMessage.Shards = append(view.nextMessage.Shards, &wire.ShardEpoch{Shard: int32(number), Epoch: held.epoch})
+		view.nextMessage.Shards = append(view.nextMessage.Shards, &wire.ShardEpoch{Shard: int32(number), Epoch: s.epoch})
 		if view.claimSequences[number] == 0 {
 			view.claimSequences[number] = view.sentSequence + 1
 		}
@@ -80,16 +80,16 @@
 		return
 	}
 	view.nextMessage.GrantUntilNanos = int64(view.agentUptime + owner.options.GrantDuration)
-	end := view.lastMessageAt.Add(time.Duration(float64(owner.options.GrantDuration) * (1 + maxClockDrift)))
-	if end.After(view.grantEnd) {
-		view.grantEnd = end
+	grantEnd := view.lastMessageAt.Add(time.Duration(float64(owner.options.GrantDuration) * (1 + maxClockDrift)))
+	if grantEnd.After(view.grantEnd) {
+		view.grantEnd = grantEnd
 	}
 }
 
 // addStopOrder has a run stopped with the next message.
-func (view *agentView) addStopOrder(held *shard, task string, attempt int32, worker incarnation.ID) {
+func (view *agentView) addStopOrder(s *shard, task string, attempt int32, worker incarnation.ID) {
 	view.nextMessage.Stops = append(view.nextMessage.Stops, &wire.StopOrder{
-		Shard: int32(held.number), Epoch: held.epoch, Task: task, Attempt: attempt, Worker: worker.WorkerID(), Born: worker.StartedMs(),
+		Shard: int32(s.number), Epoch: s.epoch, Task: task, Attempt: attempt, Worker: worker.WorkerID(), Born: worker.StartedMs(),
 	})
 }
 
@@ -98,12 +98,12 @@
 
 // stopEndedJobs orders stops for the runs of jobs that have ended.
 func (owner *Owner) stopEndedJobs(view *agentView, now time.Time) {
-	for _, entry := range view.runs {
-		if !entry.task.Job().HasEnded() || entry.orderSequence == 0 && !entry.orderedEarlier || now.Sub(entry.stopOrderedAt) < stopRetryInterval {
+	for _, run := range view.runs {
+		if !run.task.Job().HasEnded() || run.orderSequence == 0 && !run.orderedEarlier || now.Sub(run.stopOrderedAt) < stopRetryInterval {
 			continue
 		}
-		entry.stopOrderedAt = now
-		owner.logRun(event.RunStopOrdered, entry, slog.String("reason", entry.task.Job().State().String()))
-		view.addStopOrder(entry.shard, entry.taskName, entry.attempt, entry.place.Incarnation)
+		run.stopOrderedAt = now
+		owner.logRun(event.RunStopOrdered, run, slog.String("reason", run.task.Job().State().String()))
+		view.addStopOrder(run.shard, run.taskName, run.attempt, run.place.Incarnation)
 	}
 }
