--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,21 +1,20 @@
-// Package owner schedules the jobs of the shards that the platform's store deals
-// to this entry.
+// Package owner schedules the jobs of the shards that the platform's store has assigned to this entry.
 //
-// A shard is a partition of the jobs' topics. Any entry appends jobs to it; its
-// owner reads them, decides where each task runs, and appends what becomes of
-// them. The store deals shards to entries and fences their writes by epoch, so
-// an owner that has been replaced can't write, and what it has not written it
-// does not do:
+// An entry is a process that accepts jobs from clients and that may own shards. A shard is a partition of
+// the topics that hold jobs. Any entry appends jobs to it. The shard's owner reads them, decides where each
+// task runs, and appends their progress. The store assigns shards to entries and fences their writes by
+// epoch, so an owner that has been replaced cannot write. An owner acts on a decision only after the store
+// has it:
 //
-//   - a start is in the store before the order goes to an agent;
-//   - an end is in the store before the worker is told to forget it, and before
-//     a job is shown as completed.
+//   - a start is in the store before the start order is sent to an agent;
+//   - the end of a run is in the store before the worker is told to forget it, and before a client is told
+//     that the job has completed.
 //
-// # Silent agents
+// # Unresponsive agents
 //
-// An owner grants its runs time on the agent's clock. When an agent is silent
-// the runs there are taken for over once the last grant must have ended, and not
-// before.
+// Each message of an owner grants its runs time, on the agent's clock: an agent stops a run before its grant
+// expires unless the grant is renewed. If an agent stops answering, the owner releases the runs there once
+// the last grant must have expired, and not before.
 //
 // # Usage
 //
@@ -46,85 +45,89 @@
 )
 
 const (
-	// tickInterval is how often what is due is looked for without an event.
+	// tickInterval is how often due work is done if no event arrives.
 	tickInterval = 100 * time.Millisecond
-	// maxClockDrift is what two clocks differ by at most over a grant.
+	// maxClockDrift bounds by how much two clocks diverge over a grant, as a share of its duration.
 	maxClockDrift = 2 * lease.ClockRateBound
-	// grantMargin is added to the end of a grant before runs are taken for
-	// over: a stop takes up to half a second.
+	// grantMargin is how long after the expiry of a grant its runs are released: a stop takes up to half a
+	// second.
 	grantMargin = 600 * time.Millisecond
-	// grantInterval renews grants well within their length.
+	// grantInterval is how often grants are renewed, which is well within their duration.
 	grantInterval = 500 * time.Millisecond
-	// storeOutageTolerance is how long an owner goes on granting without hearing from
-	// the store that it still owns. Together with the grant it is what an
-	// outage of the store may last without stopping what runs, 11 s, and what
-	// a run on a machine that is gone waits after a change of owner.
+	// storeOutageTolerance is how long an owner keeps granting time after the store last confirmed that it
+	// owns its shards. Together with the grant's duration it is how long an outage of the store may last
+	// without stopping runs, 11 s. It is also how long a new owner waits before it releases a run on a
+	// machine that is gone.
 	storeOutageTolerance = 6 * time.Second
 )
 
-// Options sets up an Owner.
+// Options configures an Owner.
 type Options struct {
-	// Name and Address are how other processes know this entry.
+	// Name and Address identify this entry to other processes.
 	Name    string
 	Address string
-	// FailureDomain is where the entry stands.
+	// FailureDomain is the failure domain of the entry's machine.
 	FailureDomain string
-	// Shards is how many shards there are.
+	// Shards is the number of shards.
 	Shards int
-	// Strong is set where the machine bears the work of an owner; others offer themselves as
-	// far as they are needed.
+	// Strong is set if the machine has the capacity to own several shards. Other entries become owners only
+	// while there are too few strong ones.
 	Strong bool
-	// GrantDuration is how long runs go on without word from their owner.
+	// GrantDuration is how long runs continue without a message from their owner.
 	GrantDuration time.Duration
-	// MemberTimeout is after how long without a join the store deals a member's
-	// shards to others.
+	// MemberTimeout is how long after a member's last join the store assigns its shards to others.
 	MemberTimeout time.Duration
-	// JobRetention is how long an ended job is known.
+	// JobRetention is how long clients may ask for the state of a job that has ended.
 	JobRetention time.Duration
 	Store        *platform.Store
-	// Advisor tells which workers may run what; nil where nothing is to be asked.
+	// Advisor is asked which workers may run the tasks of a step; nil if there is no such service.
 	Advisor *platform.Advisor
 	// Dial connects to an agent.
 	Dial  func(ctx context.Context, address string) (drpc.Conn, error)
 	Clock clockwork.Clock
-	// Suspended tells for how long the machine has been suspended, which Clock does not
-	// count; nil for never.
+	// Suspended returns how long the machine has been suspended in total, which Clock does not count. It is
+	// nil if the machine is never suspended.
 	Suspended func() time.Duration
 	Events    *event.Logger
-	// Meters makes the instruments; nil for none.
+	// Meters creates the metric instruments; nil for none.
 	Meters metric.MeterProvider
 }
 
-// Owner schedules the jobs of its shards.
+// Owner schedules the jobs of its shards. Its state is accessed on the event loop only, except where a field
+// says otherwise.
 type Owner struct {
 	options   Options
 	eventLoop *loop.Loop
-	ctx       context.Context // ends the calls of the owner with it
-	// stopApplying ends the candidacy, applied is closed once it has ended.
+	ctx       context.Context // the context of Run, parent of all calls that the owner makes
+	// stopCandidacy ends the candidacy; candidacyDone is closed once it has ended.
 	candidacyCtx  context.Context
 	stopCandidacy context.CancelFunc
 	candidacyDone chan struct{}
-	// session is nil while the entry does not offer itself as an owner. Only the candidacy changes it, and
-	// Leave once that has ended.
+	// session is nil while the entry is not a candidate for owning shards. Only the goroutine of the
+	// candidacy changes it, and Leave after that goroutine has ended.
 	session *membership
-	// leaveBeforeJoin has the membership leave the group before it joins. A process that
-	// comes back before it was missed would else be dealt its shards under the
-	// epoch that it wrote with before, and a late append of its earlier life
-	// could take the place of one of its own.
+	// leaveBeforeJoin makes the entry leave the group of owners before it joins. Otherwise, a process that
+	// restarts before its member timeout would get its shards back under the epoch that it used before, and
+	// a late append of the earlier process could take the sequence number of a new one.
 	leaveBeforeJoin atomic.Bool
 
-	lastJoinAt   time.Time
-	shards       map[int]*shard
+	// lastJoinAt is when the last successful join was sent: the store confirmed the ownership of the
+	// shards as of then.
+	lastJoinAt time.Time
+	shards     map[int]*shard
+	// fencedEpochs holds, by shard, the epoch under which the store has refused a write. The shard is not
+	// acquired again under that epoch.
 	fencedEpochs map[int]int64
-	agents       map[string]*agentView
-	// agentsDropped is set while the entry has left the agents.
+	agents       map[string]*agentView // by address
+	// agentsDropped is set while the entry is not connected to agents, since it is not a candidate.
 	agentsDropped bool
-	// evacuationState is what is known of evacuations.
+	// evacuationState says which failure domains are evacuated, and as of when that is known.
 	evacuationState  operator.Knowledge
 	placementChanges placementChanges
-	// workersExamined counts the workers that were looked at for a place, once for each job, since the meters were set.
+	// workersExamined counts the workers examined for placing tasks, once for each job, since the counter
+	// of the metrics was last increased.
 	workersExamined int64
-	// learnedPublishedAt is when what agents are told of interference was last worked out.
+	// learnedPublishedAt is when the interference estimates for agents were last recomputed.
 	learnedPublishedAt time.Time
 	advice             adviceQueue
 	traffic            *traffic.Sent
@@ -132,7 +135,7 @@
 	gaugesRecordedAt   time.Time
 }
 
-// New returns an owner that owns nothing until Run.
+// New returns an owner that owns no shards until Run is called.
 func New(options Options) *Owner {
 	candidacyCtx, stopCandidacy := context.WithCancel(context.Background())
 	owner := &Owner{
@@ -156,7 +159,7 @@
 	return owner
 }
 
-// Run schedules until ctx ends.
+// Run schedules jobs until ctx ends.
 func (owner *Owner) Run(ctx context.Context) {
 	owner.ctx = ctx
 	go owner.runCandidacy(owner.candidacyCtx)
@@ -164,8 +167,8 @@
 	owner.stopCandidacy()
 }
 
-// MemberName is the name under which the entry joins groups: it begins with what its machine bears, and its
-// address tells others where to reach it.
+// MemberName returns the name under which the entry joins groups. It consists of a prefix for the capacity of
+// the machine, the name of the entry, and the address at which other processes reach it.
 func (owner *Owner) MemberName() string {
 	prefix := weakPrefix
 	if owner.options.Strong {
@@ -175,20 +178,22 @@
 }
 
 const (
-	// strongPrefix begins the name of a member that bears the work of an owner, weakPrefix that of another one.
+	// strongPrefix starts the member names of entries with Options.Strong, weakPrefix those of the others.
 	strongPrefix = "strong/"
 	weakPrefix   = "weak/"
 )
 
-// memberSeparator stands in no node's name and no address.
+// memberSeparator separates the name from the address. It occurs in neither.
 const memberSeparator = "|"
 
-// MemberAddress returns where the entry with a member's name is reached.
+// MemberAddress returns the address in a member name.
 func MemberAddress(member string) string {
 	_, address, _ := strings.Cut(member, memberSeparator)
 	return address
 }
 
+// tick does all work that is due. The event loop calls it after each batch of events and at least once per
+// tickInterval.
 func (owner *Owner) tick(now time.Time) {
 	for _, s := range owner.shards {
 		owner.pruneJobs(s, now)
@@ -215,7 +220,8 @@
 	owner.options.Events.Log(owner.ctx, code, attributes...)
 }
 
-// loadedJob returns the job if its shard is owned and loaded.
+// loadedJob returns a job and its shard. The shard is nil unless it is owned and loaded; the job is nil if
+// the shard has no such job.
 func (owner *Owner) loadedJob(id string) (*shard, *job.Job) {
 	s, owned := owner.shards[job.ShardOf(id, owner.options.Shards)]
 	if !owned || !s.loaded {
@@ -224,6 +230,7 @@
 	return s, s.jobs[id]
 }
 
+// sleep waits for a duration or until ctx ends.
 func (owner *Owner) sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
