--- a/owner/agents.go
+++ b/owner/agents.go
@@ -16,69 +16,71 @@
 )
 
 const (
-	// agentReadWait is how long a read waits for an agent to register.
+	// agentReadWait is how long a read of the store waits for a record of an agent.
 	agentReadWait = 4 * time.Second
-	// agentBatchDelay is how long records of agents gather between two reads that find some.
+	// agentBatchDelay is the pause after a read that returned records, so that the next read returns more
+	// of them at once.
 	agentBatchDelay = 250 * time.Millisecond
 )
 
-// agentView is what the owner knows of one agent and its worker.
+// agentView is the state that the owner keeps of one agent and its worker.
 type agentView struct {
 	address string
-	// disconnect ends the connections to the agent.
+	// disconnect ends the connection to the agent and the attempts to reconnect.
 	disconnect context.CancelFunc
-	conn       *agentConn // nil while not attached
-	// connectionCount counts those that were made.
+	conn       *agentConn // nil while not connected
+	// connectionCount counts the connections made to the agent.
 	connectionCount int64
 	agentID         string
 	statusDecoder   *status.Decoder
 	lastMessageAt   time.Time
-	agentUptime     time.Duration
-	// grantEnd is when the last grant must have ended, by this owner's clock.
+	agentUptime     time.Duration // as of the agent's last message
+	// grantEnd is when the last grant must have expired, by this owner's clock.
 	grantEnd time.Time
 
-	nextMessage     *wire.OwnerMessage // what is to be sent
-	sentSequence    int64
-	handledSequence int64
+	nextMessage     *wire.OwnerMessage // collects what is sent with the next message
+	sentSequence    int64              // of the last message sent on the current connection
+	handledSequence int64              // of the last message that the agent has handled
 	sentAt          time.Time
-	// ackDeadline is when the agent must have said that it handled the first message that it
-	// has not said so of; zero for none.
-	ackDeadline    time.Time
-	claimsSent     bool // the present shards are in message, or were sent
+	// ackDeadline is when the agent must have acknowledged the oldest message that it has not
+	// acknowledged yet; zero if there is none.
+	ackDeadline time.Time
+	claimsSent  bool // the shards owned now are in nextMessage or have been sent
+	// claimSequences holds, by shard, the sequence number of the message that claimed it first.
 	claimSequences map[int]int64
 
-	// heardOnConn is set once the agent has spoken on the present connection.
+	// heardOnConn is set once the agent has sent a message on the current connection.
 	heardOnConn bool
-	// keepsLearned is set for an agent that keeps what it is told of interference, and
-	// needs to be told no more than what changes. sharedAt is when it was last told, and
-	// sharedVersion up to which version of the table.
+	// keepsLearned is set for an agent that stores the interference estimates it receives, so that only
+	// changed ones have to be sent. learnedSentAt is when estimates were last sent to the agent, and
+	// learnedSentVersion the version of the table up to which it has them.
 	keepsLearned       bool
 	learnedSentAt      time.Time
 	learnedSentVersion int64
 
-	runs map[string]*trackedRun
-	// endedIncarnations holds the incarnations that have ended for certain.
+	runs map[string]*trackedRun // by task name
+	// endedIncarnations holds the incarnations of the worker that are known to have ended.
 	endedIncarnations map[incarnation.ID]bool
-	// consecutiveFailures counts runs that failed in a row, avoidUntil is how long nothing
-	// more than a trial is placed there.
+	// consecutiveFailures counts the runs that have failed on the worker since the last one that
+	// succeeded. No tasks are placed on the worker before avoidUntil.
 	consecutiveFailures int
 	avoidUntil          time.Time
-	// noSuspectsUntil is how long no other suspect is placed there.
+	// noSuspectsUntil is until when no further task is placed on the worker that is suspected of
+	// crashing workers.
 	noSuspectsUntil time.Time
-	// sentEvacuations are the evacuated failure domains that the agent was told of on the
-	// present connection.
+	// sentEvacuations are the evacuated failure domains last sent to the agent on the current connection.
 	sentEvacuations []string
-	// preemptedAt is when the agent was last asked to make room.
+	// preemptedAt is when the agent was last asked to preempt runs.
 	preemptedAt time.Time
 }
 
-// incarnation names the worker's present life, the zero name while none is known.
+// incarnation returns the current incarnation of the agent's worker, the zero ID while none is known.
 func (view *agentView) incarnation() incarnation.ID { return view.status().Incarnation() }
 
-// status returns what is known of the agent's worker.
+// status returns the last known status of the agent's worker.
 func (view *agentView) status() *wire.WorkerStatus { return view.statusDecoder.Status() }
 
-// newAgentView returns the view of an agent that has not been heard.
+// newAgentView returns the view of an agent that has sent no message yet.
 func newAgentView(address string) *agentView {
 	return &agentView{
 		address: address, statusDecoder: status.NewDecoder(), runs: map[string]*trackedRun{},
@@ -86,16 +88,16 @@
 	}
 }
 
-// followAgentRecords keeps up with the agents that are registered in the store.
+// followAgentRecords starts to follow the records of agents in the store, until ctx ends.
 func (owner *Owner) followAgentRecords(ctx context.Context) {
 	for part := range job.AgentPartitions(owner.options.Shards) {
 		go owner.followAgentPartition(ctx, part)
 	}
 }
 
-// followAgentPartition keeps up with the agents that are registered in one partition. After records
-// have come it lets more gather: agents register together, and a read for each of their
-// records by each reader would grow with the product of both.
+// followAgentPartition follows the records of agents in one partition until ctx ends. After each read that
+// returned records it pauses for agentBatchDelay: many agents register at the same time, and if every reader
+// made a read for every record, the number of reads would be the product of both.
 func (owner *Owner) followAgentPartition(ctx context.Context, part int) {
 	nextOffset := int64(-1)
 	for ctx.Err() == nil {
@@ -114,6 +116,8 @@
 	}
 }
 
+// nextAgentOffset returns the offset to read from after an error. If the store no longer has the offset, it
+// returns -1, so that the newest record of each agent is read.
 func (owner *Owner) nextAgentOffset(err error, nextOffset int64) int64 {
 	if platform.IsGone(err) {
 		return -1
@@ -121,6 +125,8 @@
 	return nextOffset
 }
 
+// readAgentRecords reads the records of agents from an offset on, or the newest record of each agent if the
+// offset is negative.
 func (owner *Owner) readAgentRecords(ctx context.Context, part int, nextOffset int64) (platform.Tail, error) {
 	ctx, cancel := context.WithTimeout(ctx, agentReadWait+readTimeoutMargin)
 	defer cancel()
@@ -130,6 +136,7 @@
 	return owner.options.Store.Read(ctx, job.TopicAgents, part, nextOffset, agentReadWait)
 }
 
+// applyAgentRecords connects to newly registered agents and takes note of incarnations that have ended.
 func (owner *Owner) applyAgentRecords(tail platform.Tail, now time.Time) {
 	for _, record := range tail.Records {
 		agentRecord := &job.AgentRecord{}
@@ -143,7 +150,7 @@
 	}
 }
 
-// markIncarnationsEnded releases the runs of incarnations that have ended for certain.
+// markIncarnationsEnded notes that incarnations of the worker have ended, and releases their runs.
 func (owner *Owner) markIncarnationsEnded(view *agentView, ended []incarnation.ID, now time.Time) {
 	for _, worker := range ended {
 		view.endedIncarnations[worker] = true
@@ -153,15 +160,15 @@
 	}
 }
 
-// releaseIfIncarnationEnded releases a run if its worker's incarnation has ended for certain.
+// releaseIfIncarnationEnded releases a run if its worker's incarnation is known to have ended.
 func (owner *Owner) releaseIfIncarnationEnded(view *agentView, run *trackedRun, now time.Time) {
 	if view.endedIncarnations[run.place.Incarnation] {
 		owner.releaseRun(view, run, "its worker's incarnation is over", now)
 	}
 }
 
-// ensureAgent returns the view of the agent at an address, and begins to connect to
-// one that is new.
+// ensureAgent returns the view of the agent at an address. If there is none yet, it adds one and starts to
+// connect to the agent. It returns nil if the address is empty or the entry is not connected to agents.
 func (owner *Owner) ensureAgent(address string) *agentView {
 	if view, known := owner.agents[address]; known || address == "" || owner.agentsDropped {
 		return view
@@ -174,8 +181,8 @@
 	return view
 }
 
-// dropAgents ends all connections to agents, and what is known of them with these. What was read of
-// agents before has no effect any more.
+// dropAgents ends the connections to all agents and drops their views. Records of agents that were read
+// before have no effect afterwards.
 func (owner *Owner) dropAgents() {
 	owner.agentsDropped = true
 	for _, view := range owner.agents {
@@ -184,7 +191,7 @@
 	clear(owner.agents)
 }
 
-// dropShard drops what was on its way for a shard that is no longer owned.
+// dropShard drops the runs and the claim of a shard that is no longer owned.
 func (view *agentView) dropShard(s *shard) {
 	for name, run := range view.runs {
 		if run.shard == s {
