--- a/owner/connection.go
+++ b/owner/connection.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// outboxSize is how many messages may wait to be sent; an agent that lets
-	// more wait is connected to anew.
+	// outboxSize is how many messages may wait to be sent on a connection. If an agent reads too slowly
+	// and more messages wait, the connection is closed and made again.
 	outboxSize = 64
-	// dialTimeout bounds a try to connect: a machine that is off does not refuse.
+	// dialTimeout bounds an attempt to connect: a machine that is switched off does not refuse connections.
 	dialTimeout = time.Second
-	// minReconnectDelay keeps tries to connect apart; it doubles with each up to
-	// maxReconnectDelay.
+	// minReconnectDelay is the pause after the first failed attempt to connect. It doubles with each
+	// further one, up to maxReconnectDelay.
 	minReconnectDelay = 200 * time.Millisecond
 	maxReconnectDelay = 2 * time.Second
-	// ackTimeout is how long an agent may leave the owner's messages unanswered, beyond
-	// the half second that it takes at most to answer one: a connection may go silent for
-	// good in either direction while the peer's kernel acknowledges, and only an answer
-	// proves it sound. A machine that runs five times slower for a while answers within 1 s.
+	// ackTimeout is how long an agent may take to acknowledge a message, beyond the half second after which
+	// it sends an acknowledgement at the latest. A connection may stop delivering data in either direction
+	// while the kernel of the peer still acknowledges packets, so only an answer of the agent proves that it
+	// works. A machine that temporarily runs five times slower still answers within 1 s.
 	ackTimeout = 1500 * time.Millisecond
 )
 
@@ -34,7 +34,7 @@
 	cancel context.CancelFunc
 }
 
-// keepConnected connects to an agent, again and again, until ctx ends.
+// keepConnected connects to an agent, and reconnects whenever the connection ends, until ctx ends.
 func (owner *Owner) keepConnected(ctx context.Context, view *agentView) {
 	delay := minReconnectDelay
 	for ctx.Err() == nil {
@@ -46,8 +46,8 @@
 	}
 }
 
-// connect connects once and stays until the connection ends. It reports whether
-// the agent was reached.
+// connect makes one connection to an agent and receives messages until it ends. It reports whether the agent
+// has sent a message.
 func (owner *Owner) connect(ctx context.Context, view *agentView) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -57,7 +57,7 @@
 	if err != nil {
 		return false
 	}
-	defer rpcConn.Close() //nolint:errcheck // the connection has ended either way.
+	defer rpcConn.Close() //nolint:errcheck // The connection has ended in any case.
 	stream, err := wire.NewDRPCAgentClient(rpcConn).Attach(ctx)
 	if err != nil {
 		return false
@@ -77,6 +77,7 @@
 	}
 }
 
+// sendMessages sends the messages in a connection's outbox until ctx ends or a message can't be sent.
 func (owner *Owner) sendMessages(ctx context.Context, conn *agentConn, stream wire.DRPCAgent_AttachClient, rpcConn drpc.Conn) {
 	for {
 		select {
@@ -85,7 +86,7 @@
 		case message := <-conn.outbox:
 			if err := stream.Send(message); err != nil {
 				conn.cancel()
-				// The reader reports the end of the connection.
+				// The receiving goroutine reports the end of the connection.
 				_ = rpcConn.Close()
 				return
 			}
@@ -93,6 +94,7 @@
 	}
 }
 
+// handleConnected resets the state that belongs to one connection. Everything is sent again on a new one.
 func (owner *Owner) handleConnected(view *agentView, conn *agentConn) {
 	view.conn = conn
 	view.connectionCount++
@@ -113,6 +115,7 @@
 	owner.log(event.AgentAttached, slog.String("agent", view.address))
 }
 
+// handleDisconnected notes that a connection has ended, unless a newer one has replaced it.
 func (owner *Owner) handleDisconnected(view *agentView, conn *agentConn, err error) {
 	if view.conn != conn {
 		return
@@ -121,8 +124,8 @@
 	owner.log(event.AgentLost, slog.String("agent", view.address), slog.Int("runs", len(view.runs)), slog.Any("error", err))
 }
 
-// closeIfUnresponsive ends a connection on which the agent does not answer, so that another one is
-// made.
+// closeIfUnresponsive closes a connection on which the agent has not acknowledged messages in time, so that
+// a new one is made.
 func (owner *Owner) closeIfUnresponsive(view *agentView, now time.Time) {
 	if view.conn == nil || view.ackDeadline.IsZero() || now.Before(view.ackDeadline) {
 		return
@@ -132,8 +135,9 @@
 	view.conn.cancel()
 }
 
-// nextAckDeadline returns when an agent must have answered what is sent now. Agents of earlier
-// builds answer an owner that has claimed no shard as seldom as it speaks.
+// nextAckDeadline returns when an agent must have acknowledged a message that is sent now. Agents of earlier
+// versions acknowledge the messages of an owner without shards only every idleSendInterval. They are
+// recognized by not keeping interference estimates.
 func (view *agentView) nextAckDeadline(now time.Time) time.Time {
 	interval := grantInterval
 	if !view.keepsLearned {
@@ -142,13 +146,13 @@
 	return now.Add(interval + ackTimeout)
 }
 
-// recordHandled takes note of how far an agent has handled the owner's messages.
+// recordHandled records up to which message an agent has handled those of this owner.
 func (view *agentView) recordHandled(handled int64, now time.Time) {
 	switch {
 	case handled >= view.sentSequence:
 		view.ackDeadline = time.Time{}
 	case handled > view.handledSequence:
-		// It goes on answering; what it has not come to was sent later.
+		// The agent makes progress; the messages it has not handled yet were sent later.
 		view.ackDeadline = view.nextAckDeadline(now)
 	}
 	view.handledSequence = handled
