--- a/owner/tracked_run.go
+++ b/owner/tracked_run.go
@@ -7,7 +7,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// trackedRun is a run that is ordered at an agent, or is about to be.
+// trackedRun is the owner's state of a run that has been placed on an agent's worker and is not known to have
+// ended.
 type trackedRun struct {
 	task     *job.Task
 	shard    *shard
@@ -16,24 +17,28 @@
 	place    job.Place
 	demand   *wire.Demand
 	ticket   string
-	// orderSequence is that of the message with the order: 0 before it is sent.
+	// orderSequence is the sequence number of the message with the start order, 0 until there is one on the
+	// current connection.
 	orderSequence int64
-	// orderedEarlier marks a run whose order went out on an earlier connection, or by
-	// an earlier owner.
+	// orderedEarlier marks a run whose start order was sent on an earlier connection or by an earlier owner.
 	orderedEarlier bool
-	// inherited marks a run of an earlier owner until an agent has listed it.
+	// inherited marks a run of an earlier owner until its agent has listed it.
 	inherited bool
+	// confirmed is set once the agent has reported the run as started.
 	confirmed bool
-	orderedAt time.Time // when the start was in the store; zero for an earlier owner's
-	// progressPercent is the progress last told, movedAt when it last changed.
+	// orderedAt is when the start was in the store and the order was added to a message. It is zero for a
+	// run that an earlier owner ordered.
+	orderedAt time.Time
+	// progressPercent is the progress last reported, progressedAt when it last changed.
 	progressPercent int32
 	progressedAt    time.Time
 	stopOrderedAt   time.Time
-	inAgentStatus   bool // the agent's account of its room includes the run
+	// inAgentStatus is set once the free resources in the agent's status take account of the run.
+	inAgentStatus bool
 }
 
-// storeLatency returns how long the store took to keep the start; 0 if that is not
-// known. The entry may be nil.
+// storeLatency returns the time from the placement of the task until its start was in the store, or 0 if that
+// is not known. The run may be nil.
 func (run *trackedRun) storeLatency(task *job.Task) time.Duration {
 	if run == nil || run.orderedAt.IsZero() {
 		return 0
@@ -41,6 +46,7 @@
 	return run.orderedAt.Sub(task.StartedAt())
 }
 
+// newTrackedRun returns the run of a task in its current attempt, as the task's job has it.
 func newTrackedRun(s *shard, task *job.Task, now time.Time) *trackedRun {
 	return &trackedRun{
 		task: task, shard: s, taskName: task.Name(), attempt: task.Attempt(), place: task.Place(),
@@ -48,12 +54,12 @@
 	}
 }
 
-// maxInterruptions is how often a task is moved for the sake of serving ones before it
-// is left where it is, and only slowed: each move costs what it has not saved.
+// maxInterruptions is how often a task may be interrupted before it is no longer moved for the sake of
+// serving tasks, but only slowed down: each move loses the progress since the last checkpoint.
 const maxInterruptions = 8
 
-// demandOf tells what a task takes of a worker and how it shares it, and what its job may
-// lose from now on.
+// demandOf returns what a task needs of a worker, how it shares the worker with others, and how much slack
+// its job has left.
 func demandOf(task *job.Task, now time.Time) *wire.Demand {
 	spec := task.Spec()
 	return &wire.Demand{
@@ -64,8 +70,8 @@
 	}
 }
 
-// isMovable reports whether a task may be moved for the sake of others or of its own. The
-// members of a gang end together, so moving one that saves nothing costs the work of all.
+// isMovable reports whether a task may be stopped on its worker to be started on another one. The members
+// of a gang end together, so moving one that writes no checkpoints loses the progress of all.
 func isMovable(task *job.Task) bool {
 	spec := task.Spec()
 	return task.Interruptions() < maxInterruptions && (spec.GetCheckpointing() || !spec.GetGang())
