--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -10,26 +10,25 @@
 	"ambertiller.example/ambertiller/telemetry"
 )
 
-// metrics are the owner's instruments.
+// metrics holds the owner's metric instruments.
 type metrics struct {
-	runsEnded       metric.Int64Counter
-	startsRefused   metric.Int64Counter
-	runsLost        metric.Int64Counter
-	supersededEnds  metric.Int64Counter
-	jobsEnded       metric.Int64Counter
-	appendDuration  metric.Float64Histogram
-	jobWait         metric.Float64Histogram
-	jobDuration     metric.Float64Histogram
-	ownedShards     metric.Int64Gauge
-	liveJobs        metric.Int64Gauge
-	attachedAgents  metric.Int64Gauge
-	workersExamined metric.Int64Counter
-	// evacuatedDomains counts failure domains.
+	runsEnded        metric.Int64Counter
+	startsRefused    metric.Int64Counter
+	runsLost         metric.Int64Counter
+	supersededEnds   metric.Int64Counter
+	jobsEnded        metric.Int64Counter
+	appendDuration   metric.Float64Histogram
+	jobWait          metric.Float64Histogram
+	jobDuration      metric.Float64Histogram
+	ownedShards      metric.Int64Gauge
+	liveJobs         metric.Int64Gauge
+	attachedAgents   metric.Int64Gauge
+	workersExamined  metric.Int64Counter
 	evacuatedDomains metric.Int64Gauge
 }
 
-// newMetrics makes the instruments. Their names are constants that the library
-// accepts, so its errors can't occur.
+// newMetrics creates the instruments. Errors are ignored: the library returns them only for invalid names,
+// and these are valid constants.
 func newMetrics(provider metric.MeterProvider) metrics {
 	meter := telemetry.Meter(provider, "owner")
 	var m metrics
@@ -49,15 +48,16 @@
 	return m
 }
 
+// recordJobEnd counts a job that has ended, and records the time since it was submitted.
 func (m *metrics) recordJobEnd(ctx context.Context, j *job.Job) {
 	m.jobsEnded.Add(ctx, 1, telemetry.By("state", j.State().String()))
 	m.jobDuration.Record(ctx, j.EndedAt().Sub(time.UnixMilli(j.Submission().GetSubmittedMs())).Seconds(), telemetry.By("queue", j.Submission().GetQueue()))
 }
 
-// gaugeInterval is how often the gauges are set: metrics are read every few seconds.
+// gaugeInterval is how often the gauges are recorded. Metrics are collected every few seconds.
 const gaugeInterval = time.Second
 
-// recordGauges sets the gauges.
+// recordGauges records the gauges, and the workers examined since the last time, once per gaugeInterval.
 func (owner *Owner) recordGauges(now time.Time) {
 	if now.Sub(owner.gaugesRecordedAt) < gaugeInterval {
 		return
