--- a/owner/membership.go
+++ b/owner/membership.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// joinInterval renews the membership three times before it would run out.
+	// joinInterval is how often the membership is renewed: three times before it would expire.
 	joinInterval = 350 * time.Millisecond
-	// joinTimeout bounds a call to join or to leave.
+	// joinTimeout bounds a call to join or leave a group.
 	joinTimeout = 700 * time.Millisecond
 )
 
-// maintainMembership joins the group, and again and again, until ctx ends.
+// maintainMembership joins the group of owners and renews the membership until ctx ends.
 func (owner *Owner) maintainMembership(ctx context.Context) {
 	generation := int64(0)
 	lostAt := time.Time{}
@@ -47,19 +47,24 @@
 			return
 		}
 		if changed {
-			// Naming the new generation hands over what is no longer held.
+			// Joining again at once, with the new generation, tells the store that the shards of the
+			// old assignment have been released.
 			continue
 		}
 		owner.sleep(ctx, joinInterval)
 	}
 }
 
+// join joins the group of owners, or renews the membership. The generation is the one that this entry heard
+// of last.
 func (owner *Owner) join(ctx context.Context, generation int64) (platform.Deal, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	return owner.options.Store.Join(ctx, job.OwnersGroup, owner.MemberName(), []string{job.TopicJobs}, owner.options.MemberTimeout, generation)
 }
 
+// logStoreLost logs the first of several failed calls in a row. It returns when the failures began, given
+// that time or zero.
 func (owner *Owner) logStoreLost(ctx context.Context, lostAt, now time.Time, err error) time.Time {
 	if !lostAt.IsZero() {
 		return lostAt
@@ -68,13 +73,15 @@
 	return now
 }
 
+// logStoreRecovered logs that a call has succeeded after failures that began at lostAt, if that is not zero.
 func (owner *Owner) logStoreRecovered(ctx context.Context, lostAt, now time.Time) {
 	if !lostAt.IsZero() {
 		owner.options.Events.Log(ctx, event.StoreBack, slog.Duration("after", now.Sub(lostAt)))
 	}
 }
 
-// applyAssignment takes up the shards that are dealt to this entry and gives up others.
+// applyAssignment acquires the shards that the store has assigned to this entry, and releases all others. The
+// join with that answer was sent at sentAt.
 func (owner *Owner) applyAssignment(assignment platform.Deal, sentAt, now time.Time) {
 	owner.lastJoinAt = sentAt
 	assigned := map[int]bool{}
@@ -83,7 +90,7 @@
 	}
 	for number, s := range owner.shards {
 		if !assigned[number] {
-			owner.releaseShard(s, "dealt to another entry", now)
+			owner.releaseShard(s, "assigned to another entry", now)
 		}
 	}
 	for number := range assigned {
