--- a/owner/shard.go
+++ b/owner/shard.go
@@ -11,18 +11,16 @@
 )
 
 const (
-	// storeTimeout bounds a call to the store; when the store is slow its
-	// answers take a quarter of a second.
+	// storeTimeout bounds a call to the store. A slow store answers within a quarter of a second.
 	storeTimeout = 1500 * time.Millisecond
-	// storeRetryDelay keeps tries apart while the store fails.
+	// storeRetryDelay is the pause before a failed call to the store is retried.
 	storeRetryDelay = 100 * time.Millisecond
-	// readWait is how long a read waits for a record. A read that waits while
-	// the store drops its history hears nothing until it is asked anew, and a
-	// cancellation has to be heard within 3 s.
+	// readWait is how long a read of the store waits for a record. If the store compacts its log during a
+	// read, the read returns nothing until it is repeated, and cancellations must be seen within 3 s.
 	readWait = time.Second
-	// readTimeoutMargin is added to a read's wait for the way there and back.
+	// readTimeoutMargin is added to the wait of a read for the round trip.
 	readTimeoutMargin = time.Second
-	// producer names owners to the store, which fences them by epoch.
+	// producer is the name under which all owners write to the store, which fences them by epoch.
 	producer = "owner"
 )
 
@@ -30,35 +28,35 @@
 type shard struct {
 	number int
 	epoch  int64
-	// loaded is false until the shard's jobs have been read.
+	// loaded is set once the shard's jobs have been read.
 	loaded     bool
 	acquiredAt time.Time
 	cancel     context.CancelFunc
-	ctx        context.Context // ends what is on its way for the shard
+	ctx        context.Context // cancelled when the shard is released
 
 	jobs       map[string]*job.Job
-	live       map[string]*job.Job // jobs that have not ended, or still have runs
-	nextOffset int64               // offset to read jobs from
+	live       map[string]*job.Job // jobs that have not ended or still have runs
+	nextOffset int64               // offset from which to read further jobs and cancellations
 
-	dirty      map[string]*job.Job
-	afterFlush []func(now time.Time) // to be done once what is dirty is in the store
-	writing    bool
-	sequence   int64
-	// cancelled holds the jobs with a cancellation, which may be read before
-	// the job: the newest records come in the order of their keys.
+	dirty      map[string]*job.Job   // jobs whose progress is to be written
+	afterFlush []func(now time.Time) // called once the progress of the dirty jobs is in the store
+	writing    bool                  // a write to the store is in progress
+	sequence   int64                 // of the last append
+	// cancelled holds the jobs with a cancellation. A cancellation may be read before its job, since the
+	// store returns the newest records in the order of their keys.
 	cancelled map[string]bool
-	// tombstones are the records to be dropped with the next append.
+	// tombstones are records that delete progress with the next append.
 	tombstones []platform.Record
 	prunedAt   time.Time
-	// pruning is set while submissions are being dropped.
+	// pruning is set while submissions are being deleted from the store.
 	pruning bool
-	// learned is what is known of interference, for SharedShard.
+	// learned holds the interference estimates; nil except for job.InterferenceShard.
 	learned *learnedTable
-	// endStoredAt tells from when on this process knew that the end of a job is in the store.
+	// endStoredAt is when this process learned that the end of a job is in the store.
 	endStoredAt map[string]time.Time
 }
 
-// newShard returns a shard whose jobs have not been read yet.
+// newShard returns a shard that has not been loaded yet.
 func newShard(ctx context.Context, number int, epoch int64, now time.Time) *shard {
 	s := &shard{
 		number: number, epoch: epoch, acquiredAt: now,
@@ -72,7 +70,7 @@
 	return s
 }
 
-// acquireShard begins to own a shard: earlier owners are fenced, then its jobs are read.
+// acquireShard starts to own a shard. Its jobs are loaded in the background.
 func (owner *Owner) acquireShard(number int, epoch int64, now time.Time) {
 	s := newShard(owner.ctx, number, epoch, now)
 	owner.shards[number] = s
@@ -80,7 +78,7 @@
 	go owner.loadShard(s)
 }
 
-// releaseShard stops owning a shard. What was on its way for it has no effect.
+// releaseShard stops owning a shard. Calls and messages for it that are in flight have no effect any more.
 func (owner *Owner) releaseShard(s *shard, reason string, now time.Time) {
 	s.cancel()
 	if owner.shards[s.number] != s {
@@ -90,8 +88,7 @@
 	for _, view := range owner.agents {
 		view.dropShard(s)
 		if s.number == job.InterferenceShard {
-			// The next owner of the shard begins a table of its own, also if it is
-			// this one.
+			// The next owner of the shard starts a new table, even if it is this entry again.
 			view.learnedSentVersion = 0
 		}
 	}
@@ -99,7 +96,8 @@
 		slog.String("reason", reason), slog.Duration("held", now.Sub(s.acquiredAt)))
 }
 
-// loadShard fences earlier owners and reads the shard.
+// loadShard fences earlier owners by an empty append under the new epoch, reads the records of the shard, and
+// then follows new ones.
 func (owner *Owner) loadShard(s *shard) {
 	if !owner.appendUntilStored(s, nil) {
 		return
@@ -124,6 +122,8 @@
 	}
 }
 
+// readNewest reads the newest record of each key in the shard's partition of a topic. It retries until it
+// succeeds, and reports false if the shard is released before.
 func (owner *Owner) readNewest(s *shard, topic string) (platform.Tail, bool) {
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
@@ -138,6 +138,7 @@
 	return platform.Tail{}, false
 }
 
+// activateShard applies the records that were read of a shard, from when on the shard counts as loaded.
 func (owner *Owner) activateShard(s *shard, jobs, runs platform.Tail, now time.Time) {
 	submitted := map[string]bool{}
 	for _, record := range jobs.Records {
@@ -148,8 +149,8 @@
 	}
 	for _, record := range runs.Records {
 		if !submitted[job.SubmissionKey(record.Key)] {
-			// Progress is written once its job was read, so the job was dropped since. One
-			// whose record can't be read is still there, and keeps its progress.
+			// Progress is only written for a job that was read, so the job has been deleted since. A
+			// job whose record can't be decoded is still there and keeps its progress.
 			s.deleteProgress(record.Key)
 			continue
 		}
@@ -168,7 +169,7 @@
 		slog.Int("jobs", len(s.jobs)), slog.Int("live", len(s.live)), slog.Duration("after", now.Sub(s.acquiredAt)))
 }
 
-// followShard reads the jobs and cancellations that entries append.
+// followShard reads the jobs and cancellations that entries append, until the shard is released.
 func (owner *Owner) followShard(s *shard, nextOffset int64) {
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, readWait+readTimeoutMargin)
@@ -193,6 +194,7 @@
 	}
 }
 
+// applyRecords applies submissions and cancellations that were appended to a shard.
 func (owner *Owner) applyRecords(s *shard, tail platform.Tail, now time.Time) {
 	if owner.shards[s.number] != s {
 		return
