--- a/owner/prune.go
+++ b/owner/prune.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// pruneInterval is how often ended jobs are looked through.
+	// pruneInterval is how often a shard is searched for expired jobs.
 	pruneInterval = 10 * time.Second
-	// retentionMargin is added to the time for which a state must be known, for
-	// clients that ask late and clocks that differ.
+	// retentionMargin is added to Options.JobRetention, for clients that ask late and for clocks that
+	// differ.
 	retentionMargin = time.Minute
-	// maxPrunedJobs bounds the jobs that are dropped at a time.
+	// maxPrunedJobs bounds how many jobs of a shard are deleted at a time.
 	maxPrunedJobs = 200
 )
 
-// pruneJobs drops jobs that ended long ago, here and in the store.
+// pruneJobs deletes expired jobs, in memory and in the store.
 //
-// What was handed in goes first, and what became of it only once the store has taken that: the other
-// way round an owner that comes in between would read a job without progress and start it again.
+// The submissions are deleted first, and the progress of the jobs only once the store has done that. In the
+// reverse order, an owner that loads the shard in between would read a job without progress and start it
+// again.
 func (owner *Owner) pruneJobs(s *shard, now time.Time) {
 	if !s.loaded || s.pruning || now.Sub(s.prunedAt) < pruneInterval {
 		return
@@ -50,14 +51,16 @@
 	}
 }
 
-// isExpired reports whether nobody asks for a job any more. The time counts from when this process found the
-// end in the store, on its steady clock: the time of day, which the record has, may jump.
+// isExpired reports whether a job ended so long ago that it may be deleted. The time is measured on the
+// monotonic clock, from when this process knew that the end was in the store: the time of day in the job's
+// record is not used since it may jump.
 func (owner *Owner) isExpired(s *shard, id string, now time.Time) bool {
 	durableAt, durable := s.endStoredAt[id]
 	return durable && s.live[id] == nil && now.Sub(durableAt) >= owner.options.JobRetention+retentionMargin
 }
 
-// deleteSubmissions drops submissions and cancellations from the store.
+// deleteSubmissions deletes submissions and cancellations from the store, and retries until it succeeds or
+// the shard is released.
 func (owner *Owner) deleteSubmissions(s *shard, ids []string, records []platform.Record) {
 	request := platform.Append{Topic: job.TopicJobs, Part: s.number, Records: records}
 	for attempt := 1; s.ctx.Err() == nil; attempt++ {
@@ -75,7 +78,8 @@
 	}
 }
 
-// removePruned forgets jobs whose submissions are dropped; their progress goes with the next append.
+// removePruned removes jobs whose submissions have been deleted. Their progress is deleted with the next
+// append.
 func (owner *Owner) removePruned(s *shard, ids []string) {
 	if owner.shards[s.number] != s {
 		return
@@ -89,7 +93,7 @@
 	}
 }
 
-// deleteProgress drops the record of what became of a job that is no longer in the store.
+// deleteProgress has the progress of a job deleted whose submission is no longer in the store.
 func (s *shard) deleteProgress(id string) {
 	s.tombstones = append(s.tombstones, platform.Record{Key: id})
 }
