--- a/owner/peer.go
+++ b/owner/peer.go
@@ -11,8 +11,7 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// NotOwnedError says that this entry does not own the shard, or has not read it
-// yet.
+// NotOwnedError is returned for a shard that this entry does not own or has not loaded yet.
 type NotOwnedError struct{ shard int }
 
 // Error implements error.
@@ -20,8 +19,8 @@
 	return "this entry does not own the job's shard; ask its owner"
 }
 
-// JobState implements wire.DRPCPeerServer. An unknown job is reported as such
-// only after the shard has been read to its end.
+// JobState implements wire.DRPCPeerServer: it returns the state of a job. It reports a job as unknown only
+// after it has read the shard's partition to its end.
 func (owner *Owner) JobState(ctx context.Context, request *wire.JobStateRequest) (*wire.JobStateReply, error) {
 	reply, s, nextOffset := owner.jobState(ctx, request.GetId())
 	if s == nil {
@@ -42,6 +41,8 @@
 	return reply, nil
 }
 
+// jobState looks a job up in its shard. The shard is nil if it is not loaded here; the offset is where
+// reading its jobs continues.
 func (owner *Owner) jobState(ctx context.Context, id string) (*wire.JobStateReply, *shard, int64) {
 	reply := &wire.JobStateReply{}
 	var loaded *shard
@@ -63,8 +64,8 @@
 	return reply, loaded, nextOffset
 }
 
-// visibleState returns the state that a client may be told: an end only once it is in
-// the store.
+// visibleState returns the state of a job that clients may see. A job that has ended is shown as running
+// until its end is in the store.
 func (s *shard) visibleState(j *job.Job) job.State {
 	if _, durable := s.endStoredAt[j.ID()]; j.HasEnded() && !durable {
 		return job.State_STATE_RUNNING
@@ -72,8 +73,8 @@
 	return j.State()
 }
 
-// Pending implements wire.DRPCPeerServer: the jobs of a queue, in the shards that
-// this entry owns, none of whose tasks has begun.
+// Pending implements wire.DRPCPeerServer: it counts the jobs of a queue in the shards of this entry of
+// which no task has started yet.
 func (owner *Owner) Pending(ctx context.Context, request *wire.PendingRequest) (*wire.PendingReply, error) {
 	reply := &wire.PendingReply{}
 	ok := owner.eventLoop.Ask(ctx, func(time.Time) {
@@ -95,9 +96,9 @@
 	return reply, nil
 }
 
-// Taken implements wire.DRPCPeerServer: it takes up a record that is in the store
-// already. An owner that does not own the shard, or has not read it yet, passes it
-// over and reads it there.
+// Taken implements wire.DRPCPeerServer: it applies a record that another entry has appended to the store,
+// before this owner reads it there. If the shard is not loaded here, the record is ignored: its owner will
+// read it from the store.
 func (owner *Owner) Taken(_ context.Context, request *wire.TakenRequest) (*wire.TakenReply, error) {
 	record := platform.Record{Key: request.GetKey(), Value: request.GetValue()}
 	owner.eventLoop.Post(func(now time.Time) {
@@ -109,8 +110,8 @@
 	return &wire.TakenReply{}, nil
 }
 
-// Relay implements wire.DRPCPeerServer: it appends a record for an entry that the
-// store turns away.
+// Relay implements wire.DRPCPeerServer: it appends a record on behalf of an entry whose own appends the store
+// does not take.
 func (owner *Owner) Relay(ctx context.Context, request *wire.RelayRequest) (*wire.RelayReply, error) {
 	appendRequest := platform.Append{
 		Topic: job.TopicJobs, Part: int(request.GetShard()),
