--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -10,7 +10,7 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// handleAgentMessage takes in what an agent tells.
+// handleAgentMessage applies a message of an agent, unless it comes from a connection that has been replaced.
 func (owner *Owner) handleAgentMessage(view *agentView, conn *agentConn, message *wire.AgentMessage, now time.Time) {
 	if view.conn != conn {
 		return
@@ -22,7 +22,7 @@
 	}
 	if !view.heardOnConn {
 		view.heardOnConn = true
-		view.sentAt = time.Time{} // The first grant on a connection goes out at once.
+		view.sentAt = time.Time{} // Send the first grant on the connection at once.
 	}
 	view.keepsLearned = view.keepsLearned || message.GetKeepsLearned()
 	view.lastMessageAt = now
@@ -33,7 +33,7 @@
 		owner.placementChanges.addWorker(view)
 	}
 	if view.incarnation() != before {
-		// Doubts are about a life: what failed on one says nothing of the next.
+		// Probation applies to one incarnation: failures on it say nothing about the next.
 		view.consecutiveFailures, view.avoidUntil = 0, time.Time{}
 	}
 	view.markRunsInStatus()
@@ -49,7 +49,8 @@
 	owner.updateLearned(view, message.GetLearned())
 }
 
-// markRunsInStatus marks the runs that the agent's account of its room includes.
+// markRunsInStatus marks the runs that the agent's status takes account of: those whose start order the agent
+// has handled.
 func (view *agentView) markRunsInStatus() {
 	for _, run := range view.runs {
 		if view.hasHandled(run.orderSequence) {
@@ -58,13 +59,13 @@
 	}
 }
 
-// hasHandled reports whether the agent has handled the message with a sequence
-// number; 0 is that of a message that was not sent.
+// hasHandled reports whether the agent has handled the message with a sequence number. The number 0 stands
+// for a message that was not sent on this connection.
 func (view *agentView) hasHandled(sequence int64) bool {
 	return sequence > 0 && sequence <= view.handledSequence
 }
 
-// reconcile compares the runs that an agent lists with those ordered there.
+// reconcile compares the runs that an agent lists with those that the owner has placed there.
 func (owner *Owner) reconcile(view *agentView, message *wire.AgentMessage, now time.Time) {
 	listed := map[string]*wire.RunStatus{}
 	for _, reported := range message.GetRuns() {
@@ -74,8 +75,8 @@
 	for name, run := range view.runs {
 		reported, found := listed[name]
 		if found && reported.GetAttempt() == run.attempt && worker.WorkerID() == run.place.Incarnation.WorkerID() {
-			// On which life of its worker a run goes is for the agent to say: an order that was late may
-			// have been carried out by the next one.
+			// The agent knows on which incarnation of its worker the run is: the next incarnation may have
+			// carried out an order that arrived late.
 			run.place.Incarnation = worker
 			owner.handleListedRun(view, run, reported, now)
 			owner.checkProgress(view, run, reported, now)
@@ -88,7 +89,8 @@
 	}
 }
 
-// handleListedRun takes in what an agent tells of a run that was ordered there.
+// handleListedRun applies what an agent reports of a run that was placed there. If the worker is not ready,
+// the agent may have been restarted, so it is sent the run's demand again.
 func (owner *Owner) handleListedRun(view *agentView, run *trackedRun, reported *wire.RunStatus, now time.Time) {
 	owner.confirmRun(run, now)
 	run.inherited, run.inAgentStatus = false, true
@@ -98,22 +100,23 @@
 	}
 }
 
-// handleUnlistedRun looks at a run that its agent does not list.
+// handleUnlistedRun releases a run that its agent does not list, if that proves that the run has ended or
+// will not start.
 func (owner *Owner) handleUnlistedRun(view *agentView, run *trackedRun, worker incarnation.ID, now time.Time) {
 	status := view.status()
 	if !status.GetReady() && !status.GetAccounted() {
 		return
 	}
 	if !worker.IsZero() && worker.WorkerID() != run.place.Incarnation.WorkerID() {
-		// A machine has one worker: another one that answers there means that the one before it has ended,
-		// with all that it ran. One that has not answered may be known by a heartbeat that was held up.
+		// A machine has one worker. If a different one is ready there, the previous one has ended with all
+		// its runs. A worker that is not ready may be known only from a delayed heartbeat.
 		if status.GetReady() {
 			owner.releaseRun(view, run, "its worker's incarnation is over", now)
 		}
 		return
 	}
-	// Another life under the same id may have carried the order out, which its agent tells to an owner
-	// whose message it has handled.
+	// Another incarnation with the same worker ID may have carried out the order. The agent lists such a run
+	// once it has handled the message with the order, or the claim of the shard for an earlier order.
 	handled := view.hasHandled(run.orderSequence)
 	if run.orderedEarlier {
 		handled = view.hasHandled(view.claimSequences[run.shard.number])
@@ -131,7 +134,7 @@
 	owner.releaseRun(view, run, reason, now)
 }
 
-// stopStrayRun stops a run that should not be.
+// stopStrayRun has a listed run stopped if it is not the current run of its task.
 func (owner *Owner) stopStrayRun(view *agentView, name string, reported *wire.RunStatus, worker incarnation.ID) {
 	ref, err := job.ParseTaskRef(name)
 	if err != nil {
@@ -143,11 +146,12 @@
 	if s == nil || found && run.attempt == reported.GetAttempt() {
 		return
 	}
-	owner.log(event.RunStopOrdered, slog.String("task", name), slog.Int("attempt", int(reported.GetAttempt())), slog.String("reason", "not the task's present run"))
+	owner.log(event.RunStopOrdered, slog.String("task", name), slog.Int("attempt", int(reported.GetAttempt())), slog.String("reason", "not the task's current run"))
 	view.addStopOrder(s, name, reported.GetAttempt(), worker)
 }
 
-// adoptRuns takes up the runs that earlier owners ordered.
+// adoptRuns tracks the runs that earlier owners of the shard have placed, and has the shard claimed at all
+// agents.
 func (owner *Owner) adoptRuns(s *shard, now time.Time) {
 	for _, j := range s.live {
 		for _, task := range j.RunningTasks() {
