--- a/owner/records.go
+++ b/owner/records.go
@@ -11,6 +11,8 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
+// applySubmission adds a submitted job to a shard. Empty records, which mark deletions, and jobs that are
+// known already are ignored.
 func (owner *Owner) applySubmission(s *shard, record platform.Record, now time.Time) {
 	if len(record.Value) == 0 {
 		return
@@ -41,6 +43,7 @@
 	}
 }
 
+// applyProgress restores the progress of a job that an earlier owner has stored.
 func (owner *Owner) applyProgress(s *shard, record platform.Record, now time.Time) {
 	if len(record.Value) == 0 {
 		return
@@ -61,13 +64,14 @@
 	s.removeIfSettled(j)
 }
 
-// removeIfSettled keeps a job among the live ones while anything may still happen.
+// removeIfSettled removes a job from the live ones if it has ended and none of its runs is left.
 func (s *shard) removeIfSettled(j *job.Job) {
 	if j.HasEnded() && len(j.RunningTasks()) == 0 {
 		delete(s.live, j.ID())
 	}
 }
 
+// applyCancellation cancels a job, or has it cancelled once its submission is read.
 func (owner *Owner) applyCancellation(s *shard, record platform.Record, now time.Time) {
 	if len(record.Value) == 0 {
 		return
@@ -83,6 +87,7 @@
 	}
 }
 
+// cancelJob cancels a job that has not ended yet.
 func (owner *Owner) cancelJob(s *shard, j *job.Job, now time.Time) {
 	if !j.Cancel(now) {
 		return
@@ -92,23 +97,26 @@
 	s.removeIfSettled(j)
 }
 
+// logUnreadable logs a record of the store that can't be decoded.
 func (owner *Owner) logUnreadable(s *shard, record platform.Record, err error) {
 	owner.log(event.RecordUnreadable, slog.Int("shard", s.number),
 		slog.String("key", record.Key), slog.Int64("offset", record.Offset), slog.Any("error", err))
 }
 
-// markDirty has the job's progress written.
+// markDirty has the job's progress written to the store with the next flush.
 func (owner *Owner) markDirty(s *shard, j *job.Job) {
 	s.dirty[j.ID()] = j
 }
 
-// markRunOver has the job's progress written after a run is over, and places looked for what may start now.
+// markRunOver has the job's progress written after one of its runs is over. It also has tasks placed: those
+// of the job that may start now, and others on the worker where the run was.
 func (owner *Owner) markRunOver(s *shard, j *job.Job, view *agentView) {
 	owner.markDirty(s, j)
 	owner.placementChanges.addJob(j)
 	owner.placementChanges.addWorker(view)
 }
 
+// reportEndOnceStored logs and counts the end of a job once it is in the store.
 func (owner *Owner) reportEndOnceStored(s *shard, j *job.Job) {
 	s.afterFlush = append(s.afterFlush, func(now time.Time) {
 		s.endStoredAt[j.ID()] = now
