--- a/owner/learned_store.go
+++ b/owner/learned_store.go
@@ -16,22 +16,20 @@
 )
 
 const (
-	// learnedWriteInterval is how often what has been learned is written: it takes tens of
-	// seconds to learn, and a record of 50 pairs is 1.5 KB.
+	// learnedWriteInterval is how often the learned estimates are written. Estimates take tens of seconds
+	// to form, and a record of 50 pairs is 1.5 KB.
 	learnedWriteInterval = 4 * time.Second
-	// maxStoredPairs bounds the record, to about 30 KB: those that rest on the most
-	// readings are kept.
+	// maxStoredPairs bounds the record to about 30 KB. The pairs with the most readings are kept.
 	maxStoredPairs = 1000
-	// maxStoredReadings bounds what a remembered weight rests on, so that readings of
-	// the present overrule it within seconds: weights shift.
+	// maxStoredReadings bounds the number of readings with which a stored weight counts, so that new
+	// readings outweigh it within seconds: weights change over time.
 	maxStoredReadings = 30
 )
 
-// persistLearned takes up what earlier owners wrote of interference, and writes what the
-// agents have learned since, until the shard is given up. Agents and owners that have
-// all lost power know the weights again before the first task runs: over 48 days that end
-// with such a loss, serving tasks missed their targets for 137 s a day instead of 149 s,
-// and 184 runs were stopped instead of 216.
+// persistLearned loads the interference estimates that earlier owners stored, and stores what the agents
+// learn from then on, until the shard is released. If all agents and owners lose power, they have the
+// estimates again before the first task runs. Over 48 days that ended with a power loss, serving tasks
+// missed their targets for 137 s a day instead of 149 s, and 184 runs were stopped instead of 216.
 func (owner *Owner) persistLearned(s *shard) {
 	tail, ok := owner.readNewest(s, job.TopicInterference)
 	if !ok {
@@ -48,15 +46,15 @@
 	}
 }
 
-// learnedRecord is what this owner has written of interference.
+// learnedRecord is the state of writing the interference estimates of a shard.
 type learnedRecord struct {
 	shard        *shard
-	lastValue    []byte
-	nextSequence int64 // of the next append
+	lastValue    []byte // as last written
+	nextSequence int64  // of the next append
 }
 
-// writeLearned writes what the agents have learned by now, if that has changed. It
-// reports false once this owner is not to write any more.
+// writeLearned stores the current estimates if they have changed. It reports false once this owner must not
+// write any more.
 func (owner *Owner) writeLearned(record *learnedRecord) bool {
 	var learned []*job.Interference
 	if !owner.eventLoop.Ask(record.shard.ctx, func(time.Time) { learned = record.shard.learned.meansExcluding(nil) }) {
@@ -64,7 +62,7 @@
 	}
 	value, err := proto.Marshal(&job.Learned{Pairs: pairsToStore(learned)})
 	if err != nil {
-		// A message that was just built always encodes.
+		// Unreachable: a newly built message can always be encoded.
 		owner.log(event.RecordUnreadable, slog.String("key", job.InterferenceKey), slog.Any("error", err))
 		return false
 	}
@@ -79,9 +77,9 @@
 	return true
 }
 
-// retryLearnedAppend reports whether an append that failed is to be tried again. It is, under
-// the same sequence number and with what is learned by then: if the store took it after
-// all, the next one is lost and the one after it is not.
+// retryLearnedAppend reports whether a failed append is to be retried: always, unless the store refuses the
+// writes of this owner for good. The retry has the same sequence number and the estimates as of then. If the
+// store had taken the failed append after all, it ignores the retry, but not the append after that.
 func (owner *Owner) retryLearnedAppend(record *learnedRecord, err error) bool {
 	var refused *platform.RefusedError
 	if errors.As(err, &refused) && !refused.Busy() {
@@ -92,6 +90,7 @@
 	return true
 }
 
+// appendLearned appends an encoded record of estimates under the shard's epoch.
 func (owner *Owner) appendLearned(record *learnedRecord, value []byte) error {
 	s := record.shard
 	ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
@@ -103,6 +102,7 @@
 	return err
 }
 
+// decodeLearned returns the estimates in the records of the topic, nil if there are none.
 func (owner *Owner) decodeLearned(s *shard, tail platform.Tail) []*job.Interference {
 	for _, record := range tail.Records {
 		if record.Key != job.InterferenceKey {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// applyStoredLearned has all agents told at once what was remembered.
+// applyStoredLearned adds stored estimates to the shard's table, and has them sent to all agents at once.
 func (owner *Owner) applyStoredLearned(s *shard, stored []*job.Interference) {
 	if owner.shards[s.number] != s || len(stored) == 0 {
 		return
@@ -131,7 +131,8 @@
 	owner.log(event.LearnedTakenUp, slog.Int("pairs", len(stored)))
 }
 
-// pairsToStore returns what is worth keeping of what was learned, in a fixed order.
+// pairsToStore selects the estimates to store, in a fixed order. It reorders its argument, and limits the
+// readings in place.
 func pairsToStore(learned []*job.Interference) []*job.Interference {
 	slices.SortFunc(learned, func(a, b *job.Interference) int {
 		return cmp.Or(cmp.Compare(b.GetReadings(), a.GetReadings()), cmp.Compare(a.GetServing(), b.GetServing()), cmp.Compare(a.GetFill(), b.GetFill()))
