--- a/owner/runs.go
+++ b/owner/runs.go
@@ -11,28 +11,27 @@
 )
 
 const (
-	// failuresBeforeProbation is how many runs in a row fail before a worker is
-	// given only trials: one failure is often the task's own.
+	// failuresBeforeProbation is how many runs in a row must fail before a worker is on probation and is
+	// given only one run at a time. A single failure is often caused by the task.
 	failuresBeforeProbation = 2
-	// probationDuration is how long only trials are placed on a worker in doubt.
+	// probationDuration is how long a worker on probation is given no runs after a failure. It is also how
+	// long a run without an end must last to show that the worker functions.
 	probationDuration = 1500 * time.Millisecond
-	// refusalBackoff keeps a worker that refused a start from being asked again
-	// at once.
+	// refusalBackoff is how long a worker that refused a start is given no further ones.
 	refusalBackoff = 150 * time.Millisecond
-	// suspectSpacing keeps suspects on one worker apart, from when they are placed: as long as
-	// the agent has them apart, 250 ms from their start, and 50 ms to get there. Meanwhile
-	// other tasks are started there.
+	// suspectSpacing is the time between placing two tasks on a worker that are suspected of crashing
+	// workers. Agents keep the starts of such tasks 250 ms apart, and an order takes up to 50 ms to arrive.
+	// Other tasks are placed on the worker in between.
 	suspectSpacing = 300 * time.Millisecond
 )
 
-// logRun logs what becomes of a run.
+// logRun logs an event of a run, with its task and attempt.
 func (owner *Owner) logRun(code event.Code, run *trackedRun, attributes ...slog.Attr) {
 	about := []slog.Attr{slog.String("task", run.taskName), slog.Int("attempt", int(run.attempt))}
 	owner.log(code, append(about, attributes...)...)
 }
 
-// startTask decides that a task runs at an agent's worker. The order goes out once
-// the decision is in the store.
+// startTask places a task on an agent's worker. The start order is sent once the placement is in the store.
 func (owner *Owner) startTask(task *job.Task, view *agentView, now time.Time) {
 	j := task.Job()
 	s := owner.shards[j.Shard()]
@@ -52,13 +51,14 @@
 	s.afterFlush = append(s.afterFlush, func(now time.Time) { owner.addStartOrder(view, run, now) })
 }
 
-// addStartOrder sends the order for a run whose start is in the store.
+// addStartOrder adds the start order of a run whose start is in the store to the agent's next message. If
+// the run can't be ordered any more, it is released.
 func (owner *Owner) addStartOrder(view *agentView, run *trackedRun, now time.Time) {
 	if view.runs[run.taskName] != run {
 		return
 	}
 	if view.conn == nil || view.incarnation() != run.place.Incarnation || run.task.Job().HasEnded() {
-		// Never ordered, so it never ran.
+		// The run was never ordered, so it can't have started.
 		owner.releaseRun(view, run, "its place went away before the order", now)
 		return
 	}
@@ -77,7 +77,7 @@
 	owner.logRun(event.RunOrdered, run, slog.String("worker", run.place.Incarnation.WorkerID()), slog.Int64("message", run.orderSequence))
 }
 
-// confirmRun notes that a run has started.
+// confirmRun marks a run as started.
 func (owner *Owner) confirmRun(run *trackedRun, now time.Time) {
 	if !run.confirmed {
 		owner.logRun(event.RunStarted, run, slog.String("worker", run.place.Incarnation.WorkerID()))
@@ -90,7 +90,7 @@
 	}
 }
 
-// handleStartResult takes in whether a run has started.
+// handleStartResult applies an agent's answer to a start order.
 func (owner *Owner) handleStartResult(view *agentView, result *wire.StartResult, now time.Time) {
 	run, found := view.runs[result.GetTask()]
 	if !found || run.attempt != result.GetAttempt() || !run.place.Incarnation.MayEqual(result.Incarnation()) {
@@ -119,9 +119,10 @@
 	owner.handleRefusal(view, result.GetOutcome(), now)
 }
 
+// handleRefusal delays further starts on a worker that has refused one.
 func (owner *Owner) handleRefusal(view *agentView, outcome wire.StartOutcome, now time.Time) {
 	if outcome == wire.StartOutcome_START_SUSPECT {
-		// Only other suspects have to keep away.
+		// Only tasks that are suspected of crashing workers have to wait.
 		view.noSuspectsUntil = now.Add(suspectSpacing)
 		return
 	}
@@ -134,8 +135,8 @@
 	}
 }
 
-// handleRunEnd takes in the end of a run, and lets the worker forget it once it is in
-// the store.
+// handleRunEnd applies the end of a run, and acknowledges it to the agent once it is in the store, so that
+// the worker can forget it.
 func (owner *Owner) handleRunEnd(view *agentView, end *wire.RunEnd, now time.Time) {
 	ref, err := job.ParseTaskRef(end.GetTask())
 	if err != nil {
@@ -157,6 +158,7 @@
 	})
 }
 
+// applyRunEnd applies the end of a run to its job.
 func (owner *Owner) applyRunEnd(view *agentView, s *shard, j *job.Job, ref job.TaskRef, end *wire.RunEnd, now time.Time) {
 	task := j.Task(ref)
 	if task == nil {
@@ -192,7 +194,7 @@
 	s.removeIfSettled(j)
 }
 
-// logSupersededEnd logs the end of a run as done whose task has been started again.
+// logSupersededEnd logs and counts the end of a successful run whose task has been started again since.
 func (owner *Owner) logSupersededEnd(task *job.Task, end *wire.RunEnd) {
 	if end.GetReason() != wire.EndReason_END_DONE || end.GetAttempt() >= task.Attempt() {
 		return
@@ -202,8 +204,9 @@
 		slog.Int("present", int(task.Attempt())), slog.String("state", task.State().String()), slog.String("worker", end.GetWorker()))
 }
 
-// hasProbationRun reports whether a run goes that will show whether the worker does. One that lasts shows it by not
-// failing for as long as a doubt: it has no end to wait for, and nothing else would be placed beside it.
+// hasProbationRun reports whether the worker has a run whose outcome will show whether the worker
+// functions. A long-running task shows that by not failing for probationDuration. It has no end to wait
+// for, so otherwise nothing else would ever be placed beside it.
 func (view *agentView) hasProbationRun(now time.Time) bool {
 	for _, run := range view.runs {
 		if !run.confirmed || !run.task.Spec().GetLasting() || now.Sub(run.task.StartedAt()) < probationDuration {
@@ -213,7 +216,7 @@
 	return false
 }
 
-// recordOutcome judges a worker by what becomes of its runs.
+// recordOutcome counts the consecutive failures of a worker's runs, and delays further starts after too many.
 func (view *agentView) recordOutcome(reason wire.EndReason, now time.Time) {
 	switch reason {
 	case wire.EndReason_END_DONE:
@@ -226,6 +229,7 @@
 	}
 }
 
+// endReason converts the reason of a run's end to that of package job. Any other reason is an interruption.
 func endReason(reason wire.EndReason) job.EndReason {
 	switch reason {
 	case wire.EndReason_END_DONE:
@@ -240,7 +244,7 @@
 	return job.EndInterrupted
 }
 
-// releaseRun lets the task of a run that is over for certain wait again.
+// releaseRun drops a run that is known to be over although its end was not reported, and requeues its task.
 func (owner *Owner) releaseRun(view *agentView, run *trackedRun, reason string, now time.Time) {
 	delete(view.runs, run.taskName)
 	if run.task.Attempt() != run.attempt {
