--- a/owner/expired_runs.go
+++ b/owner/expired_runs.go
@@ -4,14 +4,13 @@
 	"time"
 )
 
-// maxRunAfterGrant is how long a run may go on after the last grant that may have been
-// given for it.
+// maxRunAfterGrant is how long a run may continue after the last grant for it was sent.
 func (owner *Owner) maxRunAfterGrant() time.Duration {
 	return time.Duration(float64(owner.options.GrantDuration)*(1+maxClockDrift)) + grantMargin
 }
 
-// releaseExpiredRuns releases the runs of an agent that has been silent until its
-// last grant must have ended.
+// releaseExpiredRuns releases the runs of an agent that has sent nothing until its last grant must have
+// expired.
 func (owner *Owner) releaseExpiredRuns(view *agentView, now time.Time) {
 	for _, run := range view.runs {
 		if view.conn != nil && now.Sub(view.lastMessageAt) < 2*grantInterval {
@@ -19,7 +18,7 @@
 		}
 		deadline := view.grantEnd.Add(grantMargin)
 		if run.inherited {
-			// The owner before may have granted until it gave up.
+			// The previous owner may have granted time until its ownership expired.
 			deadline = run.shard.acquiredAt.Add(storeOutageTolerance + owner.maxRunAfterGrant())
 		}
 		if now.After(deadline) {
