--- a/owner/update.go
+++ b/owner/update.go
@@ -9,7 +9,7 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// sendUpdate sends an agent what it has not been told.
+// sendUpdate sends an agent the next message, if it has any content or a grant is due.
 func (owner *Owner) sendUpdate(view *agentView, now time.Time) {
 	if view.conn == nil {
 		return
@@ -37,17 +37,16 @@
 	case view.conn.outbox <- message:
 		owner.traffic.NoteOwner(owner.ctx, message, view.status().GetFailureDomain() == owner.options.FailureDomain)
 	default:
-		// The agent does not read; the connection is made anew.
+		// The agent does not read from the connection, so close it. A new one will be made.
 		view.conn.cancel()
 	}
 }
 
-// idleSendInterval is how often an owner without shards speaks to agents: often enough
-// that either side notices when the other is gone. In a large deployment most
-// gateways own none.
+// idleSendInterval is how often an owner without shards sends messages to agents. It is short enough for
+// either side to notice that the other is gone. In a large deployment most entries own no shards.
 const idleSendInterval = 3 * time.Second
 
-// sendInterval is how often an agent hears from the owner at least.
+// sendInterval returns the longest time between two messages to an agent.
 func (owner *Owner) sendInterval() time.Duration {
 	if len(owner.shards) == 0 {
 		return idleSendInterval
@@ -55,7 +54,7 @@
 	return grantInterval
 }
 
-// addShardClaims tells the agent which shards are owned, with the next message.
+// addShardClaims adds the shards that are owned and loaded to the next message.
 func (owner *Owner) addShardClaims(view *agentView) {
 	view.claimsSent = true
 	view.nextMessage.Owned = true
@@ -71,10 +70,11 @@
 	}
 }
 
-// addGrant lets the runs go on, on the agent's clock, unless this owner may have
-// been replaced without having heard so. Each process of an agent has a clock of its own: on a
-// connection on which it has not spoken yet it may be another one than was heard last, whose
-// clock was ahead by all the time that it had been up.
+// addGrant adds a grant to the next message: until when, on the agent's clock, the agent's runs may
+// continue. It adds none if this owner may have been replaced without knowing it, or if the agent has sent
+// no message on the connection yet. The agent's clock is the uptime of its process, and the process may
+// have been restarted since its last message: a grant by the clock of the previous process would be too
+// long by that process's uptime.
 func (owner *Owner) addGrant(view *agentView, now time.Time) {
 	if !view.heardOnConn || now.Sub(owner.lastJoinAt) > storeOutageTolerance {
 		return
@@ -86,17 +86,17 @@
 	}
 }
 
-// addStopOrder has a run stopped with the next message.
+// addStopOrder adds an order to stop a run to the next message.
 func (view *agentView) addStopOrder(s *shard, task string, attempt int32, worker incarnation.ID) {
 	view.nextMessage.Stops = append(view.nextMessage.Stops, &wire.StopOrder{
 		Shard: int32(s.number), Epoch: s.epoch, Task: task, Attempt: attempt, Worker: worker.WorkerID(), Born: worker.StartedMs(),
 	})
 }
 
-// stopRetryInterval is when a stop whose run has not ended is ordered once more.
+// stopRetryInterval is how long after a stop order another one is sent if the run has not ended.
 const stopRetryInterval = 500 * time.Millisecond
 
-// stopEndedJobs orders stops for the runs of jobs that have ended.
+// stopEndedJobs adds stop orders for the runs of jobs that have ended, such as by a cancellation.
 func (owner *Owner) stopEndedJobs(view *agentView, now time.Time) {
 	for _, run := range view.runs {
 		if !run.task.Job().HasEnded() || run.orderSequence == 0 && !run.orderedEarlier || now.Sub(run.stopOrderedAt) < stopRetryInterval {
