--- a/owner/flush.go
+++ b/owner/flush.go
@@ -13,8 +13,8 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// flushShard writes what has changed. What waits for it is done once it is in the
-// store.
+// flushShard writes the changed jobs of a shard to the store, and then runs the callbacks that wait for that.
+// Only one write of a shard is in progress at a time.
 func (owner *Owner) flushShard(s *shard, now time.Time) {
 	if !s.loaded || s.writing {
 		return
@@ -45,13 +45,14 @@
 	}()
 }
 
+// takeDirtyRecords returns the records to write, and resets what has changed.
 func (owner *Owner) takeDirtyRecords(s *shard) []platform.Record {
 	records := s.tombstones
 	s.tombstones = nil
 	for id, j := range s.dirty {
 		value, err := proto.Marshal(j.Progress())
 		if err != nil {
-			// A message that was just built always encodes.
+			// Unreachable: a newly built message can always be encoded.
 			owner.log(event.RecordUnreadable, slog.String("job", id), slog.Any("error", err))
 			continue
 		}
@@ -61,8 +62,8 @@
 	return records
 }
 
-// appendUntilStored appends records under the shard's epoch until the store has them. It
-// reports false when the shard is no longer owned.
+// appendUntilStored appends records under the shard's epoch, and retries until the store has them. It reports
+// false if the shard is no longer owned.
 func (owner *Owner) appendUntilStored(s *shard, records []platform.Record) bool {
 	s.sequence++
 	request := platform.Append{
@@ -92,10 +93,11 @@
 	return false
 }
 
-// slowAppendThreshold is what an append takes at least to be logged: the store's usual
-// answer comes within 10 ms.
+// slowAppendThreshold is the duration from which an append is logged as slow. The store usually answers
+// within 10 ms.
 const slowAppendThreshold = 200 * time.Millisecond
 
+// recordAppend records how long an append took.
 func (owner *Owner) recordAppend(s *shard, request platform.Append, took time.Duration) {
 	owner.metrics.appendDuration.Record(owner.ctx, took.Seconds())
 	if took >= slowAppendThreshold {
@@ -103,14 +105,16 @@
 	}
 }
 
-// handleFenced gives up a shard that another owner has written to.
+// handleFenced releases a shard after the store has refused a write for good, since another owner has written
+// to it.
 func (owner *Owner) handleFenced(s *shard, refused *platform.RefusedError, now time.Time) {
 	if owner.shards[s.number] != s {
 		return
 	}
 	owner.fencedEpochs[s.number] = s.epoch
 	if !refused.Fenced() {
-		// Somebody wrote under this very epoch: only another one helps.
+		// The epoch is still valid, so its next sequence number was refused: another process has written
+		// under the same epoch. Only a new epoch helps.
 		owner.leaveBeforeJoin.Store(true)
 	}
 	owner.releaseShard(s, refused.Error(), now)
