--- a/owner/owner.go
+++ b/owner/owner.go
@@ -105,7 +105,7 @@
 	candidacyDone chan struct{}
 	// session is nil while the entry is not a candidate for owning shards. Only the goroutine of the
 	// candidacy changes it, and Leave after that goroutine has ended.
-	session *membership
+	session *ownerSession
 	// leaveBeforeJoin makes the entry leave the group of owners before it joins. Otherwise, a process that
 	// restarts before its member timeout would get its shards back under the epoch that it used before, and
 	// a late append of the earlier process could take the sequence number of a new one.
