--- a/owner/incarnation_test.go
+++ b/owner/incarnation_test.go
@@ -9,24 +9,25 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// The owner's part of a failure that users met: an id was taken for one life of a worker, though a worker
-// may start again under it. The story and the evidence stand with the agent's tests. Here, what had ended
-// with one life was taken to have ended with the next one, whose runs were released while they went on.
+// The tests in this file guard against treating a worker ID as one incarnation: a worker may restart under
+// the same ID. The owner once took the end of one incarnation for that of the next, and released the runs
+// of the next while they continued. The agent's tests cover the agent's part of this failure.
 
-// The lives of a worker in these tests.
+// Start times, in ms, of the two incarnations of a worker in these tests.
 const (
 	firstBorn  = int64(1_790_000_000_000)
 	secondBorn = firstBorn + 60_000
 )
 
-// emptyWorkerBorn is the status of a ready worker on which nothing runs.
+// emptyWorkerBorn returns the status of a ready worker without runs that started at a time in ms.
 func emptyWorkerBorn(born int64) *wire.WorkerStatus {
 	status := idleWorkerStatus()
 	status.Born = born
 	return status
 }
 
-// restoreRun is a run of the job on a life of a worker, as an owner before left it in the store.
+// restoreRun loads the job with a run on an incarnation of a worker, as an earlier owner stored it, and
+// returns the job. Without a start time, the record has the worker's ID alone.
 func (h *harness) restoreRun(born ...int64) *job.Job {
 	h.t.Helper()
 	j := h.submit()
@@ -38,35 +39,36 @@
 	return j
 }
 
-// firstRunActive reports whether the task's first run is taken to go on.
+// firstRunActive reports whether the owner considers the first run of the job's task to be still running.
 func firstRunActive(j *job.Job) bool {
 	task := j.Tasks()[0]
 	return task.State() == job.TaskState_TASK_STARTED && task.Attempt() == 1
 }
 
-// firstRunListed is what an agent says of the first run of the task.
+// firstRunListed returns what an agent lists while the first run of the task is running.
 func firstRunListed() []*wire.RunStatus { return []*wire.RunStatus{{Task: firstTask, Attempt: 1}} }
 
-// TestEndOfEarlierIncarnation: that a life has ended says nothing about a run on the next one, nor does an id
-// alone, which an earlier build wrote of a life that it could not tell from others.
+// TestEndOfEarlierIncarnation: the end of one incarnation must not release a run on the next one. Neither
+// must an ended worker ID without a start time, as written by earlier versions that could not tell
+// incarnations apart.
 func TestEndOfEarlierIncarnation(t *testing.T) {
 	endedRecord := func(born int64) *job.AgentRecord {
 		return &job.AgentRecord{Name: "side-1", Address: agentAddress, Over: []*job.Incarnation{{Id: workerID, Born: born}}}
 	}
 	endedByID := &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}}
 	tests := map[string]struct {
-		born   []int64 // of the life that the run is on
+		born   []int64 // start time of the incarnation that has the run
 		ended  *job.AgentRecord
-		goesOn bool
+		active bool
 	}{
-		"the life before":                      {[]int64{secondBorn}, endedRecord(firstBorn), true},
-		"its own life":                         {[]int64{secondBorn}, endedRecord(secondBorn), false},
-		"an id alone":                          {[]int64{secondBorn}, endedByID, true},
-		"an id alone, and the run has no more": {nil, endedByID, false},
-		"a life, and the run has an id alone":  {nil, endedRecord(firstBorn), true},
+		"previous incarnation ended":                {[]int64{secondBorn}, endedRecord(firstBorn), true},
+		"own incarnation ended":                     {[]int64{secondBorn}, endedRecord(secondBorn), false},
+		"ID without start time ended":               {[]int64{secondBorn}, endedByID, true},
+		"run and ended ID both without start time":  {nil, endedByID, false},
+		"incarnation ended, run without start time": {nil, endedRecord(firstBorn), true},
 	}
 	for name, test := range tests {
-		for order, before := range map[string]bool{", read before the shard": true, ", read after it": false} {
+		for order, before := range map[string]bool{", record read before the shard": true, ", record read after the shard": false} {
 			t.Run(name+order, func(t *testing.T) {
 				h := newHarness(t)
 				read := func() {
@@ -79,29 +81,30 @@
 				if !before {
 					read()
 				}
-				if firstRunActive(j) != test.goesOn {
-					t.Errorf("goes on: %v", firstRunActive(j))
+				if firstRunActive(j) != test.active {
+					t.Errorf("active: %v", firstRunActive(j))
 				}
 			})
 		}
 	}
 }
 
-// TestRunOnAnotherIncarnation: a run that is listed goes on, wherever its record has it; one that another
-// life of its worker lacks is over, and one whose life its record doesn't name is over where it is lacked.
+// TestRunOnAnotherIncarnation: a listed run continues, whichever incarnation its record names. A run is
+// over if another incarnation of its worker does not list it, or if its record names no incarnation and it
+// is not listed.
 func TestRunOnAnotherIncarnation(t *testing.T) {
 	tests := map[string]struct {
 		born   []int64
 		status int64
 		runs   []*wire.RunStatus
-		goesOn bool
+		active bool
 	}{
-		"the next life lacks it":                {[]int64{firstBorn}, secondBorn, nil, false},
-		"the next life lists it":                {[]int64{firstBorn}, secondBorn, firstRunListed(), true},
-		"its own life lists it":                 {[]int64{secondBorn}, secondBorn, firstRunListed(), true},
-		"the record has the id alone":           {nil, secondBorn, firstRunListed(), true},
-		"the worker says its id alone":          {[]int64{firstBorn}, 0, firstRunListed(), true},
-		"the id alone, and the worker lacks it": {nil, secondBorn, nil, false},
+		"next incarnation does not list it":               {[]int64{firstBorn}, secondBorn, nil, false},
+		"next incarnation lists it":                       {[]int64{firstBorn}, secondBorn, firstRunListed(), true},
+		"own incarnation lists it":                        {[]int64{secondBorn}, secondBorn, firstRunListed(), true},
+		"record without start time, worker lists it":      {nil, secondBorn, firstRunListed(), true},
+		"worker reports no start time":                    {[]int64{firstBorn}, 0, firstRunListed(), true},
+		"record without start time, worker lacks the run": {nil, secondBorn, nil, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -113,15 +116,15 @@
 				h.step()
 				h.takeSent()
 			}
-			if firstRunActive(j) != test.goesOn {
-				t.Errorf("goes on: %v", firstRunActive(j))
+			if firstRunActive(j) != test.active {
+				t.Errorf("active: %v", firstRunActive(j))
 			}
 		})
 	}
 }
 
-// TestOrdersNameIncarnation: a start, its end and the word that the end is in the store name the life that they are
-// about, and so does the record of the start.
+// TestOrdersNameIncarnation: start orders, acknowledgements of ends and stored starts name the incarnation
+// that they are about.
 func TestOrdersNameIncarnation(t *testing.T) {
 	h := newHarness(t)
 	j := h.submit()
@@ -132,10 +135,10 @@
 	h.step()
 	orders := startOrders(h.takeSent())
 	if len(orders) != 1 || orders[0].GetBorn() != secondBorn {
-		t.Fatalf("ordered %v", orders)
+		t.Fatalf("start orders: %v", orders)
 	}
 	if progress := j.Progress(); len(progress.GetBorn()) != 1 || progress.GetBorn()[0] != secondBorn {
-		t.Errorf("kept %v", progress)
+		t.Errorf("stored progress: %v", progress)
 	}
 	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn), Ends: []*wire.RunEnd{
 		{Worker: workerID, Born: secondBorn, Number: 7, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE},
@@ -148,11 +151,12 @@
 		acknowledged = append(acknowledged, message.GetSeen()...)
 	}
 	if len(acknowledged) != 1 || acknowledged[0].GetBorn() != secondBorn || acknowledged[0].GetNumber() != 7 {
-		t.Errorf("told of ends in the store: %v", acknowledged)
+		t.Errorf("acknowledged ends: %v", acknowledged)
 	}
 }
 
-// TestWorkerRestartsBeforeStartOrder: a run that was placed on one life is not ordered of the next one.
+// TestWorkerRestartsBeforeStartOrder: a run that was placed on one incarnation is not ordered from the next
+// one.
 func TestWorkerRestartsBeforeStartOrder(t *testing.T) {
 	h := newHarness(t)
 	h.submit()
@@ -164,12 +168,12 @@
 	h.owner.sendUpdate(h.agent, h.clock.Now())
 	for _, order := range startOrders(h.takeSent()) {
 		if order.GetBorn() != secondBorn {
-			t.Errorf("ordered %v of another life", order)
+			t.Errorf("start order for the previous incarnation: %v", order)
 		}
 	}
 }
 
-// TestProbationEndsWithIncarnation: what failed on one life of a worker says nothing of the next one.
+// TestProbationEndsWithIncarnation: failures on one incarnation of a worker don't count against the next one.
 func TestProbationEndsWithIncarnation(t *testing.T) {
 	h := newHarness(t)
 	h.attach()
@@ -181,7 +185,7 @@
 	}
 }
 
-// TestTicketIsPerIncarnation: the next life of a worker is asked about anew.
+// TestTicketIsPerIncarnation: a ticket is not used for the worker's next incarnation, which is queried again.
 func TestTicketIsPerIncarnation(t *testing.T) {
 	h := newHarness(t)
 	j := h.submitWith(func(submission *job.Submission) { submission.Advice = &job.Advice{ValidMs: 60_000} })
@@ -197,20 +201,20 @@
 	}
 	h.owner.handleAdvice(name, advice, queried, platform.Advice{Tickets: map[string]string{workerID: "t-1"}, Valid: time.Minute}, nil, now)
 	if worker := h.owner.bestWorker(task, h.owner.candidates(h.owner.agentViews(), now), now); worker == nil {
-		t.Fatal("no place with a ticket")
+		t.Fatal("no worker found although there is a ticket")
 	}
 	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
 	if worker := h.owner.bestWorker(task, h.owner.candidates(h.owner.agentViews(), now), now); worker != nil {
-		t.Error("the ticket of the life before is used")
+		t.Error("the ticket of the previous incarnation was used")
 	}
 	if again := h.owner.workersToQuery(advice); len(again) != 1 {
 		t.Errorf("asks about %v", again)
 	}
 }
 
-// TestInheritedRunOnUnresponsiveWorker: a run that an owner before had put into the store and never ordered is known to no
-// agent. It is over once the agent can account for all that runs, though its worker is silent for good or
-// none has come: it would wait for an end that nobody will tell.
+// TestInheritedRunOnUnresponsiveWorker: an earlier owner may have stored a start that it never ordered, so
+// no agent knows the run. The run must be released once the agent knows all runs, even if its worker never
+// answers again or there is no worker. Otherwise the task would wait for an end that nobody reports.
 func TestInheritedRunOnUnresponsiveWorker(t *testing.T) {
 	unready := emptyWorkerBorn(firstBorn)
 	unready.Ready = false
@@ -219,14 +223,14 @@
 	tests := map[string]struct {
 		status *wire.WorkerStatus
 		runs   []*wire.RunStatus
-		goesOn bool
+		active bool
 	}{
-		"the agent can't account for it":         {unready, nil, true},
-		"the agent lists it":                     {accounted, firstRunListed(), true},
-		"the agent accounts for all, without":    {accounted, nil, false},
-		"no worker, and the lease may go on":     {&wire.WorkerStatus{}, nil, true},
-		"no worker, and every lease is over":     {&wire.WorkerStatus{Accounted: true}, nil, false},
-		"another worker, which has not answered": {&wire.WorkerStatus{Worker: "i-9", Accounted: true}, nil, true},
+		"agent does not know all runs":          {unready, nil, true},
+		"agent lists the run":                   {accounted, firstRunListed(), true},
+		"agent knows all runs, without this":    {accounted, nil, false},
+		"no worker, lease may not have expired": {&wire.WorkerStatus{}, nil, true},
+		"no worker, all leases have expired":    {&wire.WorkerStatus{Accounted: true}, nil, false},
+		"another worker that has not answered":  {&wire.WorkerStatus{Worker: "i-9", Accounted: true}, nil, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -235,13 +239,13 @@
 			h.attach()
 			h.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
 			if !firstRunActive(j) {
-				t.Fatal("released before the agent had heard of the claim")
+				t.Fatal("released before the agent had received the claim of the shard")
 			}
 			h.step()
 			h.takeSent()
 			h.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
-			if firstRunActive(j) != test.goesOn {
-				t.Errorf("goes on: %v", firstRunActive(j))
+			if firstRunActive(j) != test.active {
+				t.Errorf("active: %v", firstRunActive(j))
 			}
 		})
 	}
