--- a/owner/cancelled_test.go
+++ b/owner/cancelled_test.go
@@ -8,7 +8,7 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// countStops counts the stops that have gone out for the first task.
+// countStops counts the stop orders for the first task.
 func countStops(messages []*wire.OwnerMessage) int {
 	count := 0
 	for _, message := range messages {
@@ -21,26 +21,26 @@
 	return count
 }
 
-// listFirstRun has the agent list a run of the first task.
+// listFirstRun has the agent list the first run of the first task.
 func (h *harness) listFirstRun() {
 	h.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1, Percent: 1}}})
 }
 
-// TestRunOfCancelledJobIsStopped: whoever owns a job now stops a run of it that goes on
-// after the cancellation, also one that its worker began seconds after the order, and one
-// whose owner is gone for good.
+// TestRunOfCancelledJobIsStopped: the current owner of a job stops a run that continues after the
+// cancellation, even if its worker started the run seconds after the order, or if an earlier owner ordered
+// it.
 func TestRunOfCancelledJobIsStopped(t *testing.T) {
 	cancel := func(h *harness) {
 		h.readRecords(newRecord(h.t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
 	}
 	tests := map[string]func(h *harness){
-		"it runs": func(h *harness) {
+		"run is active": func(h *harness) {
 			h.submit()
 			h.attachAndStart()
 			h.listFirstRun()
 			cancel(h)
 		},
-		"it is begun late, after its end was taken for certain": func(h *harness) {
+		"run starts late, after its start was reported as failed": func(h *harness) {
 			h.submit()
 			h.attachAndStart()
 			cancel(h)
@@ -53,13 +53,13 @@
 			h.owner.lastJoinAt = h.clock.Now()
 			h.listFirstRun()
 		},
-		"its owner is gone for good": func(h *harness) {
+		"run was ordered by an earlier owner": func(h *harness) {
 			h.adoptRun(workerID)
 			cancel(h)
 			h.attach()
 			h.listFirstRun()
 		},
-		"the cancellation is read before the job": func(h *harness) {
+		"cancellation is read before the job": func(h *harness) {
 			cancel(h)
 			h.submit()
 			h.attach()
@@ -75,7 +75,7 @@
 			prepare(h)
 			h.step()
 			if count := countStops(h.takeSent()); count != 1 {
-				t.Errorf("%d stops ordered", count)
+				t.Errorf("%d stop orders, want 1", count)
 			}
 		})
 	}
