--- a/owner/connection_test.go
+++ b/owner/connection_test.go
@@ -7,16 +7,17 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestUnresponsiveAgentIsReconnected: a connection on which the agent answers nothing is ended,
-// whether it says nothing or speaks on without having heard; one that is answered stays.
+// TestUnresponsiveAgentIsReconnected: a connection on which the agent acknowledges nothing is closed,
+// whether the agent sends nothing or sends messages without receiving any. A connection with
+// acknowledgements stays open.
 func TestUnresponsiveAgentIsReconnected(t *testing.T) {
 	tests := map[string]struct {
-		hears, speaks bool
-		ended         bool
+		receives, sends bool
+		closed          bool
 	}{
-		"it answers":                  {true, true, false},
-		"it says nothing":             {false, false, true},
-		"it speaks but does not hear": {false, true, true},
+		"receives and sends":      {true, true, false},
+		"sends nothing":           {false, false, true},
+		"sends without receiving": {false, true, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -29,30 +30,30 @@
 				h.step()
 				handled := h.handledSequence
 				h.takeSent()
-				if !test.hears {
+				if !test.receives {
 					h.handledSequence = handled
 				}
-				if test.speaks {
+				if test.sends {
 					h.receive(&wire.AgentMessage{})
 				}
 				h.clock.Advance(100 * time.Millisecond)
 				h.owner.lastJoinAt = h.clock.Now()
 			}
-			if closed != test.ended {
-				t.Errorf("ended: %v", closed)
+			if closed != test.closed {
+				t.Errorf("closed: %v", closed)
 			}
 		})
 	}
 }
 
-// TestAcquiringShardKeepsOldAgentsConnected: an agent of an earlier build answers an owner without
-// claims each 3 s. It is not taken for silent by an owner that has just taken a shard, nor
-// by one whose shard is still to be read.
+// TestAcquiringShardKeepsOldAgentsConnected: an agent of an earlier version acknowledges the messages of an
+// owner without claims only every 3 s. An owner that has just acquired a shard, or has not loaded it yet,
+// must not close the connection as unresponsive.
 func TestAcquiringShardKeepsOldAgentsConnected(t *testing.T) {
 	h := newHarness(t)
 	h.shard.loaded = false
 	h.attach()
-	h.agent.conn.cancel = func() { t.Error("cut off") }
+	h.agent.conn.cancel = func() { t.Error("connection closed") }
 	for range 10 {
 		for range idleSendInterval / grantInterval {
 			h.clock.Advance(grantInterval)
@@ -64,17 +65,11 @@
 	}
 }
 
-// The story. An agent's process ended and came back, and its owner connected to it anew. The owner
-// granted its runs time before it had heard the new process, on the clock of the one before, which
-// had been up for longer: the grant was as much too long. The path to the agent was then lost. The owner took
-// the runs for over after 5.8 s and started their tasks elsewhere; the agent had them go on.
-//
-// The evidence: in logs of real processes an agent came back 17 s after its first start. Owners
-// attached, the paths were held up 1.2 s later, and runs went on there for 11 s after their
-// tasks had been started elsewhere.
-
-// TestGrantWaitsForFirstMessage has an owner speak first on a connection to an agent that may
-// be another process than the one that it heard before.
+// TestGrantWaitsForFirstMessage: an owner must not grant time on a new connection before the agent's first
+// message. The agent may have been restarted, and a grant on the clock of the previous process, which had
+// been up for longer, is too long by the difference. If the connection is lost then, the owner releases the
+// runs after 5.8 s and starts their tasks elsewhere, while the agent lets the runs continue. With an agent
+// that restarted 17 s after its first start, runs continued for 11 s beside the second runs of their tasks.
 func TestGrantWaitsForFirstMessage(t *testing.T) {
 	h := newHarness(t)
 	h.attach()
@@ -85,7 +80,7 @@
 	h.step()
 	for _, message := range h.takeSent() {
 		if grantedUntil := time.Duration(message.GetGrantUntilNanos()); grantedUntil > 0 {
-			t.Errorf("runs were granted time until %v before the agent was heard", grantedUntil)
+			t.Errorf("grant until %v before the agent's first message", grantedUntil)
 		}
 	}
 	h.receive(&wire.AgentMessage{UptimeNanos: int64(time.Second)})
@@ -95,6 +90,6 @@
 		grantedUntil = max(grantedUntil, time.Duration(message.GetGrantUntilNanos()))
 	}
 	if want := time.Second + h.owner.options.GrantDuration; grantedUntil != want {
-		t.Errorf("runs were granted time until %v once the agent was heard, want %v", grantedUntil, want)
+		t.Errorf("grant until %v after the agent's first message, want %v", grantedUntil, want)
 	}
 }
