--- a/owner/partition_test.go
+++ b/owner/partition_test.go
@@ -8,33 +8,30 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// The story. Users saw tasks start again after a run of them had ended as done: a vat was mixed
-// twice. The path between an agent and the owner of some of its runs was lost for longer than 5.8 s,
-// while owners of other shards still reached the agent or it stood alone with a worker that had
-// nothing left to run. (1) A run ended as done; its agent knew, its owner did not. (2) The owner took
-// the run for over when its last grant had to have ended, and started the task on another worker.
-// (3) The worker's lease went on all the same, since it was bound by the grants of owners with runs
-// there and this run had ended: so the end did not become void. (4) The path came back, the end was
-// told, and the worker was let forget it as done.
+// TestPartitionedTaskCompletesOnce partitions an owner from an agent while runs end there. It guards against
+// tasks that are started again, and so done twice, after a run of them has been acknowledged as done:
 //
-// The evidence: logs of such a day. Agents had ends that waited from before their task's second
-// start ("end waits") until after the path was back ("end kept"), and owners took the runs for over
-// 5.80 s after they last heard the agent, in batches.
-
-// TestPartitionedTaskCompletesOnce cuts an owner off from an agent while runs end there.
+//  1. The network between an agent and the owner of some of its runs fails for more than 5.8 s. Owners of other
+//     shards still reach the agent, or its worker has no other runs.
+//  2. A run ends as done. Its agent knows, its owner does not.
+//  3. The owner releases the run 5.8 s after the agent's last message, when the last grant must have expired, and
+//     starts the task on another worker.
+//  4. The worker's lease is extended all the same: only the grants of owners with runs there limit it, and this run
+//     has ended. So the end does not become void.
+//  5. The network recovers. The agent reports the end, and the worker is told to forget the run as done.
 func TestPartitionedTaskCompletesOnce(t *testing.T) {
 	const tasks = 8
 	f := newFleet(t, 2)
 	f.submit(fleetJobID, tasks)
 	var partitioned *machine
 	if !f.advanceUntil(20*time.Second, func() bool { partitioned = f.firstBusyMachine(); return partitioned != nil }) {
-		t.Fatal("nothing was started")
+		t.Fatal("no task was started")
 	}
 	allTraffic := func([]byte) bool { return true }
 	partitioned.relay.Hold(allTraffic, true, true)
 	completed := func() bool { return f.state(fleetJobID) == job.State_STATE_COMPLETED }
 	if !f.advanceUntil(30*time.Second, completed) {
-		t.Fatal("the tasks of the machine that is cut off were not done elsewhere")
+		t.Fatal("the tasks of the partitioned machine were not completed elsewhere")
 	}
 	partitioned.relay.LetGo()
 	f.advanceUntil(10*time.Second, func() bool { return false })
@@ -46,17 +43,17 @@
 		}
 		restarted++
 		if partitioned.acknowledgedDone(task) {
-			t.Errorf("%s was started again, and its first run is noted as done", task)
+			t.Errorf("%s was started again, and its first run was acknowledged as done", task)
 		}
 	}
 	if restarted == 0 {
-		t.Fatal("no task was started again, so nothing was shown")
+		t.Fatal("no task was started again, so the test shows nothing")
 	}
 }
 
 const fleetJobID = "0123456789abcdef"
 
-// firstBusyMachine returns the first machine on which something runs, or nil.
+// firstBusyMachine returns the first machine with a run, or nil.
 func (f *fleet) firstBusyMachine() *machine {
 	for _, machine := range f.machines {
 		machine.mu.Lock()
@@ -69,6 +66,7 @@
 	return nil
 }
 
+// acknowledgedDone reports whether the worker was told to forget a run of the task as done.
 func (machine *machine) acknowledgedDone(task string) bool {
 	machine.acknowledgedMu.Lock()
 	defer machine.acknowledgedMu.Unlock()
