--- a/owner/tracked_run_test.go
+++ b/owner/tracked_run_test.go
@@ -9,8 +9,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestRunDescriptionHasRemainingSpareTime: an agent that has been replaced hears what the job may
-// lose from now on, not what it could when the run was ordered.
+// TestRunDescriptionHasRemainingSpareTime: an agent that was restarted is sent the slack that the job has
+// left now, not the slack that it had when the run was ordered.
 func TestRunDescriptionHasRemainingSpareTime(t *testing.T) {
 	h := newHarness(t)
 	h.submit()
@@ -23,25 +23,26 @@
 	h.step()
 	descriptions := runDescriptions(h.takeSent())
 	if len(descriptions) != 1 {
-		t.Fatalf("described: %v", descriptions)
+		t.Fatalf("run descriptions: %v", descriptions)
 	}
 	if got := descriptions[0].GetDemand().GetSpareMs(); got != orderedSpareMs-600 {
-		t.Errorf("%d ms to spare, %d with the order", got, orderedSpareMs)
+		t.Errorf("%d ms of slack, %d with the order 600 ms before", got, orderedSpareMs)
 	}
 }
 
-// TestIsMovable: a gang that saves nothing is not moved, nor a task that was moved often.
+// TestIsMovable: members of a gang without checkpoints are not moved, nor are tasks that were interrupted
+// often.
 func TestIsMovable(t *testing.T) {
 	tests := map[string]struct {
-		change func(step *job.StepSpec)
-		ends   int // how often the task has been stopped
-		want   bool
+		change        func(step *job.StepSpec)
+		interruptions int // how often the task has been interrupted
+		want          bool
 	}{
-		"saves":                     {func(step *job.StepSpec) { step.Checkpointing = true }, 0, true},
-		"saves nothing":             {func(*job.StepSpec) {}, 0, true},
-		"a gang that saves":         {func(step *job.StepSpec) { step.Gang, step.Checkpointing = true, true }, 0, true},
-		"a gang that saves nothing": {func(step *job.StepSpec) { step.Gang = true }, 0, false},
-		"was moved often":           {func(step *job.StepSpec) { step.Checkpointing = true }, maxInterruptions, false},
+		"with checkpoints":         {func(step *job.StepSpec) { step.Checkpointing = true }, 0, true},
+		"without checkpoints":      {func(*job.StepSpec) {}, 0, true},
+		"gang with checkpoints":    {func(step *job.StepSpec) { step.Gang, step.Checkpointing = true, true }, 0, true},
+		"gang without checkpoints": {func(step *job.StepSpec) { step.Gang = true }, 0, false},
+		"interrupted often":        {func(step *job.StepSpec) { step.Checkpointing = true }, maxInterruptions, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,17 +50,18 @@
 			test.change(submission.Steps[0])
 			j := job.New(submission, 0)
 			task := j.Tasks()[0]
-			for range test.ends {
+			for range test.interruptions {
 				j.StartRun(task, job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, time.UnixMilli(0))
 				j.EndRun(task, task.Attempt(), job.EndInterrupted, "", time.UnixMilli(0))
 			}
 			if got := isMovable(task); got != test.want {
-				t.Errorf("got %v", got)
+				t.Errorf("isMovable: %v", got)
 			}
 		})
 	}
 }
 
+// runDescriptions returns the run descriptions in messages to an agent.
 func runDescriptions(messages []*wire.OwnerMessage) []*wire.RunDescription {
 	var descriptions []*wire.RunDescription
 	for _, message := range messages {
