--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -32,20 +32,19 @@
 
 const (
 	fleetShards = 8
-	// fleetTick is how much time passes at once, fleetTickPause how long the processes then have
-	// to get on with it.
+	// fleetTick is how far the fake clock advances at a time. fleetTickPause is the real time that the
+	// processes then get to react.
 	fleetTick      = 2 * time.Millisecond
 	fleetTickPause = time.Millisecond
-	// heartbeatInterval is how often a worker sends a heartbeat, restartDelay how long a worker that has
-	// crashed is away.
+	// heartbeatInterval is how often a worker sends heartbeats. restartDelay is how long after a crash a
+	// worker restarts.
 	heartbeatInterval = 1100 * time.Millisecond
 	restartDelay      = 3 * time.Second
-	// taskDuration is what a task of the fleet works.
+	// taskDuration is how long a task of the fleet runs.
 	taskDuration = 800 * time.Millisecond
 )
 
-// fleet is an owner and some machines, each with an agent and a worker, over a stand-in for
-// the store.
+// fleet is an owner and some machines, each with an agent and a worker, which share a fake store.
 type fleet struct {
 	t        *testing.T
 	clock    *clockwork.FakeClock
@@ -54,17 +53,17 @@
 	machines []*machine
 }
 
-// machine is one worker after the other at one address, and the agent beside them.
+// machine runs one worker at a time, always at the same address, and an agent.
 type machine struct {
 	name   string
 	fleet  *fleet
 	agent  *agent.Agent
 	server *httptest.Server
-	// relay is what owners reach the agent by.
+	// relay forwards connections of owners to the agent.
 	relay *relay.Relay
-	// reportsStartTime has the worker say when it started, and start again under its id.
+	// reportsStartTime is set if the worker reports its start time, and keeps its ID when it restarts.
 	reportsStartTime bool
-	// crashingTasks are the tasks that bring a worker down.
+	// crashingTasks are the tasks whose start crashes the worker.
 	crashingTasks map[string]bool
 
 	mu              sync.Mutex
@@ -72,17 +71,17 @@
 	incarnations    int
 	sequence        int64
 	lastHeartbeatAt time.Time
-	downAt          time.Time // zero while it is up
-	// startedAt is when the runs of the present life began, started counts the starts of each
-	// task on all lives.
+	downAt          time.Time // when the worker crashed; zero while it is up
+	// startedAt is when the runs of the current incarnation started. startCounts counts the starts of each
+	// task on all incarnations.
 	startedAt   map[string]time.Time
 	startCounts map[string]int
-	// acknowledged holds the tasks whose run the worker was told to forget as done.
+	// acknowledged holds the tasks of which the worker was told to forget a run as done.
 	acknowledged   map[string]bool
 	acknowledgedMu sync.Mutex
 }
 
-func newFleet(t *testing.T, machineCount int, crashers ...string) *fleet {
+func newFleet(t *testing.T, machineCount int, crashingTasks ...string) *fleet {
 	clock := clockwork.NewFakeClock()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -100,15 +99,15 @@
 		JobRetention: time.Minute, Store: newStore(), Dial: rpc.DialOne, Clock: clock, Events: event.Discard(),
 	})
 	for number := range machineCount {
-		f.machines = append(f.machines, f.newMachine(ctx, newStore(), number, crashers))
+		f.machines = append(f.machines, f.newMachine(ctx, newStore(), number, crashingTasks))
 	}
 	go f.owner.Run(ctx)
 	return f
 }
 
-func (f *fleet) newMachine(ctx context.Context, store *platform.Store, number int, crashers []string) *machine {
+func (f *fleet) newMachine(ctx context.Context, store *platform.Store, number int, crashingTasks []string) *machine {
 	machine := &machine{name: fmt.Sprintf("side-%d", number), fleet: f, reportsStartTime: number%2 == 1, crashingTasks: map[string]bool{}, startCounts: map[string]int{}, acknowledged: map[string]bool{}}
-	for _, task := range crashers {
+	for _, task := range crashingTasks {
 		machine.crashingTasks[task] = true
 	}
 	machine.startWorker()
@@ -120,8 +119,8 @@
 	machine.agent = agent.New(agent.Options{
 		Name: machine.name, Shards: fleetShards, FirstToken: f.clock.Now().UnixMilli(), Clock: f.clock, Events: event.Discard(),
 		EvacuationDeadline: 5 * time.Second,
-		Connect: func(address string, of incarnation.ID) *platform.Worker {
-			return platform.NewWorker(address, of, platform.Transport())
+		Connect: func(address string, id incarnation.ID) *platform.Worker {
+			return platform.NewWorker(address, id, platform.Transport())
 		},
 	})
 	server, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, machine.agent) })
@@ -138,7 +137,8 @@
 	return machine
 }
 
-// startWorker begins the next life of the worker: under the id of the one before where it says when it started.
+// startWorker starts the next incarnation of the worker. It has the same ID as the previous one if the worker
+// reports its start time.
 func (machine *machine) startWorker() {
 	machine.incarnations++
 	switch {
@@ -154,18 +154,18 @@
 	machine.sequence, machine.lastHeartbeatAt, machine.downAt = 0, time.Time{}, time.Time{}
 }
 
-// recordAcknowledged takes note of ends that the worker was told to forget.
+// recordAcknowledged records the tasks of which the worker is told to forget a run as done.
 func (machine *machine) recordAcknowledged(change wireworker.Change) {
 	if change.Kind == wireworker.Noted && change.How == "done" {
-		// The worker is called with the machine's lock held, or by no one who holds it.
+		// The caller may or may not hold machine.mu, so the field has a lock of its own.
 		machine.acknowledgedMu.Lock()
 		defer machine.acknowledgedMu.Unlock()
 		machine.acknowledged[change.Task] = true
 	}
 }
 
-// ServeHTTP is the worker's address. A start of a task that brings workers down is taken, and
-// the worker with all its connections is gone.
+// ServeHTTP passes requests on to the worker. After the start of a task that crashes workers, the worker
+// and all its connections are gone.
 func (machine *machine) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -193,7 +193,8 @@
 	_, _ = response.Write(recorded.Body.Bytes())
 }
 
-// recordStarts takes note of what a worker has started, and reports whether that brings it down.
+// recordStarts records the tasks that a worker has started, and reports whether the worker is down or was
+// replaced.
 func (machine *machine) recordStarts(worker *wireworker.Worker, before int) bool {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
@@ -214,7 +215,7 @@
 	return !machine.downAt.IsZero()
 }
 
-// step has the worker come back, send heartbeats, and end what has worked long enough.
+// step restarts a crashed worker when that is due, ends runs after taskDuration, and sends heartbeats.
 func (machine *machine) step(now time.Time) {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
@@ -241,7 +242,7 @@
 	})
 }
 
-// submit hands a job of one step in.
+// submit appends a job with one step to the store.
 func (f *fleet) submit(id string, tasks int32) {
 	value, err := proto.Marshal(&job.Submission{
 		Id: id, Queue: "r-1", Service: "verbale", Attempts: 3, Extension: 4, TargetLatencyMs: 1000, SubmittedMs: f.clock.Now().UnixMilli(),
@@ -253,7 +254,7 @@
 	f.store.Put(job.TopicJobs, job.ShardOf(id, fleetShards), job.SubmissionKey(id), value)
 }
 
-// state returns what a client is told of a job.
+// state returns the state of a job as clients see it.
 func (f *fleet) state(id string) job.State {
 	reply, err := f.owner.JobState(context.Background(), &wire.JobStateRequest{Id: id, Shard: int32(job.ShardOf(id, fleetShards))})
 	if err != nil {
@@ -262,7 +263,7 @@
 	return reply.GetState()
 }
 
-// startCount counts the starts of a task on all workers.
+// startCount returns the number of starts of a task on all workers.
 func (f *fleet) startCount(task string) int {
 	count := 0
 	for _, machine := range f.machines {
@@ -273,7 +274,7 @@
 	return count
 }
 
-// incarnationCount counts the lives of all workers.
+// incarnationCount returns the number of incarnations of all workers.
 func (f *fleet) incarnationCount() int {
 	count := 0
 	for _, machine := range f.machines {
@@ -284,7 +285,7 @@
 	return count
 }
 
-// advanceUntil lets time pass until what is waited for holds, most of it at most.
+// advanceUntil advances the clock until a condition holds, and reports whether it did before the timeout.
 func (f *fleet) advanceUntil(timeout time.Duration, condition func() bool) bool {
 	for end := f.clock.Now().Add(timeout); f.clock.Now().Before(end); {
 		f.owner.UpdateEvacuations(operator.NewEvacuations(1, nil), f.clock.Now())
