--- a/owner/prune_test.go
+++ b/owner/prune_test.go
@@ -12,15 +12,7 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// The story. The store forgets jobs that ended long ago: one record holds what was handed in, another one, of
-// another topic, what became of it. Both were dropped at once, the first of them tried once. Where the
-// store took the second drop and not the first, the next owner of the shard read a job without any
-// progress, took it for new and started all its tasks again.
-//
-// The evidence: with one refused append to the topic of jobs, what the store holds afterwards loads as
-// a job that is queued and live.
-
-// newEndedJobBench is a bench whose job has ended, and is known for as long as it has to be.
+// newEndedJobBench returns a harness whose job has ended and is retained for a minute.
 func newEndedJobBench(t *testing.T) *harness {
 	h := newHarness(t)
 	h.owner.options.JobRetention = time.Minute
@@ -37,19 +29,23 @@
 	return h
 }
 
-// storedRecords reports what the store holds of the job.
-func (h *harness) storedRecords() (handedIn, progress bool) {
-	_, handedIn = h.store.Newest(job.TopicJobs, h.shard.number, job.SubmissionKey(jobID))
+// storedRecords reports which records of the job are in the store.
+func (h *harness) storedRecords() (submitted, progress bool) {
+	_, submitted = h.store.Newest(job.TopicJobs, h.shard.number, job.SubmissionKey(jobID))
 	_, progress = h.store.Newest(job.TopicRuns, h.shard.number, jobID)
-	return handedIn, progress
+	return submitted, progress
 }
 
+// TestPrunedJobIsNotRestarted: the submission and the progress of a job are records of different topics. If
+// the progress were deleted while the submission stays, because one append was refused, the next owner of
+// the shard would read a job without progress and start all its tasks again. So the progress may only be
+// deleted after the submission.
 func TestPrunedJobIsNotRestarted(t *testing.T) {
 	tests := map[string]wirestore.Fault{
-		"the store answers": wirestore.FaultNone,
-		"the store is busy": wirestore.FaultBusy,
-		"an answer is lost": wirestore.FaultLost,
-		"a call is reset":   wirestore.FaultReset,
+		"store answers":    wirestore.FaultNone,
+		"store is busy":    wirestore.FaultBusy,
+		"answer is lost":   wirestore.FaultLost,
+		"connection reset": wirestore.FaultReset,
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,28 +64,28 @@
 				h.awaitWrites()
 				h.clock.Advance(100 * time.Millisecond)
 				h.runPending()
-				handedIn, progress := h.storedRecords()
-				if handedIn && !progress {
-					t.Fatal("the store holds what was handed in without what became of it: the next owner takes the job for new")
+				submitted, progress := h.storedRecords()
+				if submitted && !progress {
+					t.Fatal("the submission is in the store without the progress, so the next owner would start the job again")
 				}
-				if !handedIn && !progress {
+				if !submitted && !progress {
 					return
 				}
 			}
-			t.Error("the job was not dropped")
+			t.Error("the job was not deleted")
 		})
 	}
 }
 
-// runPending gives what is on its way a moment, and runs what has come back.
+// runPending gives calls to the store time to return, and runs what they have posted to the event loop.
 func (h *harness) runPending() {
 	time.Sleep(2 * time.Millisecond)
 	for h.owner.eventLoop.RunAny(h.clock.Now()) {
 	}
 }
 
-// TestClockJumpPrunesNothing has an owner read a job that ended hours ago by the time of day, as it
-// is after that has jumped ahead: clients may still ask for it, or hand it in again.
+// TestClockJumpPrunesNothing: a job that ended hours ago by the time of day is not pruned just after it was
+// loaded. The time of day may have jumped ahead, and clients may still ask for the job or submit it again.
 func TestClockJumpPrunesNothing(t *testing.T) {
 	h := newHarness(t)
 	ended := job.New(newSubmission(), h.shard.number)
@@ -100,12 +96,12 @@
 		platform.Tail{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, h.clock.Now())
 	h.step()
 	if h.shard.jobs[jobID] == nil || len(h.shard.tombstones) > 0 {
-		t.Error("a job that was just read as ended is forgotten")
+		t.Error("a job that was just loaded as ended was pruned")
 	}
 }
 
-// TestProgressWithoutJobIsDeleted has an owner read what became of a job that the one before it had
-// begun to drop.
+// TestProgressWithoutJobIsDeleted: an owner deletes the progress of a job whose submission the previous
+// owner has deleted.
 func TestProgressWithoutJobIsDeleted(t *testing.T) {
 	h := newHarness(t)
 	ended := job.New(newSubmission(), h.shard.number)
@@ -117,6 +113,6 @@
 	h.step()
 	h.awaitWrites()
 	if _, progress := h.storedRecords(); progress {
-		t.Error("what became of a job that is gone stays in the store")
+		t.Error("the progress of a deleted job is still in the store")
 	}
 }
