--- a/owner/membership_test.go
+++ b/owner/membership_test.go
@@ -10,7 +10,7 @@
 	"ambertiller.example/ambertiller/standin/wirestore"
 )
 
-// runOwner starts an owner whose clock stands still but for what until lets pass.
+// runOwner starts an owner whose clock only advances in advanceUntil.
 func runOwner(t *testing.T, clock *clockwork.FakeClock, store *wirestore.Store) (*Owner, context.CancelFunc) {
 	o := newOwner(t, clock, store)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -19,6 +19,8 @@
 	return o, cancel
 }
 
+// advanceUntil advances the clock until a condition holds. It fails the test if that takes more than 30 s
+// of the clock.
 func advanceUntil(t *testing.T, clock *clockwork.FakeClock, condition func() bool) {
 	t.Helper()
 	for range 3000 {
@@ -28,9 +30,10 @@
 		clock.Advance(10 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("what was waited for did not happen")
+	t.Fatal("the condition did not become true within 30 s")
 }
 
+// ownedEpochs returns the epochs of the shards that an owner has loaded.
 func ownedEpochs(o *Owner) map[int]int64 {
 	epochs := map[int]int64{}
 	o.eventLoop.Ask(context.Background(), func(time.Time) {
@@ -43,9 +46,9 @@
 	return epochs
 }
 
-// TestRestartedOwnerGetsLaterEpoch: a process that comes back before it was
-// missed must not write under the epoch of its earlier life. The case that forced
-// it: its appends were refused by their sequence and the shards had no owner.
+// TestRestartedOwnerGetsLaterEpoch: a process that restarts before its member timeout must not write under
+// the epoch that it had before. Otherwise its appends are refused because of their sequence numbers, and
+// the shards have no owner.
 func TestRestartedOwnerGetsLaterEpoch(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
@@ -62,8 +65,8 @@
 	}
 }
 
-// TestNoJoinAfterLeave: the case that forced it brought a stopping entry its
-// shards back, and nobody scheduled them.
+// TestNoJoinAfterLeave: an entry that shuts down must not join after it has left the group. Otherwise it
+// gets its shards back, and nobody schedules their jobs.
 func TestNoJoinAfterLeave(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
@@ -84,7 +87,7 @@
 	}
 }
 
-// TestShardsMoveFromSilentOwner runs two owners and silences one.
+// TestShardsMoveFromSilentOwner: if one of two owners stops, the other one takes over its shards.
 func TestShardsMoveFromSilentOwner(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
@@ -100,8 +103,8 @@
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(second)) == 8 })
 }
 
-// TestAppendsSurviveStoreFaults: appends that were done and not answered are neither
-// repeated nor lost.
+// TestAppendsSurviveStoreFaults: owners acquire and load their shards although the store is busy, resets
+// connections and loses answers. An append that was done but not answered is neither repeated nor lost.
 func TestAppendsSurviveStoreFaults(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
