--- a/owner/reconcile_test.go
+++ b/owner/reconcile_test.go
@@ -11,9 +11,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestInheritedRunIsKeptUntilGrantExpires: the owner before may have granted time until
-// it gave up. The case that forced it: after all processes had been killed, tasks
-// were started a second time beside their first runs.
+// TestInheritedRunIsKeptUntilGrantExpires: the previous owner may have granted time until its ownership
+// expired. If a run were released before, as after a restart of all processes, its task would be started a
+// second time beside the first run.
 func TestInheritedRunIsKeptUntilGrantExpires(t *testing.T) {
 	h := newHarness(t)
 	j := h.adoptRun(workerID)
@@ -22,30 +22,30 @@
 	h.owner.lastJoinAt = h.clock.Now()
 	h.step()
 	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
-		t.Fatal("released while the owner before may still have granted")
+		t.Fatal("released while a grant of the previous owner may not have expired")
 	}
 	h.clock.Advance(7 * time.Second)
 	h.step()
 	if j.Tasks()[0].State() == job.TaskState_TASK_STARTED {
-		t.Error("not released although every grant must have ended")
+		t.Error("not released although every grant must have expired")
 	}
 }
 
-// TestInheritedRunIsReleasedIfNotListed: once the agent has heard of the
-// claim, no order of an earlier owner can start anything.
+// TestInheritedRunIsReleasedIfNotListed: once the agent has received the claim of the shard, no order of an
+// earlier owner can start a run, so a run that the agent does not list is over.
 func TestInheritedRunIsReleasedIfNotListed(t *testing.T) {
 	h := newHarness(t)
 	j := h.adoptRun(workerID)
 	h.attach()
 	h.receive(&wire.AgentMessage{Complete: true})
 	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
-		t.Fatal("released before the agent had heard of the claim")
+		t.Fatal("released before the agent had received the claim of the shard")
 	}
 	h.step()
 	h.takeSent()
 	h.receive(&wire.AgentMessage{Complete: true})
 	if j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
-		t.Error("not released although the agent lacks it")
+		t.Error("not released although the agent does not list it")
 	}
 }
 
@@ -57,34 +57,35 @@
 	h.clock.Advance(6 * time.Second)
 	h.step()
 	if j.Tasks()[0].Attempt() != 1 || j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
-		t.Fatal("released while its grant runs")
+		t.Fatal("released before its grant has expired")
 	}
 	h.clock.Advance(2 * time.Second)
 	h.step()
 	if j.Tasks()[0].State() == job.TaskState_TASK_STARTED {
-		t.Error("not released although the grant must have ended")
+		t.Error("not released although its grant must have expired")
 	}
 }
 
-// TestNewIncarnationReleasesRuns: the case that forced it left lasting tasks
-// waiting for twenty seconds after all machines had lost power.
+// TestNewIncarnationReleasesRuns: if the agent reports another incarnation of its worker, the runs of the
+// previous one are over. Otherwise long-running tasks would wait for 20 s after a power loss of all
+// machines.
 func TestNewIncarnationReleasesRuns(t *testing.T) {
 	h := newHarness(t)
 	j := h.adoptRun("i-0")
 	h.attach()
 	h.receive(&wire.AgentMessage{Complete: true, Status: &wire.WorkerStatus{}})
 	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
-		t.Fatal("released while the agent knows of no worker")
+		t.Fatal("released while the agent knows no worker")
 	}
 	h.receive(&wire.AgentMessage{Complete: true})
 	if j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
-		t.Error("not released although another incarnation stands there")
+		t.Error("not released although another incarnation is running")
 	}
 }
 
-// TestRunsOfEndedIncarnationAreReleased: the case that forced it is a worker that left
-// with its machine while its owner was cut off from the store; the next owner
-// waited 17 s for lasting tasks to be over.
+// TestRunsOfEndedIncarnationAreReleased: runs are released if the store's record of the agent says that their
+// worker's incarnation has ended. A worker may have left with its machine while its owner could not reach the
+// store. The next owner would otherwise wait 17 s until it could start long-running tasks again.
 func TestRunsOfEndedIncarnationAreReleased(t *testing.T) {
 	tests := map[string]bool{"read before the shard": true, "read after the shard": false}
 	for name, readFirst := range tests {
@@ -119,7 +120,7 @@
 	h.step()
 	for _, message := range h.takeSent() {
 		if message.GetGrantUntilNanos() != 0 {
-			t.Error("granted without word from the store for longer than another owner waits")
+			t.Error("granted time although the last join is too long ago and another owner may have the shard")
 		}
 	}
 }
@@ -135,14 +136,14 @@
 		stops += len(message.GetStops())
 	}
 	if stops != 1 {
-		t.Errorf("%d stops were ordered", stops)
+		t.Errorf("%d stop orders, want 1", stops)
 	}
 }
 
-// TestUnreadyWorkerReleasesNoRuns has an agent that has just started name an incarnation by a heartbeat
-// that was held up: the worker has not answered as that one yet, and the one before may go on.
+// TestUnreadyWorkerReleasesNoRuns: an agent that has just started may know a worker only from a delayed
+// heartbeat. Until that worker is ready, the one with the runs may still be running.
 func TestUnreadyWorkerReleasesNoRuns(t *testing.T) {
-	for name, ready := range map[string]bool{"it has not answered": false, "it has answered": true} {
+	for name, ready := range map[string]bool{"not ready": false, "ready": true} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			j := h.submit()
@@ -151,7 +152,7 @@
 			status.Worker, status.Ready = "i-0", ready
 			h.receive(&wire.AgentMessage{Status: status, Complete: true})
 			if released := j.Tasks()[0].State() == job.TaskState_TASK_WAITING; released != ready {
-				t.Errorf("the task waits again: %v", released)
+				t.Errorf("released: %v", released)
 			}
 		})
 	}
