--- a/owner/registration_test.go
+++ b/owner/registration_test.go
@@ -21,17 +21,18 @@
 )
 
 const (
-	// ownerCount is how many entries follow the agents' records.
+	// ownerCount is the number of entries that follow the records of agents.
 	ownerCount = 3
-	// registrationTick is how much time passes at once while agents register, registrationTickPause how long
-	// the processes then have to get on with it.
+	// registrationTick is how far the fake clock advances at a time. registrationTickPause is the real time
+	// that the processes then get to react.
 	registrationTick      = 5 * time.Millisecond
 	registrationTickPause = 3 * time.Millisecond
-	// minReadInterval is what the reads of a partition that find records are apart at least.
+	// minReadInterval is the shortest time between two reads of a partition that return records.
 	minReadInterval = 250 * time.Millisecond
 )
 
-// registrationFleet is a fleet whose agents all register at once, over a store whose partitions take their appends in turn.
+// registrationFleet is a fleet whose agents all register at the same time. The partitions of its store
+// execute their appends one after another.
 type registrationFleet struct {
 	clock      *clockwork.FakeClock
 	store      *wirestore.Store
@@ -48,7 +49,7 @@
 	t.Cleanup(func() {
 		cancel()
 		server.CloseClientConnections()
-		clock.Advance(time.Hour) // What waits its turn in the store is let go.
+		clock.Advance(time.Hour) // Release the appends that are queued in the store.
 		server.Close()
 	})
 	newStore := func() *platform.Store {
@@ -58,7 +59,7 @@
 		o := owner.New(owner.Options{
 			Name: fmt.Sprintf("edge-%d", number), Strong: true, Address: fmt.Sprintf("10.0.1.%d:7000", number), Shards: fleetShards,
 			GrantDuration: 5 * time.Second, MemberTimeout: time.Hour, JobRetention: time.Minute, Store: newStore(), Clock: clock, Events: event.Discard(),
-			Dial: func(context.Context, string) (drpc.Conn, error) { return nil, errors.New("nobody is there") },
+			Dial: func(context.Context, string) (drpc.Conn, error) { return nil, errors.New("no agent at this address") },
 		})
 		go o.Run(ctx)
 	}
@@ -72,7 +73,7 @@
 	return f
 }
 
-// advance lets time pass.
+// advance advances the clock by a duration.
 func (f *registrationFleet) advance(duration time.Duration) {
 	for range duration / registrationTick {
 		f.clock.Advance(registrationTick)
@@ -80,7 +81,8 @@
 	}
 }
 
-// timeUntilRegistered returns how long it took until the store had the records of all agents, most if it had not by then.
+// timeUntilRegistered advances the clock until the store has the records of all agents, and returns how
+// long that took. It stops after the timeout.
 func (f *registrationFleet) timeUntilRegistered(timeout time.Duration) time.Duration {
 	elapsed := time.Duration(0)
 	for ; elapsed < timeout && !f.allRegistered(); elapsed += 20 * registrationTick {
@@ -89,6 +91,7 @@
 	return elapsed
 }
 
+// allRegistered reports whether the store has the records of all agents.
 func (f *registrationFleet) allRegistered() bool {
 	for _, name := range f.agentNames {
 		if _, found := f.store.Newest(job.TopicAgents, job.AgentPartition(name, fleetShards), name); !found {
@@ -98,39 +101,41 @@
 	return true
 }
 
-// TestRegistrationDoesNotOverloadStore has all agents of a fleet register at once. The case that forced it: a partition
-// took an append each 4 ms, so that the last of 800 waited 3.2 s; each try was given up after 1.5 s, went on waiting in the
-// store, and was followed by another one. The line never emptied, and each record woke all readers.
+// TestRegistrationDoesNotOverloadStore: if all agents of a fleet register at the same time, their retries
+// must not keep the store busy. With 4 ms for an append to a partition, the last of 800 agents waits 3.2 s.
+// If each agent gave up after 1.5 s and tried again while its first append was still queued in the store,
+// the queue would never empty, and each record would wake all readers.
 func TestRegistrationDoesNotOverloadStore(t *testing.T) {
 	tests := map[string]struct {
 		agents int
-		takes  time.Duration
-		// tries is how many appends an agent may make on average: one, unless the store refuses.
+		takes  time.Duration // duration of an append
+		// tries is how many appends an agent may make on average: one, unless the store refuses appends.
 		tries int
 	}{
-		"a fleet":               {150, 20 * time.Millisecond, 1},
-		"one of twice the size": {300, 20 * time.Millisecond, 1},
-		"one that is more than the line may hold": {300, 40 * time.Millisecond, 4},
+		"150 agents":                   {150, 20 * time.Millisecond, 1},
+		"300 agents":                   {300, 20 * time.Millisecond, 1},
+		"more agents than queue slots": {300, 40 * time.Millisecond, 4},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newRegistrationFleet(t, test.agents, test.takes)
 			elapsed := f.timeUntilRegistered(20 * time.Second)
 			if !f.allRegistered() {
-				t.Fatalf("not all agents are known after %v", elapsed)
+				t.Fatalf("not all agents are registered after %v", elapsed)
 			}
 			f.advance(time.Second)
 			appends := f.store.TopicCalls("/v1/log-append", job.TopicAgents)
 			if appends > test.agents*test.tries {
-				t.Errorf("%d appends of %d agents, want %d an agent at most", appends, test.agents, test.tries)
+				t.Errorf("%d appends by %d agents, want at most %d per agent", appends, test.agents, test.tries)
 			}
 			reads := f.store.TopicCalls("/v1/log-read", job.TopicAgents)
-			// The reads of a partition that find records are spaced, and one that waits comes after them.
+			// Reads that return records are at least minReadInterval apart. Allow for the first read of a
+			// partition and for one that waits for records at the end.
 			maxReads := ownerCount * job.AgentPartitions(fleetShards) * (int((elapsed+time.Second)/minReadInterval) + 2)
 			if reads > maxReads {
-				t.Errorf("%d reads of %d entries for %d agents in %v, want %d at most", reads, ownerCount, test.agents, elapsed, maxReads)
+				t.Errorf("%d reads by %d entries for %d agents in %v, want at most %d", reads, ownerCount, test.agents, elapsed, maxReads)
 			}
-			t.Logf("%d agents: known after %v, %d appends, %d reads of %d entries", test.agents, elapsed, appends, reads, ownerCount)
+			t.Logf("%d agents: registered after %v, %d appends, %d reads by %d entries", test.agents, elapsed, appends, reads, ownerCount)
 		})
 	}
 }
