--- a/owner/learned_store_test.go
+++ b/owner/learned_store_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// addSharedShard has the bench's owner own the shard whose owner puts together what has
-// been learned.
+// addSharedShard has the owner own job.InterferenceShard, whose owner combines the interference estimates
+// of all agents.
 func (h *harness) addSharedShard(ctx context.Context, epoch int64) *shard {
 	s := newShard(ctx, job.InterferenceShard, epoch, h.clock.Now())
 	s.loaded = true
@@ -16,8 +16,7 @@
 	return s
 }
 
-// learnedWeight returns the weight that an agent would be told of the pair "s" and "f", and on how
-// many readings it rests.
+// learnedWeight returns the estimated weight of the pair "s" and "f", and the number of its readings.
 func learnedWeight(estimates []*job.Interference) (weight float64, readings int32) {
 	for _, estimate := range estimates {
 		if estimate.GetServing() == "s" && estimate.GetFill() == "f" {
@@ -27,8 +26,8 @@
 	return 0, 0
 }
 
-// TestLearnedIsPersisted: once all gateways and agents have lost power, the next owner of the
-// shared shard tells at once what was learned before.
+// TestLearnedIsPersisted: after a power loss of all entries and agents, the next owner of
+// job.InterferenceShard sends the estimates of before to agents at once.
 func TestLearnedIsPersisted(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -36,9 +35,9 @@
 	s := h.addSharedShard(ctx, 4)
 	s.learned.update(h.agent, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
 	go h.owner.persistLearned(s)
-	h.owner.eventLoop.RunOne(h.clock.Now()) // Nothing is remembered yet.
+	h.owner.eventLoop.RunOne(h.clock.Now()) // The store has no estimates yet.
 	for range 2 {
-		// The second time it is the same, and is not written again.
+		// The estimates are unchanged the second time, so they are not written again.
 		if err := h.clock.BlockUntilContext(ctx, 1); err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +48,7 @@
 		t.Fatal(err)
 	}
 	if appends := h.store.Calls("/v1/log-append"); appends != 1 {
-		t.Errorf("%d appends", appends)
+		t.Errorf("%d appends, want 1", appends)
 	}
 
 	next := newHarness(t)
@@ -63,9 +62,9 @@
 	next.owner.eventLoop.RunOne(next.clock.Now())
 	weight, readings := learnedWeight(nextShard.learned.meansExcluding(next.agent))
 	if weight != 0.5 || readings != maxStoredReadings {
-		t.Errorf("the next owner tells a weight of %v by %d readings", weight, readings)
+		t.Errorf("the next owner has a weight of %v with %d readings", weight, readings)
 	}
 	if !next.agent.learnedSentAt.IsZero() {
-		t.Error("the agent is not told at once")
+		t.Error("the estimates are not due to be sent to the agent at once")
 	}
 }
