--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -16,7 +16,7 @@
 	h.attach()
 	h.step()
 	if got := startOrders(h.takeSent()); len(got) != 0 {
-		t.Fatalf("ordered before the store had it: %v", got)
+		t.Fatalf("ordered before the start was in the store: %v", got)
 	}
 	h.awaitWrites()
 	if _, stored := h.store.Newest(job.TopicRuns, h.shard.number, jobID); !stored {
@@ -24,7 +24,7 @@
 	}
 	h.step()
 	if got := startOrders(h.takeSent()); len(got) != 1 || got[0].GetTask() != firstTask || got[0].GetEpoch() != 3 {
-		t.Errorf("ordered: %v", got)
+		t.Errorf("start orders: %v", got)
 	}
 }
 
@@ -37,12 +37,12 @@
 		t.Fatalf("state %v", j.State())
 	}
 	if visible := h.shard.visibleState(j); visible != job.State_STATE_RUNNING {
-		t.Errorf("shown as %v before the store had it", visible)
+		t.Errorf("shown as %v before the end was in the store", visible)
 	}
 	h.step()
 	for _, message := range h.takeSent() {
 		if len(message.GetSeen()) > 0 {
-			t.Error("seen before the store had it")
+			t.Error("acknowledged before the end was in the store")
 		}
 	}
 	h.awaitWrites()
@@ -52,13 +52,13 @@
 		acknowledged += len(message.GetSeen())
 	}
 	if acknowledged != 1 || h.shard.visibleState(j) != job.State_STATE_COMPLETED {
-		t.Errorf("seen %d, shown %v", acknowledged, h.shard.visibleState(j))
+		t.Errorf("%d acknowledgements, shown as %v", acknowledged, h.shard.visibleState(j))
 	}
 }
 
-// TestCancellationReadBeforeItsJob: the newest records come in the order of keys.
-// The case that forced it: after the store had dropped its history a job ran on
-// that had been cancelled.
+// TestCancellationReadBeforeItsJob: after the store has compacted its log, the newest records are read in
+// the order of their keys, so a cancellation may come before its job. The job must be cancelled all the
+// same.
 func TestCancellationReadBeforeItsJob(t *testing.T) {
 	h := newHarness(t)
 	h.readRecords(
@@ -70,8 +70,7 @@
 	}
 }
 
-// TestEndedJobsArePruned: an ended job is known for as long as it must be, and
-// then dropped from the store too.
+// TestEndedJobsArePruned: an ended job is kept for the retention time and then also deleted from the store.
 func TestEndedJobsArePruned(t *testing.T) {
 	h := newHarness(t)
 	h.owner.options.JobRetention = 2 * time.Minute
@@ -82,23 +81,23 @@
 	h.clock.Advance(2*time.Minute + 30*time.Second)
 	h.step()
 	if h.shard.jobs[jobID] == nil {
-		t.Fatal("forgotten too early")
+		t.Fatal("pruned too early")
 	}
 	h.clock.Advance(time.Minute)
 	h.step()
-	h.owner.eventLoop.RunOne(h.clock.Now()) // What was handed in is dropped.
+	h.owner.eventLoop.RunOne(h.clock.Now()) // The submission has been deleted.
 	h.step()
 	h.awaitWrites()
 	if h.shard.jobs[jobID] != nil {
-		t.Error("not forgotten")
+		t.Error("not pruned")
 	}
 	if _, stored := h.store.Newest(job.TopicRuns, h.shard.number, jobID); stored {
 		t.Error("its progress is still in the store")
 	}
 }
 
-// TestTakenJobIsAddedOnce: what a gateway tells and what the store's read brings is
-// one job, and a cancellation that is told stops it.
+// TestTakenJobIsAddedOnce: a job that another entry announces and that is then read from the store is added
+// once. A cancellation that is announced takes effect.
 func TestTakenJobIsAddedOnce(t *testing.T) {
 	h := newHarness(t)
 	notify := func(record platform.Record) {
@@ -112,11 +111,11 @@
 	notify(record)
 	first := h.shard.jobs[jobID]
 	if first == nil {
-		t.Fatal("not taken up")
+		t.Fatal("not added")
 	}
 	h.readRecords(record)
 	if h.shard.jobs[jobID] != first {
-		t.Error("taken up twice")
+		t.Error("added twice")
 	}
 	notify(newRecord(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
 	if first.State() != job.State_STATE_CANCELLED {
