--- a/owner/agents.go
+++ b/owner/agents.go
@@ -46,7 +46,8 @@
 	// acknowledged yet; zero if there is none.
 	ackDeadline time.Time
 	claimsSent  bool // the shards owned now are in nextMessage or have been sent
-	// claimSequences holds, by shard, the sequence number of the message that claimed it first.
+	// claimSequences holds, by shard, the sequence number of the first message that claimed the shard on the
+	// current connection.
 	claimSequences map[int]int64
 
 	// heardOnConn is set once the agent has sent a message on the current connection.
@@ -65,8 +66,8 @@
 	// succeeded. No tasks are placed on the worker before avoidUntil.
 	consecutiveFailures int
 	avoidUntil          time.Time
-	// noSuspectsUntil is until when no further task is placed on the worker that is suspected of
-	// crashing workers.
+	// noSuspectsUntil is the time until which no further task that is suspected of crashing workers is
+	// placed on the worker.
 	noSuspectsUntil time.Time
 	// sentEvacuations are the evacuated failure domains last sent to the agent on the current connection.
 	sentEvacuations []string
@@ -136,7 +137,7 @@
 	return owner.options.Store.Read(ctx, job.TopicAgents, part, nextOffset, agentReadWait)
 }
 
-// applyAgentRecords connects to newly registered agents and takes note of incarnations that have ended.
+// applyAgentRecords connects to newly registered agents, and marks the incarnations that have ended.
 func (owner *Owner) applyAgentRecords(tail platform.Tail, now time.Time) {
 	for _, record := range tail.Records {
 		agentRecord := &job.AgentRecord{}
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -17,8 +17,8 @@
 	outboxSize = 64
 	// dialTimeout bounds an attempt to connect: a machine that is switched off does not refuse connections.
 	dialTimeout = time.Second
-	// minReconnectDelay is the pause after the first failed attempt to connect. It doubles with each
-	// further one, up to maxReconnectDelay.
+	// minReconnectDelay is the pause before the first attempt to reconnect. It doubles with each failed
+	// attempt, up to maxReconnectDelay.
 	minReconnectDelay = 200 * time.Millisecond
 	maxReconnectDelay = 2 * time.Second
 	// ackTimeout is how long an agent may take to acknowledge a message, beyond the half second after which
@@ -146,7 +146,8 @@
 	return now.Add(interval + ackTimeout)
 }
 
-// recordHandled records up to which message an agent has handled those of this owner.
+// recordHandled records up to which sequence number the agent has handled this owner's messages, and extends
+// or clears the deadline for its next acknowledgement.
 func (view *agentView) recordHandled(handled int64, now time.Time) {
 	switch {
 	case handled >= view.sentSequence:
--- a/owner/connection_test.go
+++ b/owner/connection_test.go
@@ -69,7 +69,8 @@
 // message. The agent may have been restarted, and a grant on the clock of the previous process, which had
 // been up for longer, is too long by the difference. If the connection is lost then, the owner releases the
 // runs after 5.8 s and starts their tasks elsewhere, while the agent lets the runs continue. With an agent
-// that restarted 17 s after its first start, runs continued for 11 s beside the second runs of their tasks.
+// that restarted 17 s after its first start, and whose connection was lost 1.2 s after the owner had made it,
+// runs continued for 11 s beside the second runs of their tasks.
 func TestGrantWaitsForFirstMessage(t *testing.T) {
 	h := newHarness(t)
 	h.attach()
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -119,7 +119,7 @@
 	// acquired again under that epoch.
 	fencedEpochs map[int]int64
 	agents       map[string]*agentView // by address
-	// agentsDropped is set while the entry is not connected to agents, since it is not a candidate.
+	// agentsDropped is set after the entry has disconnected from all agents, until it is a candidate again.
 	agentsDropped bool
 	// evacuationState says which failure domains are evacuated, and as of when that is known.
 	evacuationState  operator.Knowledge
--- a/owner/prune.go
+++ b/owner/prune.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// deleteProgress has the progress of a job deleted whose submission is no longer in the store.
+// deleteProgress has the next append delete the progress of a job whose submission is no longer in the store.
 func (s *shard) deleteProgress(id string) {
 	s.tombstones = append(s.tombstones, platform.Record{Key: id})
 }
--- a/owner/runs.go
+++ b/owner/runs.go
@@ -14,8 +14,9 @@
 	// failuresBeforeProbation is how many runs in a row must fail before a worker is on probation and is
 	// given only one run at a time. A single failure is often caused by the task.
 	failuresBeforeProbation = 2
-	// probationDuration is how long a worker on probation is given no runs after a failure. It is also how
-	// long a run without an end must last to show that the worker functions.
+	// probationDuration is how long a worker is given no runs after a failure that puts it or keeps it on
+	// probation, or after it failed to start a run. It is also how long a long-running task must run to show
+	// that the worker functions.
 	probationDuration = 1500 * time.Millisecond
 	// refusalBackoff is how long a worker that refused a start is given no further ones.
 	refusalBackoff = 150 * time.Millisecond
--- a/owner/shard.go
+++ b/owner/shard.go
@@ -138,7 +138,7 @@
 	return platform.Tail{}, false
 }
 
-// activateShard applies the records that were read of a shard, from when on the shard counts as loaded.
+// activateShard applies the records that were read of a shard, and marks the shard as loaded.
 func (owner *Owner) activateShard(s *shard, jobs, runs platform.Tail, now time.Time) {
 	submitted := map[string]bool{}
 	for _, record := range jobs.Records {
