--- a/owner/cancelled_test.go
+++ b/owner/cancelled_test.go
@@ -44,9 +44,9 @@
 			h.submit()
 			h.attachAndStart()
 			cancel(h)
-			h.step()
+			h.tick()
 			h.receive(&wire.AgentMessage{Results: []*wire.StartResult{{Task: firstTask, Attempt: 1, Worker: workerID, Outcome: wire.StartOutcome_START_WORKER_FAILED}}})
-			h.step()
+			h.tick()
 			h.awaitWrites()
 			h.takeSent()
 			h.clock.Advance(5 * time.Second)
@@ -63,7 +63,7 @@
 			cancel(h)
 			h.submit()
 			h.attach()
-			h.step()
+			h.tick()
 			h.awaitWrites()
 			h.takeSent()
 			h.listFirstRun()
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			prepare(h)
-			h.step()
+			h.tick()
 			if count := countStops(h.takeSent()); count != 1 {
 				t.Errorf("%d stop orders, want 1", count)
 			}
--- a/owner/connection_test.go
+++ b/owner/connection_test.go
@@ -27,7 +27,7 @@
 			closed := false
 			h.agent.conn.cancel = func() { closed = true }
 			for range 60 {
-				h.step()
+				h.tick()
 				handled := h.handledSequence
 				h.takeSent()
 				if !test.receives {
@@ -58,7 +58,7 @@
 		for range idleSendInterval / grantInterval {
 			h.clock.Advance(grantInterval)
 			h.owner.lastJoinAt = h.clock.Now()
-			h.step()
+			h.tick()
 		}
 		h.takeSent()
 		h.receive(&wire.AgentMessage{})
@@ -75,17 +75,17 @@
 	h := newHarness(t)
 	h.attach()
 	h.receive(&wire.AgentMessage{UptimeNanos: int64(time.Hour)})
-	h.step()
+	h.tick()
 	h.takeSent()
 	h.owner.handleConnected(h.agent, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
-	h.step()
+	h.tick()
 	for _, message := range h.takeSent() {
 		if grantedUntil := time.Duration(message.GetGrantUntilNanos()); grantedUntil > 0 {
 			t.Errorf("grant until %v before the agent's first message", grantedUntil)
 		}
 	}
 	h.receive(&wire.AgentMessage{UptimeNanos: int64(time.Second)})
-	h.step()
+	h.tick()
 	grantedUntil := time.Duration(0)
 	for _, message := range h.takeSent() {
 		grantedUntil = max(grantedUntil, time.Duration(message.GetGrantUntilNanos()))
--- a/owner/incarnation_test.go
+++ b/owner/incarnation_test.go
@@ -113,7 +113,7 @@
 			h.attach()
 			for range 2 {
 				h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(test.status), Complete: true, Runs: test.runs})
-				h.step()
+				h.tick()
 				h.takeSent()
 			}
 			if firstRunActive(j) != test.active {
@@ -130,9 +130,9 @@
 	j := h.submit()
 	h.attach()
 	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
-	h.step()
+	h.tick()
 	h.awaitWrites()
-	h.step()
+	h.tick()
 	orders := startOrders(h.takeSent())
 	if len(orders) != 1 || orders[0].GetBorn() != secondBorn {
 		t.Fatalf("start orders: %v", orders)
@@ -143,9 +143,9 @@
 	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn), Ends: []*wire.RunEnd{
 		{Worker: workerID, Born: secondBorn, Number: 7, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE},
 	}})
-	h.step()
+	h.tick()
 	h.awaitWrites()
-	h.step()
+	h.tick()
 	var acknowledged []*wire.EndSeen
 	for _, message := range h.takeSent() {
 		acknowledged = append(acknowledged, message.GetSeen()...)
@@ -162,7 +162,7 @@
 	h.submit()
 	h.attach()
 	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
-	h.step()
+	h.tick()
 	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
 	h.awaitWrites()
 	h.owner.sendUpdate(h.agent, h.clock.Now())
@@ -241,7 +241,7 @@
 			if !firstRunActive(j) {
 				t.Fatal("released before the agent had received the claim of the shard")
 			}
-			h.step()
+			h.tick()
 			h.takeSent()
 			h.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
 			if firstRunActive(j) != test.active {
--- a/owner/prune_test.go
+++ b/owner/prune_test.go
@@ -24,7 +24,7 @@
 	h.submit()
 	h.attachAndStart()
 	h.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
-	h.step()
+	h.tick()
 	h.awaitWrites()
 	return h
 }
@@ -60,7 +60,7 @@
 			})
 			h.clock.Advance(3 * time.Minute)
 			for try := 0; try < 200; try++ {
-				h.step()
+				h.tick()
 				h.awaitWrites()
 				h.clock.Advance(100 * time.Millisecond)
 				h.runPending()
@@ -94,7 +94,7 @@
 	h.owner.activateShard(h.shard,
 		platform.Tail{Records: []platform.Record{newRecord(t, job.SubmissionKey(jobID), newSubmission())}},
 		platform.Tail{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, h.clock.Now())
-	h.step()
+	h.tick()
 	if h.shard.jobs[jobID] == nil || len(h.shard.tombstones) > 0 {
 		t.Error("a job that was just loaded as ended was pruned")
 	}
@@ -110,7 +110,7 @@
 	h.store.Put(job.TopicRuns, h.shard.number, jobID, progress.Value)
 	h.shard.loaded = false
 	h.owner.activateShard(h.shard, platform.Tail{}, platform.Tail{Records: []platform.Record{progress}}, h.clock.Now())
-	h.step()
+	h.tick()
 	h.awaitWrites()
 	if _, progress := h.storedRecords(); progress {
 		t.Error("the progress of a deleted job is still in the store")
--- a/owner/reconcile_test.go
+++ b/owner/reconcile_test.go
@@ -17,15 +17,15 @@
 func TestInheritedRunIsKeptUntilGrantExpires(t *testing.T) {
 	h := newHarness(t)
 	j := h.adoptRun(workerID)
-	h.step()
+	h.tick()
 	h.clock.Advance(storeOutageTolerance)
 	h.owner.lastJoinAt = h.clock.Now()
-	h.step()
+	h.tick()
 	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released while a grant of the previous owner may not have expired")
 	}
 	h.clock.Advance(7 * time.Second)
-	h.step()
+	h.tick()
 	if j.Tasks()[0].State() == job.TaskState_TASK_STARTED {
 		t.Error("not released although every grant must have expired")
 	}
@@ -41,7 +41,7 @@
 	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released before the agent had received the claim of the shard")
 	}
-	h.step()
+	h.tick()
 	h.takeSent()
 	h.receive(&wire.AgentMessage{Complete: true})
 	if j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
@@ -55,12 +55,12 @@
 	h.attachAndStart()
 	h.owner.handleDisconnected(h.agent, h.agent.conn, context.Canceled)
 	h.clock.Advance(6 * time.Second)
-	h.step()
+	h.tick()
 	if j.Tasks()[0].Attempt() != 1 || j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released before its grant has expired")
 	}
 	h.clock.Advance(2 * time.Second)
-	h.step()
+	h.tick()
 	if j.Tasks()[0].State() == job.TaskState_TASK_STARTED {
 		t.Error("not released although its grant must have expired")
 	}
@@ -111,13 +111,13 @@
 func TestNoGrantWithoutRecentJoin(t *testing.T) {
 	h := newHarness(t)
 	h.attach()
-	h.step()
+	h.tick()
 	if got := h.takeSent(); len(got) == 0 || got[len(got)-1].GetGrantUntilNanos() == 0 {
 		t.Fatalf("no grant at first: %v", got)
 	}
 	h.clock.Advance(storeOutageTolerance + time.Second)
 	h.receive(&wire.AgentMessage{})
-	h.step()
+	h.tick()
 	for _, message := range h.takeSent() {
 		if message.GetGrantUntilNanos() != 0 {
 			t.Error("granted time although the last join is too long ago and another owner may have the shard")
@@ -130,7 +130,7 @@
 	h.submit()
 	h.attach()
 	h.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 9}}})
-	h.step()
+	h.tick()
 	stops := 0
 	for _, message := range h.takeSent() {
 		stops += len(message.GetStops())
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -14,7 +14,7 @@
 	h := newHarness(t)
 	h.submit()
 	h.attach()
-	h.step()
+	h.tick()
 	if got := startOrders(h.takeSent()); len(got) != 0 {
 		t.Fatalf("ordered before the start was in the store: %v", got)
 	}
@@ -22,7 +22,7 @@
 	if _, stored := h.store.Newest(job.TopicRuns, h.shard.number, jobID); !stored {
 		t.Fatal("the start is not in the store")
 	}
-	h.step()
+	h.tick()
 	if got := startOrders(h.takeSent()); len(got) != 1 || got[0].GetTask() != firstTask || got[0].GetEpoch() != 3 {
 		t.Errorf("start orders: %v", got)
 	}
@@ -39,14 +39,14 @@
 	if visible := h.shard.visibleState(j); visible != job.State_STATE_RUNNING {
 		t.Errorf("shown as %v before the end was in the store", visible)
 	}
-	h.step()
+	h.tick()
 	for _, message := range h.takeSent() {
 		if len(message.GetSeen()) > 0 {
 			t.Error("acknowledged before the end was in the store")
 		}
 	}
 	h.awaitWrites()
-	h.step()
+	h.tick()
 	acknowledged := 0
 	for _, message := range h.takeSent() {
 		acknowledged += len(message.GetSeen())
@@ -76,17 +76,17 @@
 	h.owner.options.JobRetention = 2 * time.Minute
 	j := h.submit()
 	h.owner.cancelJob(h.shard, j, h.clock.Now())
-	h.step()
+	h.tick()
 	h.awaitWrites()
 	h.clock.Advance(2*time.Minute + 30*time.Second)
-	h.step()
+	h.tick()
 	if h.shard.jobs[jobID] == nil {
 		t.Fatal("pruned too early")
 	}
 	h.clock.Advance(time.Minute)
-	h.step()
+	h.tick()
 	h.owner.eventLoop.RunOne(h.clock.Now()) // The submission has been deleted.
-	h.step()
+	h.tick()
 	h.awaitWrites()
 	if h.shard.jobs[jobID] != nil {
 		t.Error("not pruned")
--- a/owner/tracked_run_test.go
+++ b/owner/tracked_run_test.go
@@ -20,7 +20,7 @@
 	unready := idleWorkerStatus()
 	unready.Ready = false
 	h.receive(&wire.AgentMessage{Complete: true, Status: unready, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1}}})
-	h.step()
+	h.tick()
 	descriptions := runDescriptions(h.takeSent())
 	if len(descriptions) != 1 {
 		t.Fatalf("run descriptions: %v", descriptions)
