--- a/owner/agents.go
+++ b/owner/agents.go
@@ -50,8 +50,8 @@
 	// current connection.
 	claimSequences map[int]int64
 
-	// heardOnConn is set once the agent has sent a message on the current connection.
-	heardOnConn bool
+	// receivedOnConn is set once the agent has sent a message on the current connection.
+	receivedOnConn bool
 	// keepsLearned is set for an agent that stores the interference estimates it receives, so that only
 	// changed ones have to be sent. learnedSentAt is when estimates were last sent to the agent, and
 	// learnedSentVersion the version of the table up to which it has them.
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -215,8 +215,8 @@
 	return !machine.downAt.IsZero()
 }
 
-// step restarts a crashed worker when that is due, ends runs after taskDuration, and sends heartbeats.
-func (machine *machine) step(now time.Time) {
+// tick restarts a crashed worker when that is due, ends runs after taskDuration, and sends heartbeats.
+func (machine *machine) tick(now time.Time) {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
 	if !machine.downAt.IsZero() {
@@ -293,7 +293,7 @@
 			f.clock.Advance(fleetTick)
 			time.Sleep(fleetTickPause)
 			for _, machine := range f.machines {
-				machine.step(f.clock.Now())
+				machine.tick(f.clock.Now())
 			}
 		}
 		if condition() {
--- a/owner/incarnation_test.go
+++ b/owner/incarnation_test.go
@@ -15,12 +15,12 @@
 
 // Start times, in ms, of the two incarnations of a worker in these tests.
 const (
-	firstBorn  = int64(1_790_000_000_000)
-	secondBorn = firstBorn + 60_000
+	firstStartedMs  = int64(1_790_000_000_000)
+	secondStartedMs = firstStartedMs + 60_000
 )
 
-// emptyWorkerBorn returns the status of a ready worker without runs that started at a time in ms.
-func emptyWorkerBorn(born int64) *wire.WorkerStatus {
+// idleWorkerStartedAt returns the status of a ready worker without runs that started at a time in ms.
+func idleWorkerStartedAt(born int64) *wire.WorkerStatus {
 	status := idleWorkerStatus()
 	status.Born = born
 	return status
@@ -61,11 +61,11 @@
 		ended  *job.AgentRecord
 		active bool
 	}{
-		"previous incarnation ended":                {[]int64{secondBorn}, endedRecord(firstBorn), true},
-		"own incarnation ended":                     {[]int64{secondBorn}, endedRecord(secondBorn), false},
-		"ID without start time ended":               {[]int64{secondBorn}, endedByID, true},
+		"previous incarnation ended":                {[]int64{secondStartedMs}, endedRecord(firstStartedMs), true},
+		"own incarnation ended":                     {[]int64{secondStartedMs}, endedRecord(secondStartedMs), false},
+		"ID without start time ended":               {[]int64{secondStartedMs}, endedByID, true},
 		"run and ended ID both without start time":  {nil, endedByID, false},
-		"incarnation ended, run without start time": {nil, endedRecord(firstBorn), true},
+		"incarnation ended, run without start time": {nil, endedRecord(firstStartedMs), true},
 	}
 	for name, test := range tests {
 		for order, before := range map[string]bool{", record read before the shard": true, ", record read after the shard": false} {
@@ -99,12 +99,12 @@
 		runs   []*wire.RunStatus
 		active bool
 	}{
-		"next incarnation does not list it":               {[]int64{firstBorn}, secondBorn, nil, false},
-		"next incarnation lists it":                       {[]int64{firstBorn}, secondBorn, firstRunListed(), true},
-		"own incarnation lists it":                        {[]int64{secondBorn}, secondBorn, firstRunListed(), true},
-		"record without start time, worker lists it":      {nil, secondBorn, firstRunListed(), true},
-		"worker reports no start time":                    {[]int64{firstBorn}, 0, firstRunListed(), true},
-		"record without start time, worker lacks the run": {nil, secondBorn, nil, false},
+		"next incarnation does not list it":               {[]int64{firstStartedMs}, secondStartedMs, nil, false},
+		"next incarnation lists it":                       {[]int64{firstStartedMs}, secondStartedMs, firstRunListed(), true},
+		"own incarnation lists it":                        {[]int64{secondStartedMs}, secondStartedMs, firstRunListed(), true},
+		"record without start time, worker lists it":      {nil, secondStartedMs, firstRunListed(), true},
+		"worker reports no start time":                    {[]int64{firstStartedMs}, 0, firstRunListed(), true},
+		"record without start time, worker lacks the run": {nil, secondStartedMs, nil, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 			j := h.restoreRun(test.born...)
 			h.attach()
 			for range 2 {
-				h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(test.status), Complete: true, Runs: test.runs})
+				h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(test.status), Complete: true, Runs: test.runs})
 				h.tick()
 				h.takeSent()
 			}
@@ -129,19 +129,19 @@
 	h := newHarness(t)
 	j := h.submit()
 	h.attach()
-	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs)})
 	h.tick()
 	h.awaitWrites()
 	h.tick()
 	orders := startOrders(h.takeSent())
-	if len(orders) != 1 || orders[0].GetBorn() != secondBorn {
+	if len(orders) != 1 || orders[0].GetBorn() != secondStartedMs {
 		t.Fatalf("start orders: %v", orders)
 	}
-	if progress := j.Progress(); len(progress.GetBorn()) != 1 || progress.GetBorn()[0] != secondBorn {
+	if progress := j.Progress(); len(progress.GetBorn()) != 1 || progress.GetBorn()[0] != secondStartedMs {
 		t.Errorf("stored progress: %v", progress)
 	}
-	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn), Ends: []*wire.RunEnd{
-		{Worker: workerID, Born: secondBorn, Number: 7, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE},
+	h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs), Ends: []*wire.RunEnd{
+		{Worker: workerID, Born: secondStartedMs, Number: 7, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE},
 	}})
 	h.tick()
 	h.awaitWrites()
@@ -150,7 +150,7 @@
 	for _, message := range h.takeSent() {
 		acknowledged = append(acknowledged, message.GetSeen()...)
 	}
-	if len(acknowledged) != 1 || acknowledged[0].GetBorn() != secondBorn || acknowledged[0].GetNumber() != 7 {
+	if len(acknowledged) != 1 || acknowledged[0].GetBorn() != secondStartedMs || acknowledged[0].GetNumber() != 7 {
 		t.Errorf("acknowledged ends: %v", acknowledged)
 	}
 }
@@ -161,13 +161,13 @@
 	h := newHarness(t)
 	h.submit()
 	h.attach()
-	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(firstStartedMs)})
 	h.tick()
-	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs)})
 	h.awaitWrites()
 	h.owner.sendUpdate(h.agent, h.clock.Now())
 	for _, order := range startOrders(h.takeSent()) {
-		if order.GetBorn() != secondBorn {
+		if order.GetBorn() != secondStartedMs {
 			t.Errorf("start order for the previous incarnation: %v", order)
 		}
 	}
@@ -177,9 +177,9 @@
 func TestProbationEndsWithIncarnation(t *testing.T) {
 	h := newHarness(t)
 	h.attach()
-	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(firstStartedMs)})
 	h.agent.consecutiveFailures, h.agent.avoidUntil = failuresBeforeProbation, h.clock.Now().Add(time.Minute)
-	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs)})
 	if h.agent.consecutiveFailures != 0 || !h.agent.avoidUntil.IsZero() {
 		t.Errorf("%d failures, avoided until %v", h.agent.consecutiveFailures, h.agent.avoidUntil)
 	}
@@ -190,7 +190,7 @@
 	h := newHarness(t)
 	j := h.submitWith(func(submission *job.Submission) { submission.Advice = &job.Advice{ValidMs: 60_000} })
 	h.attach()
-	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(firstStartedMs)})
 	task, now := j.Tasks()[0], h.clock.Now()
 	advice := &stepAdvice{timing: j.Submission().GetAdvice(), service: "verbale"}
 	name := stepName(task)
@@ -203,7 +203,7 @@
 	if worker := h.owner.bestWorker(task, h.owner.candidates(h.owner.agentViews(), now), now); worker == nil {
 		t.Fatal("no worker found although there is a ticket")
 	}
-	h.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs)})
 	if worker := h.owner.bestWorker(task, h.owner.candidates(h.owner.agentViews(), now), now); worker != nil {
 		t.Error("the ticket of the previous incarnation was used")
 	}
@@ -216,9 +216,9 @@
 // no agent knows the run. The run must be released once the agent knows all runs, even if its worker never
 // answers again or there is no worker. Otherwise the task would wait for an end that nobody reports.
 func TestInheritedRunOnUnresponsiveWorker(t *testing.T) {
-	unready := emptyWorkerBorn(firstBorn)
+	unready := idleWorkerStartedAt(firstStartedMs)
 	unready.Ready = false
-	accounted := emptyWorkerBorn(firstBorn)
+	accounted := idleWorkerStartedAt(firstStartedMs)
 	accounted.Ready, accounted.Accounted = false, true
 	tests := map[string]struct {
 		status *wire.WorkerStatus
@@ -235,7 +235,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
-			j := h.restoreRun(firstBorn)
+			j := h.restoreRun(firstStartedMs)
 			h.attach()
 			h.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
 			if !firstRunActive(j) {
--- a/owner/learned_store_test.go
+++ b/owner/learned_store_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// addSharedShard has the owner own job.InterferenceShard, whose owner combines the interference estimates
+// addInterferenceShard has the owner own job.InterferenceShard, whose owner combines the interference estimates
 // of all agents.
-func (h *harness) addSharedShard(ctx context.Context, epoch int64) *shard {
+func (h *harness) addInterferenceShard(ctx context.Context, epoch int64) *shard {
 	s := newShard(ctx, job.InterferenceShard, epoch, h.clock.Now())
 	s.loaded = true
 	h.owner.shards[job.InterferenceShard] = s
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	h := newHarness(t)
-	s := h.addSharedShard(ctx, 4)
+	s := h.addInterferenceShard(ctx, 4)
 	s.learned.update(h.agent, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
 	go h.owner.persistLearned(s)
 	h.owner.eventLoop.RunOne(h.clock.Now()) // The store has no estimates yet.
@@ -56,7 +56,7 @@
 	next.owner = newOwner(t, next.clock, h.store)
 	next.owner.ctx = ctx
 	next.owner.agents[agentAddress] = next.agent
-	nextShard := next.addSharedShard(ctx, 5)
+	nextShard := next.addInterferenceShard(ctx, 5)
 	next.agent.learnedSentAt = next.clock.Now()
 	go next.owner.persistLearned(nextShard)
 	next.owner.eventLoop.RunOne(next.clock.Now())
--- a/owner/peer.go
+++ b/owner/peer.go
@@ -22,7 +22,7 @@
 // JobState implements wire.DRPCPeerServer: it returns the state of a job. It reports a job as unknown only
 // after it has read the shard's partition to its end.
 func (owner *Owner) JobState(ctx context.Context, request *wire.JobStateRequest) (*wire.JobStateReply, error) {
-	reply, s, nextOffset := owner.jobState(ctx, request.GetId())
+	reply, s, nextOffset := owner.findJob(ctx, request.GetId())
 	if s == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
 	}
@@ -34,16 +34,16 @@
 		return nil, errors.Wrap(err, "read the shard to its end")
 	}
 	owner.eventLoop.Ask(ctx, func(now time.Time) { owner.applyRecords(s, tail, now) })
-	reply, s, _ = owner.jobState(ctx, request.GetId())
+	reply, s, _ = owner.findJob(ctx, request.GetId())
 	if s == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
 	}
 	return reply, nil
 }
 
-// jobState looks a job up in its shard. The shard is nil if it is not loaded here; the offset is where
+// findJob looks a job up in its shard. The shard is nil if it is not loaded here; the offset is where
 // reading its jobs continues.
-func (owner *Owner) jobState(ctx context.Context, id string) (*wire.JobStateReply, *shard, int64) {
+func (owner *Owner) findJob(ctx context.Context, id string) (*wire.JobStateReply, *shard, int64) {
 	reply := &wire.JobStateReply{}
 	var loaded *shard
 	nextOffset := int64(0)
--- a/owner/prune_test.go
+++ b/owner/prune_test.go
@@ -12,8 +12,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// newEndedJobBench returns a harness whose job has ended and is retained for a minute.
-func newEndedJobBench(t *testing.T) *harness {
+// newEndedJobHarness returns a harness whose job has ended and is retained for a minute.
+func newEndedJobHarness(t *testing.T) *harness {
 	h := newHarness(t)
 	h.owner.options.JobRetention = time.Minute
 	value, err := proto.Marshal(newSubmission())
@@ -49,7 +49,7 @@
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := newEndedJobBench(t)
+			h := newEndedJobHarness(t)
 			failures := 1
 			h.store.FailTopic(job.TopicJobs, func() wirestore.Fault {
 				failures--
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -20,8 +20,8 @@
 		view.consecutiveFailures = 0
 		owner.removeLearned(view)
 	}
-	if !view.heardOnConn {
-		view.heardOnConn = true
+	if !view.receivedOnConn {
+		view.receivedOnConn = true
 		view.sentAt = time.Time{} // Send the first grant on the connection at once.
 	}
 	view.keepsLearned = view.keepsLearned || message.GetKeepsLearned()
--- a/owner/tracked_run_test.go
+++ b/owner/tracked_run_test.go
@@ -9,9 +9,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestRunDescriptionHasRemainingSpareTime: an agent that was restarted is sent the slack that the job has
+// TestRunDescriptionHasRemainingSlack: an agent that was restarted is sent the slack that the job has
 // left now, not the slack that it had when the run was ordered.
-func TestRunDescriptionHasRemainingSpareTime(t *testing.T) {
+func TestRunDescriptionHasRemainingSlack(t *testing.T) {
 	h := newHarness(t)
 	h.submit()
 	h.attachAndStart()
--- a/owner/update.go
+++ b/owner/update.go
@@ -76,7 +76,7 @@
 // have been restarted since its last message: a grant by the clock of the previous process would be too
 // long by that process's uptime.
 func (owner *Owner) addGrant(view *agentView, now time.Time) {
-	if !view.heardOnConn || now.Sub(owner.lastJoinAt) > storeOutageTolerance {
+	if !view.receivedOnConn || now.Sub(owner.lastJoinAt) > storeOutageTolerance {
 		return
 	}
 	view.nextMessage.GrantUntilNanos = int64(view.agentUptime + owner.options.GrantDuration)
