--- a/owner/incarnation_test.go
+++ b/owner/incarnation_test.go
@@ -197,7 +197,7 @@
 	h.owner.advice.steps[name] = advice
 	queried := h.owner.workersToQuery(advice)
 	if len(queried) != 1 {
-		t.Fatalf("asks about %v", queried)
+		t.Fatalf("workers to query: %v", queried)
 	}
 	h.owner.handleAdvice(name, advice, queried, platform.Advice{Tickets: map[string]string{workerID: "t-1"}, Valid: time.Minute}, nil, now)
 	if worker := h.owner.bestWorker(task, h.owner.candidates(h.owner.agentViews(), now), now); worker == nil {
@@ -208,7 +208,7 @@
 		t.Error("the ticket of the previous incarnation was used")
 	}
 	if again := h.owner.workersToQuery(advice); len(again) != 1 {
-		t.Errorf("asks about %v", again)
+		t.Errorf("workers to query: %v", again)
 	}
 }
 
--- a/owner/learned_store_test.go
+++ b/owner/learned_store_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestLearnedIsPersisted: after a power loss of all entries and agents, the next owner of
-// job.InterferenceShard sends the estimates of before to agents at once.
+// job.InterferenceShard sends the previously stored estimates to agents at once.
 func TestLearnedIsPersisted(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/owner/membership_test.go
+++ b/owner/membership_test.go
@@ -83,7 +83,7 @@
 		t.Errorf("%d joins after the leave", got-joins)
 	}
 	if got := ownedEpochs(o); len(got) != 0 {
-		t.Errorf("it still owns %v", got)
+		t.Errorf("owned after the leave: %v", got)
 	}
 }
 
