--- a/agent/evacuation_test.go
+++ b/agent/evacuation_test.go
@@ -13,43 +13,43 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// newEvacuations is a message that tells which failure domains are evacuated, as of so long ago.
-func (h *harness) newEvacuations(version int64, ago time.Duration, domains ...string) *wire.Evacuations {
-	return &wire.Evacuations{Version: version, FailureDomains: domains, AsOfNanos: int64(h.uptime() - ago)}
+// newEvacuations returns a message with the evacuated failure domains, which were read the given time ago.
+func (h *harness) newEvacuations(version int64, age time.Duration, domains ...string) *wire.Evacuations {
+	return &wire.Evacuations{Version: version, FailureDomains: domains, AsOfNanos: int64(h.uptime() - age)}
 }
 
-// TestEvacuatedDomain: a start is refused where its failure domain is evacuated, and where
-// it might have been without anybody having told. Whatever owner tells it, the newest holds.
+// TestEvacuatedDomain checks that a start is refused if the worker's failure domain is evacuated, or if the known
+// evacuations are too old to exclude it. The newest evacuations count, whichever owner sends them.
 func TestEvacuatedDomain(t *testing.T) {
 	tests := map[string]struct {
-		other func(h *harness) *wire.Evacuations // told by another owner before
-		with  func(h *harness) *wire.Evacuations // told with the order
+		other func(h *harness) *wire.Evacuations // sent by another owner before
+		with  func(h *harness) *wire.Evacuations // sent with the order
 		want  wire.StartOutcome
 	}{
-		"nothing is evacuated": {nil,
+		"no evacuation": {nil,
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(1, time.Second) }, wire.StartOutcome_START_STARTED},
-		"another domain is": {nil,
+		"another domain evacuated": {nil,
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(1, 0, "bergamo") }, wire.StartOutcome_START_STARTED},
-		"this domain is": {nil,
+		"this domain evacuated": {nil,
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(1, 0, "bergamo", testDomain) }, wire.StartOutcome_START_EVACUATED},
-		"this domain was a while ago": {nil,
+		"this domain evacuated as of a minute ago": {nil,
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(1, time.Minute, testDomain) }, wire.StartOutcome_START_EVACUATED},
-		"the owner has not read for as long as an evacuation takes": {nil,
+		"read as long ago as the deadline": {nil,
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(1, evacuationDeadline) }, wire.StartOutcome_START_NOT_READY},
-		"a start could take until the evacuation holds": {nil,
+		"start could take effect after the deadline": {nil,
 			func(h *harness) *wire.Evacuations {
 				return h.newEvacuations(1, evacuationDeadline-time.Second+time.Millisecond)
 			}, wire.StartOutcome_START_NOT_READY},
-		"another owner has read lately": {
+		"other owner read more recently": {
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(1, 0) },
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(1, time.Minute) }, wire.StartOutcome_START_STARTED},
-		"another owner knows more": {
+		"other owner knows a later version": {
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(2, time.Second, testDomain) },
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(1, time.Second) }, wire.StartOutcome_START_EVACUATED},
-		"it has been given back": {
+		"evacuation ended": {
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(2, time.Second, testDomain) },
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(3, 0) }, wire.StartOutcome_START_STARTED},
-		"it was given back and evacuated again": {
+		"evacuated again": {
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(4, 0, testDomain) },
 			func(h *harness) *wire.Evacuations { return h.newEvacuations(3, 0) }, wire.StartOutcome_START_EVACUATED},
 	}
@@ -64,17 +64,17 @@
 			owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour), Evacuations: test.with(h), Starts: []*wire.StartOrder{newStartOrder(1)}})
 			h.waitFor(func() bool { return owner.startOutcome() != wire.StartOutcome_START_UNSPECIFIED })
 			if got := owner.startOutcome(); got != test.want {
-				t.Errorf("got %v", got)
+				t.Errorf("start outcome %v, want %v", got, test.want)
 			}
-			if runs := h.isRunning(); runs != (test.want == wire.StartOutcome_START_STARTED) {
-				t.Errorf("runs: %v", runs)
+			if running := h.isRunning(); running != (test.want == wire.StartOutcome_START_STARTED) {
+				t.Errorf("running: %v, want the start outcome %v", running, test.want)
 			}
 		})
 	}
 }
 
-// TestStartIsNotRetriedOnceEvacuated: a start that the worker refused for its token is not sent
-// again once the failure domain is evacuated.
+// TestStartIsNotRetriedOnceEvacuated checks that a start that the worker refused for its fencing token is not
+// sent again once the failure domain is evacuated.
 func TestStartIsNotRetriedOnceEvacuated(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachReadyOwner(1)
@@ -99,26 +99,26 @@
 	close(answer)
 	h.waitFor(func() bool { return owner.startOutcome() != wire.StartOutcome_START_UNSPECIFIED })
 	if got := owner.startOutcome(); got != wire.StartOutcome_START_EVACUATED || sent.Load() != 1 {
-		t.Errorf("got %v after %d calls", got, sent.Load())
+		t.Errorf("start outcome %v after %d calls, want START_EVACUATED after 1", got, sent.Load())
 	}
 }
 
-// TestOwnerWithoutEvacuations: an owner that tells nothing of evacuations has its orders
-// carried out by what the agent reads itself.
+// TestOwnerWithoutEvacuations checks that orders of an owner that sends no evacuations, like those of earlier
+// builds, are decided by the evacuations that the agent reads from the store itself.
 func TestOwnerWithoutEvacuations(t *testing.T) {
 	tests := map[string]struct {
-		written string
-		want    wire.StartOutcome
+		evacuated string // failure domain, empty for none
+		want      wire.StartOutcome
 	}{
-		"nothing is evacuated": {"", wire.StartOutcome_START_STARTED},
-		"this domain is":       {testDomain, wire.StartOutcome_START_EVACUATED},
+		"no evacuation":         {"", wire.StartOutcome_START_STARTED},
+		"this domain evacuated": {testDomain, wire.StartOutcome_START_EVACUATED},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			store := wirestore.New(shardCount, h.clock.Now)
-			if test.written != "" {
-				store.Put(platform.OperatorTopic, 0, platform.EvacuationKey(test.written), []byte("{}"))
+			if test.evacuated != "" {
+				store.Put(platform.OperatorTopic, 0, platform.EvacuationKey(test.evacuated), []byte("{}"))
 			}
 			server := httptest.NewServer(store)
 			t.Cleanup(server.Close)
@@ -126,20 +126,20 @@
 			owner := h.attachReadyOwner(1)
 			owner.uptime = nil
 			if got := h.orderStart(owner, newStartOrder(1)); got != wire.StartOutcome_START_NOT_READY {
-				t.Fatalf("an order by what nobody knows was answered %v", got)
+				t.Fatalf("start outcome %v before the agent has read evacuations, want START_NOT_READY", got)
 			}
 			h.waitFor(func() bool { return store.Calls("/v1/log-newest") > 0 })
 			h.advance(200 * time.Millisecond)
 			owner.clearReceived()
 			if got := h.orderStart(owner, newStartOrder(1)); got != test.want {
-				t.Errorf("got %v", got)
+				t.Errorf("start outcome %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestNoPreemptionInEvacuatedDomain: an owner that does not know of the evacuation yet has no
-// run stopped for a task that could not take its place.
+// TestNoPreemptionInEvacuatedDomain checks that an owner that does not know of the evacuation yet cannot preempt
+// a run there: no task could be started in its place.
 func TestNoPreemptionInEvacuatedDomain(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 6000, Priority: 2, Movable: true, Saves: true})
@@ -147,6 +147,6 @@
 	owner.send(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{Shard: testShard, Epoch: 1, Worker: workerID, Demand: &wire.Demand{MemoryMb: 4000}}}})
 	h.advance(time.Second)
 	if !h.isRunning() {
-		t.Error("a run was stopped")
+		t.Error("the run was preempted")
 	}
 }
