--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -28,20 +28,22 @@
 	workerID      = "i-1"
 	grantDuration = 6 * time.Second
 	testDomain    = "milano-a"
-	// evacuationDeadline is how soon an evacuation holds.
+	// evacuationDeadline is how long after an operator's request starts are still allowed in an evacuated
+	// failure domain.
 	evacuationDeadline = 5 * time.Second
 )
 
 var testShard = int32(job.ShardOf("0123456789abcdef", shardCount))
 
-// ownerStream is an owner's end of the connection.
+// ownerStream is an owner's side of its connection to the agent. It implements wire.DRPCAgent_AttachStream.
 type ownerStream struct {
 	drpc.Stream
 	in  chan *wire.OwnerMessage
 	ctx context.Context
 
-	// uptime is the agent's. A message with starts says that as of then no failure domain is
-	// evacuated, unless it says something else; nil for an owner of an earlier build.
+	// uptime returns the agent's uptime, or is nil for an owner of an earlier build, which sends no
+	// evacuations. A message with starts states that no failure domain is evacuated as of now, unless it
+	// has evacuations of its own.
 	uptime func() time.Duration
 
 	mu       sync.Mutex
@@ -65,6 +67,7 @@
 	}
 }
 
+// send sends a message to the agent, with the next sequence number.
 func (owner *ownerStream) send(message *wire.OwnerMessage) {
 	owner.sequence++
 	message.Sequence = owner.sequence
@@ -74,18 +77,19 @@
 	owner.in <- message
 }
 
-// lastMatching returns the newest message that matches.
+// lastMatching returns the last received message that matches, or nil if none does.
 func (owner *ownerStream) lastMatching(matches func(message *wire.AgentMessage) bool) *wire.AgentMessage {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
-	for index := len(owner.received) - 1; index >= 0; index-- {
-		if matches(owner.received[index]) {
-			return owner.received[index]
+	for i := len(owner.received) - 1; i >= 0; i-- {
+		if matches(owner.received[i]) {
+			return owner.received[i]
 		}
 	}
 	return nil
 }
 
+// startOutcome returns the first reported outcome of a start of the test task, or START_UNSPECIFIED.
 func (owner *ownerStream) startOutcome() wire.StartOutcome {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
@@ -99,13 +103,14 @@
 	return wire.StartOutcome_START_UNSPECIFIED
 }
 
-// clearReceived drops what the owner was told.
+// clearReceived forgets the messages received so far.
 func (owner *ownerStream) clearReceived() {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
 	owner.received = nil
 }
 
+// firstEnd returns the first reported end of the test task, or nil.
 func (owner *ownerStream) firstEnd() *wire.RunEnd {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
@@ -119,30 +124,31 @@
 	return nil
 }
 
-// harness holds an agent, its worker and an owner.
+// harness runs an agent with a worker, both on a fake clock. Tests connect owners to the agent.
 type harness struct {
 	t      *testing.T
 	clock  *clockwork.FakeClock
 	agent  *agent.Agent
 	worker *wireworker.Worker
-	// servedWorker is the worker that stands at the address.
+	// servedWorker is the worker that answers at the server's address.
 	servedWorker atomic.Pointer[wireworker.Worker]
-	// agentStartedAt is when the present agent was made.
+	// agentStartedAt is when the current agent was created.
 	agentStartedAt time.Time
 	ctx            context.Context
-	// stopAgent ends the present agent.
+	// stopAgent stops the current agent.
 	stopAgent context.CancelFunc
-	// suspendedFor is for how long the machine has been suspended.
+	// suspendedFor is how long the machine has been suspended, in nanoseconds.
 	suspendedFor atomic.Int64
 	server       *httptest.Server
 }
 
+// newHarness starts an agent, and a worker that sends no heartbeat yet.
 func newHarness(t *testing.T) *harness {
 	clock := clockwork.NewFakeClock()
 	h := &harness{t: t, clock: clock, worker: wireworker.New(workerID, clock)}
 	h.servedWorker.Store(h.worker)
-	h.server = httptest.NewServer(http.HandlerFunc(func(answer http.ResponseWriter, request *http.Request) {
-		h.servedWorker.Load().ServeHTTP(answer, request)
+	h.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		h.servedWorker.Load().ServeHTTP(w, request)
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
 	h.ctx = ctx
@@ -155,7 +161,7 @@
 	return h
 }
 
-// startAgent starts an agent, as after a restart.
+// startAgent starts a new agent process.
 func (h *harness) startAgent() {
 	h.agent = agent.New(agent.Options{
 		Name: "side-1", Shards: shardCount, FirstToken: h.clock.Now().UnixMilli(), Clock: h.clock, Events: event.Discard(),
@@ -165,15 +171,15 @@
 		},
 	})
 	h.agentStartedAt = h.clock.Now()
-	ctx, kill := context.WithCancel(h.ctx)
-	h.stopAgent = kill
+	ctx, cancel := context.WithCancel(h.ctx)
+	h.stopAgent = cancel
 	go h.agent.Run(ctx)
 }
 
-// uptime is the clock that the agent reckons in towards owners.
+// uptime returns the agent's uptime, which is the clock of its messages to owners.
 func (h *harness) uptime() time.Duration { return h.clock.Now().Sub(h.agentStartedAt) }
 
-// firstHeartbeat is what the worker says of itself first.
+// firstHeartbeat returns the worker's first heartbeat, for the test to change.
 func (h *harness) firstHeartbeat() platform.Heartbeat {
 	return platform.Heartbeat{
 		Incarnation: incarnation.New(workerID, 0), Service: "verbale", Address: strings.TrimPrefix(h.server.URL, "http://"),
@@ -181,19 +187,19 @@
 	}
 }
 
-// sendHeartbeat has the worker say that it is there.
+// sendHeartbeat sends the worker's first heartbeat.
 func (h *harness) sendHeartbeat() {
 	h.agent.Beat(h.firstHeartbeat())
 }
 
-// sendDrainNotice has the worker say that it drains and stays for a while at least.
+// sendDrainNotice sends a heartbeat of a worker that drains and stays for at least the remaining time.
 func (h *harness) sendDrainNotice(remaining time.Duration) {
-	beat := h.firstHeartbeat()
-	beat.Sequence, beat.Draining, beat.Remaining = 2, true, remaining
-	h.agent.Beat(beat)
+	heartbeat := h.firstHeartbeat()
+	heartbeat.Sequence, heartbeat.Draining, heartbeat.Remaining = 2, true, remaining
+	h.agent.Beat(heartbeat)
 }
 
-// attachOwner connects an owner that claims the shard and grants it time.
+// attachOwner connects an owner that claims the test shard and grants its runs grantDuration.
 func (h *harness) attachOwner(epoch int64) *ownerStream {
 	return h.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard, Epoch: epoch}},
@@ -201,7 +207,7 @@
 	})
 }
 
-// connectOwner opens an owner's stream with a first message and waits until it is handled.
+// connectOwner connects an owner that sends a first message, and waits until the agent has handled it.
 func (h *harness) connectOwner(first *wire.OwnerMessage) *ownerStream {
 	owner := &ownerStream{in: make(chan *wire.OwnerMessage, 64), ctx: h.ctx, uptime: h.uptime}
 	go func() { _ = h.agent.Attach(owner) }()
@@ -212,7 +218,7 @@
 	return owner
 }
 
-// attachReadyOwner connects an owner to the agent of a worker that is ready.
+// attachReadyOwner attaches an owner and waits until the worker is reported as ready.
 func (h *harness) attachReadyOwner(epoch int64) *ownerStream {
 	h.sendHeartbeat()
 	owner := h.attachOwner(epoch)
@@ -222,7 +228,7 @@
 	return owner
 }
 
-// orderStart has the owner order a start and waits until it is told what became of it.
+// orderStart sends a start order and returns its outcome.
 func (h *harness) orderStart(owner *ownerStream, order *wire.StartOrder) wire.StartOutcome {
 	h.t.Helper()
 	owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{order}})
@@ -230,15 +236,15 @@
 	return owner.startOutcome()
 }
 
-// mustStart is starts for an order that has to be carried out.
+// mustStart sends a start order and fails the test unless the run starts.
 func (h *harness) mustStart(owner *ownerStream, order *wire.StartOrder) {
 	h.t.Helper()
 	if got := h.orderStart(owner, order); got != wire.StartOutcome_START_STARTED {
-		h.t.Fatalf("the start was answered %v", got)
+		h.t.Fatalf("start outcome %v, want START_STARTED", got)
 	}
 }
 
-// attachOwnerWithRun connects an owner that grants a minute and has the task run with a demand.
+// attachOwnerWithRun attaches an owner that grants a minute, and starts the test task with a demand.
 func (h *harness) attachOwnerWithRun(demand *wire.Demand) *ownerStream {
 	h.t.Helper()
 	owner := h.attachReadyOwner(1)
@@ -249,64 +255,63 @@
 	return owner
 }
 
-// isRunning reports whether the task runs at the worker.
+// isRunning reports whether the test task runs on the worker.
 func (h *harness) isRunning() bool {
 	_, found := h.worker.Running(testTask)
 	return found
 }
 
-// waitFor lets short steps of the clock pass until what is waited for holds.
-func (h *harness) waitFor(holds func() bool) {
+// waitFor advances the clock in short steps until the condition holds, and fails the test if it does not.
+func (h *harness) waitFor(condition func() bool) {
 	h.t.Helper()
 	for range 2000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		h.clock.Advance(5 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
-	h.t.Fatal("what was waited for did not happen")
+	h.t.Fatal("timed out waiting for a condition")
 }
 
 const (
-	// maxUnpolled is how much time passes at most without a look at the worker, which
-	// comes each second: its lease of 4 s must not run out because the processes of the
-	// test have no processor while the clock runs on.
+	// maxUnpolled is the longest time on the fake clock that passes without a poll of the worker, which
+	// comes once a second. The lease of 4 s must not expire only because the goroutines of the test get no
+	// CPU while the clock advances.
 	maxUnpolled = 1500 * time.Millisecond
-	// maxPollTries bounds the wait for a look, in milliseconds, where the worker is silent on
-	// purpose.
+	// maxPollTries bounds the wait for a poll, in milliseconds, where the worker is unreachable on purpose.
 	maxPollTries = 200
 )
 
-// advance lets time go by in steps that the agent sees.
-func (h *harness) advance(length time.Duration) {
-	looks, lookedAt := 0, h.clock.Now()
-	looked := func() bool {
+// advance advances the clock in steps, and lets the agent poll the worker in between.
+func (h *harness) advance(duration time.Duration) {
+	polls, polledAt := 0, h.clock.Now()
+	polled := func() bool {
 		count, _ := h.worker.Looks()
-		if count == looks {
+		if count == polls {
 			return false
 		}
-		looks, lookedAt = count, h.clock.Now()
+		polls, polledAt = count, h.clock.Now()
 		return true
 	}
-	for begin := h.clock.Now(); h.clock.Now().Sub(begin) < length; {
+	for begin := h.clock.Now(); h.clock.Now().Sub(begin) < duration; {
 		h.clock.Advance(50 * time.Millisecond)
 		time.Sleep(time.Millisecond)
-		for try := 0; try < maxPollTries && !looked() && h.clock.Now().Sub(lookedAt) >= maxUnpolled; try++ {
+		for try := 0; try < maxPollTries && !polled() && h.clock.Now().Sub(polledAt) >= maxUnpolled; try++ {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// advanceUnpolled is pass for a worker that answers no look.
-func (h *harness) advanceUnpolled(length time.Duration) {
-	for begin := h.clock.Now(); h.clock.Now().Sub(begin) < length; {
+// advanceUnpolled advances the clock in steps without waiting for polls, which the worker does not answer.
+func (h *harness) advanceUnpolled(duration time.Duration) {
+	for begin := h.clock.Now(); h.clock.Now().Sub(begin) < duration; {
 		h.clock.Advance(20 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// newStartOrder orders a small run of the task, with a demand of its own for the test to change.
+// newStartOrder returns an order to start a small run of the test task, for the test to change.
 func newStartOrder(epoch int64) *wire.StartOrder {
 	return &wire.StartOrder{
 		Shard: testShard, Epoch: epoch, Task: testTask, Attempt: 1, Worker: workerID,
