--- a/agent/order_test.go
+++ b/agent/order_test.go
@@ -7,19 +7,22 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
+// TestEndIsKeptUntilStored checks that the worker may forget the end of a run only once the owner has confirmed
+// that it is stored.
 func TestEndIsKeptUntilStored(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachReadyOwner(1)
 	h.mustStart(owner, newStartOrder(1))
 	h.worker.End(testTask, "done")
 	h.waitFor(func() bool { return owner.firstEnd() != nil })
-	if _, seen := h.worker.Looks(); seen != 0 {
-		t.Errorf("the worker was told to forget end %d before it was durable", seen)
+	if _, storedEnd := h.worker.Looks(); storedEnd != 0 {
+		t.Errorf("the worker was told to forget end %d before it was stored", storedEnd)
 	}
 	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: owner.firstEnd().GetNumber()}}})
-	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == 1 })
+	h.waitFor(func() bool { _, storedEnd := h.worker.Looks(); return storedEnd == 1 })
 }
 
+// TestStartOutcomes checks why the agent refuses start orders.
 func TestStartOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		change func(order *wire.StartOrder)
@@ -27,9 +30,9 @@
 	}{
 		"an earlier owner's epoch": {func(order *wire.StartOrder) { order.Epoch = 6 }, wire.StartOutcome_START_STALE},
 		"another incarnation":      {func(order *wire.StartOrder) { order.Worker = "i-0" }, wire.StartOutcome_START_WRONG_WORKER},
-		"no room":                  {func(order *wire.StartOrder) { order.Demand.MilliCpu = 4001 }, wire.StartOutcome_START_NO_ROOM},
-		"no memory":                {func(order *wire.StartOrder) { order.Demand.MemoryMb = 8001 }, wire.StartOutcome_START_NO_ROOM},
-		"fills take no room": {func(order *wire.StartOrder) { order.Demand.MilliCpu, order.Demand.Fills = 4001, true },
+		"not enough processors":    {func(order *wire.StartOrder) { order.Demand.MilliCpu = 4001 }, wire.StartOutcome_START_NO_ROOM},
+		"not enough memory":        {func(order *wire.StartOrder) { order.Demand.MemoryMb = 8001 }, wire.StartOutcome_START_NO_ROOM},
+		"filling runs reserve no processors": {func(order *wire.StartOrder) { order.Demand.MilliCpu, order.Demand.Fills = 4001, true },
 			wire.StartOutcome_START_STARTED},
 	}
 	for name, test := range tests {
@@ -39,23 +42,23 @@
 			order := newStartOrder(7)
 			test.change(order)
 			if got := h.orderStart(owner, order); got != test.want {
-				t.Errorf("got %v", got)
+				t.Errorf("start outcome %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestUnansweredStart: whatever became of the order, what the owner is told
-// holds for good.
+// TestUnansweredStart checks the outcome of a start that the worker does not answer. Whether the start reached
+// the worker or not, the reported outcome must stay true: a start reported as failed must not take effect later.
 func TestUnansweredStart(t *testing.T) {
 	tests := map[string]struct {
-		fault wireworker.Fault
-		want  wire.StartOutcome
-		runs  bool
+		fault   wireworker.Fault
+		want    wire.StartOutcome
+		running bool
 	}{
-		"carried out":               {wireworker.FaultLost, wire.StartOutcome_START_STARTED, true},
-		"carried out after seconds": {wireworker.FaultLate, wire.StartOutcome_START_WORKER_FAILED, false},
-		"never reached the worker":  {wireworker.FaultReset, wire.StartOutcome_START_WORKER_FAILED, false},
+		"executed":                 {wireworker.FaultLost, wire.StartOutcome_START_STARTED, true},
+		"executed seconds later":   {wireworker.FaultLate, wire.StartOutcome_START_WORKER_FAILED, false},
+		"did not reach the worker": {wireworker.FaultReset, wire.StartOutcome_START_WORKER_FAILED, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,11 +71,11 @@
 				return wireworker.FaultNone
 			})
 			if got := h.orderStart(owner, newStartOrder(1)); got != test.want {
-				t.Errorf("told %v", got)
+				t.Errorf("start outcome %v, want %v", got, test.want)
 			}
 			h.worker.CarryOut()
-			if runs := h.isRunning(); runs != test.runs {
-				t.Errorf("runs: %v", runs)
+			if running := h.isRunning(); running != test.running {
+				t.Errorf("running: %v, want %v", running, test.running)
 			}
 		})
 	}
