--- a/agent/pace_test.go
+++ b/agent/pace_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestAdoptedRunPaceIsReset: an agent that has just started does not know at which pace
-// the one before it left a run. The case that forced it: runs that had been slowed for a
-// moment stayed slowed to their end once all processes had been killed.
+// TestAdoptedRunPaceIsReset checks that an agent that has just started sets the pace of an adopted run, because
+// it does not know the pace that an earlier agent process has set. It guards against a fault by which runs that
+// were slowed when all processes were killed stayed slowed to their end.
 func TestAdoptedRunPaceIsReset(t *testing.T) {
 	h := newHarness(t)
 	h.worker.Put(testTask, 3, 20*time.Second)
