--- a/agent/poll_test.go
+++ b/agent/poll_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestEndNumbersAfterAgentRestart: the worker counts on from ends that it
-// was told to forget by the agent before.
+// TestEndNumbersAfterAgentRestart checks that an agent accepts the first end that a worker lists under any
+// number: an earlier agent has let the worker forget the ends before it.
 func TestEndNumbersAfterAgentRestart(t *testing.T) {
 	h := newHarness(t)
 	h.worker.Number(200)
@@ -21,5 +21,5 @@
 	h.worker.End(testTask, "done")
 	h.waitFor(func() bool { return owner.firstEnd() != nil })
 	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: owner.firstEnd().GetNumber()}}})
-	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == 201 })
+	h.waitFor(func() bool { _, storedEnd := h.worker.Looks(); return storedEnd == 201 })
 }
