--- a/agent/suspended_test.go
+++ b/agent/suspended_test.go
@@ -7,41 +7,41 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// suspendMachine has the machine stand still: its steady clock does not go on.
-func (h *harness) suspendMachine(length time.Duration) {
-	h.suspendedFor.Add(int64(length))
+// suspendMachine simulates a suspension of the machine, which its monotonic clock does not count.
+func (h *harness) suspendMachine(duration time.Duration) {
+	h.suspendedFor.Add(int64(duration))
 	h.advance(200 * time.Millisecond)
 }
 
-// TestSuspendedMachine: a grant of an owner goes on to run out while the machine is
-// suspended. The owner takes runs for over at its end and starts them elsewhere.
+// TestSuspendedMachine checks that grants count the time for which the machine was suspended. When a grant ends
+// meanwhile, its owner considers the runs over and starts their tasks elsewhere.
 func TestSuspendedMachine(t *testing.T) {
-	const nearlyAll = grantDuration - time.Second
-	t.Run("an order from before is refused", func(t *testing.T) {
+	const mostOfGrant = grantDuration - time.Second
+	t.Run("earlier order is refused", func(t *testing.T) {
 		h := newHarness(t)
 		owner := h.attachReadyOwner(1)
-		h.suspendMachine(nearlyAll)
+		h.suspendMachine(mostOfGrant)
 		if got := h.orderStart(owner, newStartOrder(1)); got != wire.StartOutcome_START_NOT_READY {
-			t.Errorf("the start was answered %v", got)
+			t.Errorf("start outcome %v, want START_NOT_READY", got)
 		}
 	})
-	t.Run("what runs is stopped", func(t *testing.T) {
+	t.Run("run is stopped", func(t *testing.T) {
 		h := newHarness(t)
 		owner := h.attachReadyOwner(1)
 		h.mustStart(owner, newStartOrder(1))
-		h.suspendMachine(nearlyAll)
-		stopped := h.clock.Now().Add(time.Second)
+		h.suspendMachine(mostOfGrant)
+		grantEnd := h.clock.Now().Add(time.Second)
 		h.waitFor(func() bool { return !h.isRunning() })
-		if now := h.clock.Now(); now.After(stopped) {
-			t.Errorf("it ran %v beyond the grant", now.Sub(stopped))
+		if now := h.clock.Now(); now.After(grantEnd) {
+			t.Errorf("the run ended %v after the grant", now.Sub(grantEnd))
 		}
 	})
-	t.Run("the time is told to owners", func(t *testing.T) {
+	t.Run("uptime counts the suspension", func(t *testing.T) {
 		h := newHarness(t)
 		owner := h.attachReadyOwner(1)
-		h.suspendMachine(nearlyAll)
+		h.suspendMachine(mostOfGrant)
 		h.waitFor(func() bool {
-			return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetUptimeNanos() >= int64(nearlyAll) }) != nil
+			return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetUptimeNanos() >= int64(mostOfGrant) }) != nil
 		})
 	})
 }
