--- a/agent/work_test.go
+++ b/agent/work_test.go
@@ -7,56 +7,56 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestBenefitsFromMove: a run that is slowed is moved where it would end sooner elsewhere, by
-// what it has left and by what it costs to get there again.
+// TestBenefitsFromMove checks that a slowed run is moved only if it would end sooner elsewhere, by its remaining
+// work and the cost of the move.
 func TestBenefitsFromMove(t *testing.T) {
-	saves := &wire.Demand{Saves: true, EstimateMs: 1000}
-	savesNothing := &wire.Demand{EstimateMs: 1000}
+	checkpoints := &wire.Demand{Saves: true, EstimateMs: 1000}
+	noCheckpoints := &wire.Demand{EstimateMs: 1000}
 	tests := map[string]struct {
 		run     *runState
 		pace    float64
 		restore time.Duration
 		want    bool
 	}{
-		"hardly works, much left":          {&runState{demand: saves, fromScratch: true, workDone: time.Second, progressPercent: 25}, 0.05, 600 * time.Millisecond, true},
-		"at half its pace, much left":      {&runState{demand: saves, fromScratch: true, workDone: time.Second, progressPercent: 25}, 0.5, 600 * time.Millisecond, true},
-		"at half its pace, a little left":  {&runState{demand: saves, fromScratch: true, workDone: time.Second, progressPercent: 60}, 0.5, 600 * time.Millisecond, false},
-		"the same, restored at once":       {&runState{demand: saves, fromScratch: true, workDone: time.Second, progressPercent: 60}, 0.5, 0, true},
-		"hardly works, about to end":       {&runState{demand: saves, fromScratch: true, workDone: time.Second, progressPercent: 97}, 0.05, 600 * time.Millisecond, false},
-		"longer than its guess, much left": {&runState{demand: saves, fromScratch: true, workDone: 4 * time.Second, progressPercent: 60}, 0.5, 600 * time.Millisecond, true},
-		"restarted, by its guess":          {&runState{demand: saves, progressPercent: 60}, 0.5, 600 * time.Millisecond, false},
-		"saves nothing, has done much":     {&runState{demand: savesNothing, fromScratch: true, workDone: 3 * time.Second, progressPercent: 75}, 0.3, 0, false},
-		"saves nothing, has done little":   {&runState{demand: savesNothing, fromScratch: true, workDone: 300 * time.Millisecond, progressPercent: 10}, 0.3, 0, true},
-		"goes at full pace":                {&runState{demand: saves, fromScratch: true, workDone: time.Second, progressPercent: 10}, 1, 0, false},
+		"hardly any pace, much left":              {&runState{demand: checkpoints, fromScratch: true, workDone: time.Second, progressPercent: 25}, 0.05, 600 * time.Millisecond, true},
+		"half pace, much left":                    {&runState{demand: checkpoints, fromScratch: true, workDone: time.Second, progressPercent: 25}, 0.5, 600 * time.Millisecond, true},
+		"half pace, little left":                  {&runState{demand: checkpoints, fromScratch: true, workDone: time.Second, progressPercent: 60}, 0.5, 600 * time.Millisecond, false},
+		"half pace, little left, instant restore": {&runState{demand: checkpoints, fromScratch: true, workDone: time.Second, progressPercent: 60}, 0.5, 0, true},
+		"hardly any pace, about to end":           {&runState{demand: checkpoints, fromScratch: true, workDone: time.Second, progressPercent: 97}, 0.05, 600 * time.Millisecond, false},
+		"longer than estimated, much left":        {&runState{demand: checkpoints, fromScratch: true, workDone: 4 * time.Second, progressPercent: 60}, 0.5, 600 * time.Millisecond, true},
+		"resumed, by its estimate":                {&runState{demand: checkpoints, progressPercent: 60}, 0.5, 600 * time.Millisecond, false},
+		"no checkpoints, much work done":          {&runState{demand: noCheckpoints, fromScratch: true, workDone: 3 * time.Second, progressPercent: 75}, 0.3, 0, false},
+		"no checkpoints, little work done":        {&runState{demand: noCheckpoints, fromScratch: true, workDone: 300 * time.Millisecond, progressPercent: 10}, 0.3, 0, true},
+		"full pace":                               {&runState{demand: checkpoints, fromScratch: true, workDone: time.Second, progressPercent: 10}, 1, 0, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			agent := &Agent{options: Options{RestoreTime: test.restore, CheckpointInterval: 500 * time.Millisecond}}
 			if got := agent.benefitsFromMove(test.run, test.pace); got != test.want {
-				t.Errorf("got %v: %v left, a move costs %v", got, test.run.remainingWork(), agent.moveCost(test.run))
+				t.Errorf("benefitsFromMove = %v with %v of work left and a move cost of %v, want %v", got, test.run.remainingWork(), agent.moveCost(test.run), test.want)
 			}
 		})
 	}
 }
 
-// TestUpdateWork: what a run has worked is counted at its speed.
+// TestUpdateWork checks that the work of a run is counted at its speed.
 func TestUpdateWork(t *testing.T) {
-	began := time.UnixMilli(1_800_000_000_000)
+	start := time.UnixMilli(1_800_000_000_000)
 	tests := map[string]struct {
 		run  *runState
 		want time.Duration
 	}{
-		"does not fill":               {&runState{demand: &wire.Demand{}, pacePercent: 20}, 2 * time.Second},
-		"fills at full pace":          {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 100}, 2 * time.Second},
-		"fills at a tenth":            {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 10}, 200 * time.Millisecond},
-		"is left half the processors": {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 100, reading: 500}, time.Second},
+		"not filling":                      {&runState{demand: &wire.Demand{}, pacePercent: 20}, 2 * time.Second},
+		"filling at full pace":             {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 100}, 2 * time.Second},
+		"filling at a tenth":               {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 10}, 200 * time.Millisecond},
+		"filling with half its processors": {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 100, reading: 500}, time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			test.run.workUpdatedAt = began
-			test.run.updateWork(began.Add(2 * time.Second))
+			test.run.workUpdatedAt = start
+			test.run.updateWork(start.Add(2 * time.Second))
 			if test.run.workDone != test.want {
-				t.Errorf("worked %v", test.run.workDone)
+				t.Errorf("workDone = %v, want %v", test.run.workDone, test.want)
 			}
 		})
 	}
