--- a/agent/evict.go
+++ b/agent/evict.go
@@ -28,7 +28,7 @@
 	maxSlowedRestartPercent = 70
 )
 
-// evictOne evicts at most one filling run, which its owner then starts on a worker that tolerates it: the
+// evictOne evicts at most one fill run, which its owner then starts on a worker that tolerates it: the
 // movable run that interferes the most with serving runs, or else the one that has been slowed for the
 // longest.
 func (agent *Agent) evictOne(state *workerState, servings []interference.ServingTask, fills []interference.FillTask, paces map[string]float64, now time.Time) {
--- a/agent/learned.go
+++ b/agent/learned.go
@@ -11,11 +11,11 @@
 )
 
 // unlimitedTolerance is the tolerance, in thousandths of a core, of a worker whose serving runs tolerate any
-// amount of filling work.
+// amount of fill work.
 const unlimitedTolerance = int64(math.MaxInt32)
 
 // addTolerances adds to the status the images of the serving runs, and how many more thousandths of a core
-// of filling work they tolerate: of each filling image that the model knows, and of any other image.
+// of fill work they tolerate: of each fill image that the model knows, and of any other image.
 func (agent *Agent) addTolerances(state *workerState, status *wire.WorkerStatus, now time.Time) {
 	servings, fills := state.interferenceTasks(now)
 	for _, serving := range servings {
--- a/agent/order_test.go
+++ b/agent/order_test.go
@@ -32,7 +32,7 @@
 		"another incarnation":      {func(order *wire.StartOrder) { order.Worker = "i-0" }, wire.StartOutcome_START_WRONG_WORKER},
 		"not enough processors":    {func(order *wire.StartOrder) { order.Demand.MilliCpu = 4001 }, wire.StartOutcome_START_NO_ROOM},
 		"not enough memory":        {func(order *wire.StartOrder) { order.Demand.MemoryMb = 8001 }, wire.StartOutcome_START_NO_ROOM},
-		"filling runs reserve no processors": {func(order *wire.StartOrder) { order.Demand.MilliCpu, order.Demand.Fills = 4001, true },
+		"fill runs reserve no processors": {func(order *wire.StartOrder) { order.Demand.MilliCpu, order.Demand.Fills = 4001, true },
 			wire.StartOutcome_START_STARTED},
 	}
 	for name, test := range tests {
--- a/agent/pace.go
+++ b/agent/pace.go
@@ -27,11 +27,11 @@
 	// millisPerCore is the number of thousandths in a core.
 	millisPerCore = 1000
 	// modelWorkerCores is the size of the worker, in cores, to which the interference model normalizes core
-	// counts: on a worker with twice as many cores, a core of filling work interferes half as much.
+	// counts: on a worker with twice as many cores, a core of fill work interferes half as much.
 	modelWorkerCores = 16
 )
 
-// pacer limits the CPU use of filling runs while they interfere with serving runs. A pace is the percentage of
+// pacer limits the CPU use of fill runs while they interfere with serving runs. A pace is the percentage of
 // the CPU that a run asks for which the worker lets it use.
 type pacer struct {
 	model          *interference.Model
@@ -47,15 +47,15 @@
 	return pacer{model: interference.New(maxMiss), learnedByAll: map[interference.Pair]interference.Estimate{}}
 }
 
-// isNeeded reports whether the worker has both serving and filling runs, so that the tail latencies of the
+// isNeeded reports whether the worker has both serving and fill runs, so that the tail latencies of the
 // serving ones have to be polled more often.
 func (p *pacer) isNeeded(state *workerState) bool {
-	serving, filling := false, false
+	hasServing, hasFill := false, false
 	for _, run := range state.runs {
-		serving = serving || run.demand.GetTargetMs() > 0
-		filling = filling || run.demand.GetFills()
+		hasServing = hasServing || run.demand.GetTargetMs() > 0
+		hasFill = hasFill || run.demand.GetFills()
 	}
-	return serving && filling
+	return hasServing && hasFill
 }
 
 // modelCoresPerMilliCPU converts thousandths of this worker's cores to cores of a worker with
@@ -64,7 +64,7 @@
 	return modelWorkerCores / float64(max(state.heartbeat.MilliCPU, millisPerCore))
 }
 
-// interferenceTasks returns the serving and the filling runs as the interference model takes them.
+// interferenceTasks returns the serving and the fill runs as the interference model takes them.
 func (state *workerState) interferenceTasks(now time.Time) ([]interference.ServingTask, []interference.FillTask) {
 	scale := state.modelCoresPerMilliCPU()
 	var servings []interference.ServingTask
@@ -86,7 +86,7 @@
 	return servings, fills
 }
 
-// adjustPaces adapts the paces of the filling runs to the tail latencies of the serving ones. Without it,
+// adjustPaces adapts the paces of the fill runs to the tail latencies of the serving ones. Without it,
 // serving runs miss their targets for longer than allowed. After a poll, which is set by polled, there are new
 // readings: the model learns from them, and a run may be evicted.
 func (agent *Agent) adjustPaces(state *workerState, polled bool, now time.Time) {
--- a/agent/preempt.go
+++ b/agent/preempt.go
@@ -13,7 +13,7 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// isPreemptible reports whether the run may be stopped for a more urgent one: it is not a lasting one, has not
+// isPreemptible reports whether the run may be stopped for a more urgent one: it is not long-running, has not
 // been moved too often, and resumes elsewhere from its checkpoint.
 func (run *runState) isPreemptible() bool {
 	return run.phase == phaseRunning && run.demand.GetMovable() && run.demand.GetSaves() && !run.demand.GetLasting()
--- a/agent/resources.go
+++ b/agent/resources.go
@@ -9,7 +9,7 @@
 // fewer than its runs reserve.
 type freeResources struct {
 	admission.Resources
-	// fillMilliCPU is the CPU that filling runs use at their pace. They reserve none.
+	// fillMilliCPU is the CPU that fill runs use at their pace. They reserve none.
 	fillMilliCPU int64
 	// servingMilliCPU is the CPU that serving runs reserve.
 	servingMilliCPU int64
--- a/agent/target.go
+++ b/agent/target.go
@@ -10,7 +10,7 @@
 )
 
 // logTargetChanges logs when a serving run begins to miss its tail latency target, with the images of the
-// filling runs beside it, and when it meets the target again.
+// fill runs beside it, and when it meets the target again.
 func (agent *Agent) logTargetChanges(state *workerState, now time.Time) {
 	for _, run := range state.runs {
 		target := run.demand.GetTargetMs()
@@ -30,7 +30,7 @@
 	}
 }
 
-// fillingImages returns the images of the filling runs without duplicates, sorted and separated by commas.
+// fillingImages returns the images of the fill runs without duplicates, sorted and separated by commas.
 func (state *workerState) fillingImages() string {
 	var images []string
 	for _, run := range state.runs {
--- a/agent/work.go
+++ b/agent/work.go
@@ -10,7 +10,7 @@
 	run.workUpdatedAt = now
 }
 
-// speed returns the speed of the run as a fraction of its full speed. A filling run goes at its pace, or slower
+// speed returns the speed of the run as a fraction of its full speed. A fill run goes at its pace, or slower
 // if other runs leave it less CPU.
 func (run *runState) speed() float64 {
 	if !run.demand.GetFills() {
--- a/agent/work_test.go
+++ b/agent/work_test.go
@@ -46,10 +46,10 @@
 		run  *runState
 		want time.Duration
 	}{
-		"not filling":                      {&runState{demand: &wire.Demand{}, pacePercent: 20}, 2 * time.Second},
-		"filling at full pace":             {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 100}, 2 * time.Second},
-		"filling at a tenth":               {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 10}, 200 * time.Millisecond},
-		"filling with half its processors": {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 100, reading: 500}, time.Second},
+		"not a fill run":                    {&runState{demand: &wire.Demand{}, pacePercent: 20}, 2 * time.Second},
+		"fill run at full pace":             {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 100}, 2 * time.Second},
+		"fill run at a tenth":               {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 10}, 200 * time.Millisecond},
+		"fill run with half its processors": {&runState{demand: &wire.Demand{Fills: true, MilliCpu: 1000}, pacePercent: 100, reading: 500}, time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
