--- a/owner/candidate.go
+++ b/owner/candidate.go
@@ -28,7 +28,7 @@
 	evacuated bool
 	// onProbation is set after failures: the worker is given one run until it has shown
 	// that it does. tried is set while it has one.
-	onProbation, hasTrialRun bool
+	onProbation, hasProbationRun bool
 	// obstacleSuspect is set where a suspect has just been started: no other one is for a while.
 	hasSuspect bool
 	// toleranceRatio is the share that a filling task of the present job should find
@@ -50,7 +50,7 @@
 		worker := newCandidate(view)
 		worker.evacuated = owner.isEvacuated(view)
 		worker.hasSuspect = now.Before(view.noSuspectsUntil)
-		worker.hasTrialRun = view.hasProbationRun(now)
+		worker.hasProbationRun = view.hasProbationRun(now)
 		workers = append(workers, worker)
 	}
 	return workers
@@ -77,7 +77,7 @@
 func (worker *candidate) recordStart(task *job.Task, demand *wire.Demand) {
 	worker.reserve(demand)
 	worker.hasSuspect = worker.hasSuspect || task.IsSuspect()
-	worker.hasTrialRun = true
+	worker.hasProbationRun = true
 }
 
 // reserve takes what a start needs from what is free.
@@ -115,7 +115,7 @@
 		return obstacleSpread
 	case worker.hasSuspect && task.IsSuspect():
 		return obstacleSuspect
-	case worker.onProbation && worker.hasTrialRun:
+	case worker.onProbation && worker.hasProbationRun:
 		return obstacleProbation
 	}
 	return obstacleNone
--- a/owner/standing.go
+++ b/owner/standing.go
@@ -21,9 +21,9 @@
 	seatTimeout = 10 * time.Second
 )
 
-// membership is one period in which the entry offers itself as an owner: it is a member of the group of owners
+// ownerSession is one period in which the entry offers itself as an owner: it is a member of the group of owners
 // and connected to all agents.
-type membership struct {
+type ownerSession struct {
 	// joinCtx ends the membership, joined is closed once it has ended.
 	joinCtx    context.Context
 	cancelJoin context.CancelFunc
@@ -50,7 +50,7 @@
 			owner.logStoreRecovered(ctx, lost, asked)
 			lost = time.Time{}
 		}
-		if !owner.updateMembership(ctx, seat) {
+		if !owner.updateSession(ctx, seat) {
 			return
 		}
 		// Naming a new generation at once hands over what is no longer held.
@@ -152,8 +152,8 @@
 	return deal.Generation, nil
 }
 
-// updateMembership begins or ends to stand where the candidacy says so. It reports false once the owner has ended.
-func (owner *Owner) updateMembership(ctx context.Context, seat *candidacy.Candidacy) bool {
+// updateSession begins or ends to stand where the candidacy says so. It reports false once the owner has ended.
+func (owner *Owner) updateSession(ctx context.Context, seat *candidacy.Candidacy) bool {
 	stands := false
 	if !owner.eventLoop.Ask(ctx, func(now time.Time) { stands = seat.Decide(len(owner.shards), now) }) {
 		return false
@@ -161,10 +161,10 @@
 	switch {
 	case stands && owner.session == nil:
 		owner.log(event.CandidacyBegun, slog.Bool("strong", owner.options.Strong))
-		owner.session = owner.beginMembership(ctx)
+		owner.session = owner.startSession(ctx)
 	case !stands && owner.session != nil:
 		owner.log(event.CandidacyEnded, slog.Bool("strong", owner.options.Strong))
-		err := owner.endMembership(ctx, "not a candidate any more")
+		err := owner.endSession(ctx, "not a candidate any more")
 		if err != nil {
 			// The store takes a silent member out by itself.
 			owner.log(event.StoreLost, slog.Any("error", err))
@@ -173,9 +173,9 @@
 	return true
 }
 
-func (owner *Owner) beginMembership(ctx context.Context) *membership {
+func (owner *Owner) startSession(ctx context.Context) *ownerSession {
 	owner.eventLoop.Ask(ctx, func(time.Time) { owner.agentsDropped = false })
-	begun := &membership{joinDone: make(chan struct{})}
+	begun := &ownerSession{joinDone: make(chan struct{})}
 	begun.joinCtx, begun.cancelJoin = context.WithCancel(owner.ctx)
 	following, stopFollowing := context.WithCancel(owner.ctx)
 	begun.disconnectAgents = stopFollowing
@@ -188,8 +188,8 @@
 	return begun
 }
 
-// endMembership gives all shards up, so that others take them at once, and leaves the agents.
-func (owner *Owner) endMembership(ctx context.Context, reason string) error {
+// endSession gives all shards up, so that others take them at once, and leaves the agents.
+func (owner *Owner) endSession(ctx context.Context, reason string) error {
 	ended := owner.session
 	owner.session = nil
 	// No join may reach the store after the leave: it would bring shards back
@@ -214,7 +214,7 @@
 	<-owner.candidacyDone
 	var left error
 	if owner.session != nil {
-		left = owner.endMembership(ctx, "the process stops")
+		left = owner.endSession(ctx, "the process stops")
 	}
 	err := owner.leaveGroup(ctx, job.SeatsGroup, owner.MemberName())
 	if left != nil {
