--- a/agent/evacuation_test.go
+++ b/agent/evacuation_test.go
@@ -18,8 +18,8 @@
 	return &wire.Evacuations{Version: version, FailureDomains: domains, AsOfNanos: int64(h.uptime() - age)}
 }
 
-// TestEvacuatedDomain checks that a start is refused if the worker's failure domain is evacuated, or if the known
-// evacuations are too old to exclude it. The newest evacuations count, whichever owner sends them.
+// TestEvacuatedDomain checks that a start is refused if the worker's failure domain is evacuated, or if the
+// known evacuations are too old to exclude it. The newest evacuations count, whichever owner sends them.
 func TestEvacuatedDomain(t *testing.T) {
 	tests := map[string]struct {
 		other func(h *harness) *wire.Evacuations // sent by another owner before
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestNoPreemptionInEvacuatedDomain checks that an owner that does not know of the evacuation yet cannot preempt
-// a run there: no task could be started in its place.
+// TestNoPreemptionInEvacuatedDomain checks that an owner that does not know of the evacuation yet cannot
+// preempt a run there: no task could be started in its place.
 func TestNoPreemptionInEvacuatedDomain(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 6000, Priority: 2, Movable: true, Saves: true})
--- a/agent/evict_test.go
+++ b/agent/evict_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestLongestSlowed checks which slowed runs may be evicted: also those without checkpoints, which restart from
-// the beginning, unless they are nearly done, but none that has been moved too often.
+// TestLongestSlowed checks which slowed runs may be evicted: also those without checkpoints, which restart
+// from the beginning, unless they are nearly done, but none that has been moved too often.
 func TestLongestSlowed(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	tests := map[string]struct {
--- a/agent/lease_test.go
+++ b/agent/lease_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestUnresponsiveWorkerRunsAreLost checks that failed polls do not renew the lease of a worker, and that its
-// runs are reported as lost once the lease has expired. It guards against a fault by which every failed poll of
-// a dead worker extended the assumed lease, so that its runs were never given up.
+// runs are reported as lost once the lease has expired. It guards against a fault by which every failed poll
+// of a dead worker extended the assumed lease, so that its runs were never given up.
 func TestUnresponsiveWorkerRunsAreLost(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachReadyOwner(1)
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestSilentOwnersRunsAreStopped checks that a run is stopped before its owner's last grant ends. Otherwise the
-// lease, which covers all runs of the worker, would expire with that grant.
+// TestSilentOwnersRunsAreStopped checks that a run is stopped before its owner's last grant ends. Otherwise
+// the lease, which covers all runs of the worker, would expire with that grant.
 func TestSilentOwnersRunsAreStopped(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachReadyOwner(1)
--- a/agent/order.go
+++ b/agent/order.go
@@ -44,9 +44,9 @@
 	agent.sendStart(state, run, order, 1, now)
 }
 
-// checkStart returns START_STARTED if the order may be sent to the worker, or else why it is refused. The order
-// must arrive on the connection that holds the shard: an order on an older one may have been given up by its
-// owner together with that connection.
+// checkStart returns START_STARTED if the order may be sent to the worker, or else why it is refused. The
+// order must arrive on the connection that holds the shard: an order on an older one may have been given up
+// by its owner together with that connection.
 func (agent *Agent) checkStart(s *session, order *wire.StartOrder, now time.Time) wire.StartOutcome {
 	state := agent.worker
 	claim, claimed := agent.claims[order.GetShard()]
@@ -100,9 +100,9 @@
 	}()
 }
 
-// handleStartAnswer handles the answer to a start, or its error. The start is sent again if the worker refused
-// it for its token or its lease. Without an answer it is unknown whether the run has started: the token is
-// raised, so that the start cannot take effect any more once the worker has answered the next poll.
+// handleStartAnswer handles the answer to a start, or its error. The start is sent again if the worker
+// refused it for its token or its lease. Without an answer it is unknown whether the run has started: the
+// token is raised, so that the start cannot take effect any more once the worker has answered the next poll.
 func (agent *Agent) handleStartAnswer(state *workerState, run *runState, order *wire.StartOrder, try int, err error, now time.Time) {
 	if err == nil {
 		state.recordAnswer(run.startSentAt, now)
@@ -173,8 +173,8 @@
 	agent.markStatusChanged()
 }
 
-// handleStopOrder stops a run on an owner's order, unless the order is for another incarnation or from an owner
-// that has been replaced.
+// handleStopOrder stops a run on an owner's order, unless the order is for another incarnation or from an
+// owner that has been replaced.
 func (agent *Agent) handleStopOrder(order *wire.StopOrder, now time.Time) {
 	state := agent.worker
 	claim, claimed := agent.claims[order.GetShard()]
@@ -188,8 +188,8 @@
 	agent.stopRun(state, run, now)
 }
 
-// stopRun sends a stop to the worker, at most once per stopRetryInterval. The run is over once the worker lists
-// its end.
+// stopRun sends a stop to the worker, at most once per stopRetryInterval. The run is over once the worker
+// lists its end.
 func (agent *Agent) stopRun(state *workerState, run *runState, now time.Time) {
 	if now.Sub(run.stopSentAt) < stopRetryInterval {
 		return
--- a/agent/order_test.go
+++ b/agent/order_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestEndIsKeptUntilStored checks that the worker may forget the end of a run only once the owner has confirmed
-// that it is stored.
+// TestEndIsKeptUntilStored checks that the worker may forget the end of a run only once the owner has
+// confirmed that it is stored.
 func TestEndIsKeptUntilStored(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachReadyOwner(1)
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestUnansweredStart checks the outcome of a start that the worker does not answer. Whether the start reached
-// the worker or not, the reported outcome must stay true: a start reported as failed must not take effect later.
+// TestUnansweredStart checks the outcome of a start that the worker does not answer. Whether the start
+// reached the worker or not, the reported outcome must stay true: a start reported as failed must not take
+// effect later.
 func TestUnansweredStart(t *testing.T) {
 	tests := map[string]struct {
 		fault   wireworker.Fault
--- a/agent/pace.go
+++ b/agent/pace.go
@@ -87,8 +87,8 @@
 }
 
 // adjustPaces adapts the paces of the fill runs to the tail latencies of the serving ones. Without it,
-// serving runs miss their targets for longer than allowed. After a poll, which is set by polled, there are new
-// readings: the model learns from them, and a run may be evicted.
+// serving runs miss their targets for longer than allowed. If polled is set, there are new readings from a
+// poll: the model learns from them, and a run may be evicted.
 func (agent *Agent) adjustPaces(state *workerState, polled bool, now time.Time) {
 	servings, fills := state.interferenceTasks(now)
 	if polled {
@@ -106,8 +106,8 @@
 	}
 }
 
-// setPace changes the pace of a run to percent. It lowers the pace at once but raises it in steps, one after a
-// poll, because the effect of a step shows only in the next reading.
+// setPace changes the pace of a run to percent. It lowers the pace at once but raises it in steps, one after
+// a poll, because the effect of a step shows only in the next reading.
 func (agent *Agent) setPace(state *workerState, run *runState, percent int32, polled bool, now time.Time) {
 	before := run.pacePercent
 	if run.paceUnknown {
@@ -145,8 +145,8 @@
 	return int32(min(max(run.reading*fullPercent/requested, 0), fullPercent))
 }
 
-// isPaceChangeRelevant reports whether a change of pace is large enough to be sent. Any change to full pace is,
-// so that no run stays slightly slowed.
+// isPaceChangeRelevant reports whether a change of pace is large enough to be sent. Any change to full pace
+// is, so that no run stays slightly slowed.
 func isPaceChangeRelevant(before, percent int32) bool {
 	if percent == fullPercent {
 		return percent != before
@@ -154,8 +154,8 @@
 	return percent-before <= -minPaceChange || percent-before >= minPaceChange
 }
 
-// sendPace sends a run's pace to the worker. If that fails, the pace before is restored, so that the change is
-// sent again after the next poll.
+// sendPace sends a run's pace to the worker. If that fails, the pace before is restored, so that the change
+// is sent again after the next poll.
 func (agent *Agent) sendPace(state *workerState, run *runState, percent, before int32, token int64) {
 	ctx, cancel := context.WithTimeout(agent.ctx, callTimeout)
 	defer cancel()
--- a/agent/pace_test.go
+++ b/agent/pace_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestAdoptedRunPaceIsReset checks that an agent that has just started sets the pace of an adopted run, because
-// it does not know the pace that an earlier agent process has set. It guards against a fault by which runs that
-// were slowed when all processes were killed stayed slowed to their end.
+// TestAdoptedRunPaceIsReset checks that an agent that has just started sets the pace of an adopted run,
+// because it does not know the pace that an earlier agent process has set. It guards against a fault by which
+// runs that were slowed when all processes were killed stayed slowed to their end.
 func TestAdoptedRunPaceIsReset(t *testing.T) {
 	h := newHarness(t)
 	h.worker.Put(testTask, 3, 20*time.Second)
--- a/agent/slack_test.go
+++ b/agent/slack_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestHasSlack checks that a run yields early while its job has enough slack, not once the slack is used up, and
-// again once the job is late in any case.
+// TestHasSlack checks that a run yields early while its job has enough slack, not once the slack is used up,
+// and again once the job is late in any case.
 func TestHasSlack(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	tests := map[string]struct {
--- a/agent/suspended.go
+++ b/agent/suspended.go
@@ -8,12 +8,12 @@
 )
 
 // handleSuspension adjusts what owners express on this process's clock, which stood still while the machine
-// was suspended: it moves the start of the clock, the grants and the date of the known evacuations back by that
-// time. Meanwhile owners considered their runs over when the last grant ended. If that grant is over by now, a
-// start order that was in transit is refused, and runs that still go on are stopped.
+// was suspended: it moves the start of the clock, the grants and the date of the known evacuations back by
+// that time. Meanwhile owners considered their runs over when the last grant ended. If that grant is over by
+// now, a start order that was in transit is refused, and runs that still go on are stopped.
 //
-// Times on the worker's clock are not adjusted. That clock has gone on, so that the worker's lease ends earlier
-// than assumed here.
+// Times on the worker's clock are not adjusted. That clock has gone on, so that the worker's lease ends
+// earlier than assumed here.
 func (agent *Agent) handleSuspension(suspended time.Duration, _ time.Time) {
 	agent.log(event.MachineWasSuspended, slog.Duration("slept", suspended))
 	agent.startedAt = agent.startedAt.Add(-suspended)
--- a/agent/suspended_test.go
+++ b/agent/suspended_test.go
@@ -13,8 +13,8 @@
 	h.advance(200 * time.Millisecond)
 }
 
-// TestSuspendedMachine checks that grants count the time for which the machine was suspended. When a grant ends
-// meanwhile, its owner considers the runs over and starts their tasks elsewhere.
+// TestSuspendedMachine checks that grants count the time for which the machine was suspended. When a grant
+// ends meanwhile, its owner considers the runs over and starts their tasks elsewhere.
 func TestSuspendedMachine(t *testing.T) {
 	const mostOfGrant = grantDuration - time.Second
 	t.Run("earlier order is refused", func(t *testing.T) {
--- a/agent/work_test.go
+++ b/agent/work_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestBenefitsFromMove checks that a slowed run is moved only if it would end sooner elsewhere, by its remaining
-// work and the cost of the move.
+// TestBenefitsFromMove checks that a slowed run is moved only if it would end sooner elsewhere, by its
+// remaining work and the cost of the move.
 func TestBenefitsFromMove(t *testing.T) {
 	checkpoints := &wire.Demand{Saves: true, EstimateMs: 1000}
 	noCheckpoints := &wire.Demand{EstimateMs: 1000}
