--- a/owner/advice_test.go
+++ b/owner/advice_test.go
@@ -18,16 +18,16 @@
 	made := newHarness(t)
 	made.submitWith(func(handed *job.Submission) { handed.Advice = adviceTiming() })
 	made.attach()
-	made.step()
+	made.tick()
 	if len(made.agent.runs) != 0 {
 		t.Fatal("placed without a ticket")
 	}
 	now := made.clock.Now()
 	made.owner.advice.steps[jobID+".0.0"] = &stepAdvice{tickets: map[incarnation.ID]ticket{incarnation.New(workerID, 0): {token: "c81e", expiresAt: now.Add(3 * time.Second)}}, expiresAt: now.Add(3 * time.Second)}
 	made.owner.placementChanges.addAll()
-	made.step()
+	made.tick()
 	made.awaitWrites()
-	made.step()
+	made.tick()
 	orders := startOrders(made.takeSent())
 	if len(orders) != 1 || orders[0].GetTicket() != "c81e" {
 		t.Errorf("ordered %v", orders)
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -153,9 +153,9 @@
 // are out.
 func (made *harness) attachAndStart() {
 	made.attach()
-	made.step()
+	made.tick()
 	made.awaitWrites()
-	made.step()
+	made.tick()
 	made.takeSent()
 }
 
@@ -167,6 +167,6 @@
 	return of
 }
 
-func (made *harness) step() {
+func (made *harness) tick() {
 	made.owner.tick(made.clock.Now())
 }
--- a/owner/doubt_test.go
+++ b/owner/doubt_test.go
@@ -35,7 +35,7 @@
 			handed := newSubmission()
 			handed.Id, handed.Steps[0].Count = otherJobInShard(), 3
 			made.readRecords(newRecord(t, job.SubmissionKey(handed.Id), handed))
-			made.step()
+			made.tick()
 			placed := 0
 			for _, task := range made.shard.jobs[handed.Id].Tasks() {
 				if task.State() == job.TaskState_TASK_STARTED {
--- a/owner/evacuated_test.go
+++ b/owner/evacuated_test.go
@@ -27,7 +27,7 @@
 func (made *harness) collectStarts() []*wire.StartOrder {
 	var found []*wire.StartOrder
 	for range 4 {
-		made.step()
+		made.tick()
 		made.awaitWrites()
 		found = append(found, startOrders(made.takeSent())...)
 		made.clock.Advance(100 * time.Millisecond)
@@ -76,7 +76,7 @@
 	of := made.submit()
 	made.attach()
 	made.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
-	made.step()
+	made.tick()
 	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("not placed")
 	}
@@ -100,7 +100,7 @@
 	full.Reclaimable = []*wire.Reclaimable{{Priority: 2, MilliCpu: 4000, MemoryMb: 4000}}
 	made.evacuate(1, evacuatedDomain)
 	made.receive(&wire.AgentMessage{Status: full})
-	made.step()
+	made.tick()
 	for _, message := range made.takeSent() {
 		if len(message.GetPreempts()) > 0 {
 			t.Errorf("asked to make room: %v", message.GetPreempts())
@@ -118,9 +118,9 @@
 	made.evacuate(1)
 	made.clock.Advance(2 * time.Second)
 	made.receive(&wire.AgentMessage{UptimeNanos: int64(uptime), Status: evacuatedDomainStatus()})
-	made.step()
+	made.tick()
 	made.awaitWrites()
-	made.step()
+	made.tick()
 	told := 0
 	for _, message := range made.takeSent() {
 		if len(message.GetStarts()) == 0 {
@@ -136,12 +136,12 @@
 		t.Fatalf("%d messages with starts", told)
 	}
 	made.evacuate(5, "bergamo")
-	made.step()
+	made.tick()
 	messages := made.takeSent()
 	if len(messages) != 1 || len(messages[0].GetEvacuations().GetFailureDomains()) != 1 {
 		t.Errorf("after a change: %v", messages)
 	}
-	made.step()
+	made.tick()
 	if again := made.takeSent(); len(again) != 0 {
 		t.Errorf("told again: %v", again)
 	}
--- a/owner/gang_test.go
+++ b/owner/gang_test.go
@@ -27,7 +27,7 @@
 			made.receive(&wire.AgentMessage{Status: &wire.WorkerStatus{
 				Worker: workerID, Service: "verbale", Ready: true, FreeMilliCpu: test.free, FreeMemoryMb: 4000,
 			}})
-			made.step()
+			made.tick()
 			if got := len(made.agent.runs); got != test.want {
 				t.Errorf("%d members started", got)
 			}
--- a/owner/place_test.go
+++ b/owner/place_test.go
@@ -17,7 +17,7 @@
 	made.attachAndStart()
 	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_FAILED}}})
 	for range 8 {
-		made.step()
+		made.tick()
 		made.awaitWrites()
 		made.clock.Advance(95 * time.Millisecond)
 		made.owner.lastJoinAt = made.clock.Now()
@@ -39,7 +39,7 @@
 	hear := func() {
 		made.owner.lastJoinAt = made.clock.Now()
 		made.receive(&wire.AgentMessage{Status: status})
-		made.step()
+		made.tick()
 	}
 	hear()
 	if len(made.agent.runs) != 0 {
--- a/owner/preempt_test.go
+++ b/owner/preempt_test.go
@@ -33,7 +33,7 @@
 			for range 4 {
 				made.owner.lastJoinAt = made.clock.Now()
 				made.receive(&wire.AgentMessage{Status: status})
-				made.step()
+				made.tick()
 				made.clock.Advance(100 * time.Millisecond)
 			}
 			asks := 0
--- a/owner/stall_test.go
+++ b/owner/stall_test.go
@@ -31,7 +31,7 @@
 				made.clock.Advance(time.Second)
 				made.owner.lastJoinAt = made.clock.Now()
 				made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1, Percent: percent}}})
-				made.step()
+				made.tick()
 				for _, message := range made.takeSent() {
 					stops = max(stops, len(message.GetStops()))
 				}
--- a/owner/suspect_test.go
+++ b/owner/suspect_test.go
@@ -26,9 +26,9 @@
 		made.clock.Advance(length)
 		made.owner.lastJoinAt = made.clock.Now()
 		made.receive(&wire.AgentMessage{})
-		made.step()
+		made.tick()
 		made.awaitWrites()
-		made.step()
+		made.tick()
 		for _, order := range startOrders(made.takeSent()) {
 			if order.GetSuspect() {
 				suspects++
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -13,7 +13,7 @@
 func TestSuspendedOwnerGrantsNothing(t *testing.T) {
 	grants := func(made *harness) bool {
 		made.clock.Advance(grantInterval)
-		made.step()
+		made.tick()
 		for _, message := range made.takeSent() {
 			if message.GetGrantUntilNanos() > 0 {
 				return true
