--- a/owner/evacuated.go
+++ b/owner/evacuated.go
@@ -40,7 +40,7 @@
 // changed. Without starts it costs nothing.
 func (owner *Owner) addEvacuations(view *agentView) {
 	known := owner.evacuationState.Evacuations()
-	if owner.evacuationState.AsOf().IsZero() || !view.heardOnConn {
+	if owner.evacuationState.AsOf().IsZero() || !view.receivedOnConn {
 		return
 	}
 	if len(view.nextMessage.Starts) == 0 && slices.Equal(view.sentEvacuations, known.Domains()) {
--- a/owner/learned_test.go
+++ b/owner/learned_test.go
@@ -56,7 +56,7 @@
 // what it has taught itself.
 func TestAgentsReceiveChangedPairs(t *testing.T) {
 	made := newHarness(t)
-	held := made.addSharedShard(made.owner.ctx, 4)
+	held := made.addInterferenceShard(made.owner.ctx, 4)
 	other := newAgentView("10.0.0.2:7001")
 	made.attach()
 	told := func() *wire.OwnerMessage {
@@ -101,7 +101,7 @@
 // that had all lost power worked without it for up to 3 s more.
 func TestStoredPairsAreSentAtOnce(t *testing.T) {
 	made := newHarness(t)
-	held := made.addSharedShard(made.owner.ctx, 4)
+	held := made.addInterferenceShard(made.owner.ctx, 4)
 	made.attach()
 	made.receive(&wire.AgentMessage{KeepsLearned: true})
 	made.owner.sendUpdate(made.agent, made.clock.Now())
