--- a/owner/advice.go
+++ b/owner/advice.go
@@ -179,7 +179,7 @@
 	if known.queried == nil || now.After(known.expiresAt) {
 		known.queried, known.tickets = map[incarnation.ID]bool{}, map[incarnation.ID]ticket{}
 	}
-	known.expiresAt = now.Add(advice.Valid)
+	known.expiresAt = now.Add(advice.ValidFor)
 	for _, worker := range workers {
 		known.queried[worker] = true
 		if text, good := advice.Tickets[worker.WorkerID()]; good {
@@ -188,7 +188,7 @@
 	}
 	owner.placementChanges.addAll()
 	owner.log(event.AdviceTaken, slog.String("step", name), slog.Int("asked", len(workers)),
-		slog.Int("good", len(advice.Tickets)), slog.Duration("valid", advice.Valid))
+		slog.Int("good", len(advice.Tickets)), slog.Duration("valid", advice.ValidFor))
 }
 
 // dropAdvice forgets the tickets of a step that a worker did not take.
--- a/owner/advice_test.go
+++ b/owner/advice_test.go
@@ -40,7 +40,7 @@
 	made := newHarness(t)
 	made.attach()
 	now := made.clock.Now()
-	made.owner.options.Advisor = platform.NewAdvisor("127.0.0.1:1", platform.Transport())
+	made.owner.options.Advisor = platform.NewAdvisor("127.0.0.1:1", platform.NewTransport())
 	made.owner.advice.steps["no worker"] = &stepAdvice{timing: adviceTiming(), service: "another", pending: true}
 	made.owner.advice.steps["last"] = &stepAdvice{timing: adviceTiming(), service: "verbale", pending: true}
 	made.owner.advice.queue = []string{"forgotten", "no worker", "last"}
--- a/owner/agents.go
+++ b/owner/agents.go
@@ -128,7 +128,7 @@
 
 // readAgentRecords reads the records of agents from an offset on, or the newest record of each agent if the
 // offset is negative.
-func (owner *Owner) readAgentRecords(ctx context.Context, part int, nextOffset int64) (platform.Tail, error) {
+func (owner *Owner) readAgentRecords(ctx context.Context, part int, nextOffset int64) (platform.ReadResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, agentReadWait+readTimeoutMargin)
 	defer cancel()
 	if nextOffset < 0 {
@@ -138,7 +138,7 @@
 }
 
 // applyAgentRecords connects to newly registered agents, and marks the incarnations that have ended.
-func (owner *Owner) applyAgentRecords(tail platform.Tail, now time.Time) {
+func (owner *Owner) applyAgentRecords(tail platform.ReadResult, now time.Time) {
 	for _, record := range tail.Records {
 		agentRecord := &job.AgentRecord{}
 		if err := proto.Unmarshal(record.Value, agentRecord); err != nil {
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -45,7 +45,7 @@
 	})
 	return New(Options{
 		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: 8, GrantDuration: 6 * time.Second, MemberTimeout: 1500 * time.Millisecond,
-		Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport()), Clock: clock, Events: event.Discard(),
+		Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport()), Clock: clock, Events: event.Discard(),
 	})
 }
 
@@ -82,7 +82,7 @@
 }
 
 func (made *harness) readRecords(records ...platform.Record) {
-	made.owner.applyRecords(made.shard, platform.Tail{Records: records}, made.clock.Now())
+	made.owner.applyRecords(made.shard, platform.ReadResult{Records: records}, made.clock.Now())
 }
 
 // submit has the owner read the job.
--- a/owner/doubt_test.go
+++ b/owner/doubt_test.go
@@ -69,7 +69,7 @@
 	made.owner.advice.steps[name] = known
 	answer := func(id string) {
 		made.owner.handleAdvice(name, known, []incarnation.ID{incarnation.New(id, 0)},
-			platform.Advice{Tickets: map[string]string{id: "t-" + id}, Valid: 3 * time.Second}, nil, made.clock.Now())
+			platform.Advice{Tickets: map[string]string{id: "t-" + id}, ValidFor: 3 * time.Second}, nil, made.clock.Now())
 	}
 	answer(workerID)
 	made.clock.Advance(2 * time.Second)
--- a/owner/evacuated.go
+++ b/owner/evacuated.go
@@ -18,12 +18,12 @@
 
 func (owner *Owner) applyEvacuations(told operator.Evacuations, asOf time.Time) {
 	before := owner.evacuationState.Evacuations()
-	owner.evacuationState.Note(told, asOf)
+	owner.evacuationState.Update(told, asOf)
 	after := owner.evacuationState.Evacuations()
-	for _, domain := range after.Less(before) {
+	for _, domain := range after.Difference(before) {
 		owner.log(event.DomainEvacuated, slog.String("failure_domain", domain), slog.Int64("version", after.Version()))
 	}
-	for _, domain := range before.Less(after) {
+	for _, domain := range before.Difference(after) {
 		owner.log(event.DomainGivenBack, slog.String("failure_domain", domain), slog.Int64("version", after.Version()))
 		owner.placementChanges.addAll()
 	}
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -92,7 +92,7 @@
 		server.Close()
 	})
 	newStore := func() *platform.Store {
-		return platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport())
+		return platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport())
 	}
 	f.owner = owner.New(owner.Options{
 		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: fleetShards, GrantDuration: 5 * time.Second, MemberTimeout: 1500 * time.Millisecond,
@@ -120,7 +120,7 @@
 		Name: machine.name, Shards: fleetShards, FirstToken: f.clock.Now().UnixMilli(), Clock: f.clock, Events: event.Discard(),
 		EvacuationDeadline: 5 * time.Second,
 		Connect: func(address string, id incarnation.ID) *platform.Worker {
-			return platform.NewWorker(address, id, platform.Transport())
+			return platform.NewWorker(address, id, platform.NewTransport())
 		},
 	})
 	server, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, machine.agent) })
@@ -236,7 +236,7 @@
 	}
 	machine.sequence++
 	machine.lastHeartbeatAt = now
-	machine.agent.Beat(platform.Heartbeat{
+	machine.agent.HandleHeartbeat(platform.Heartbeat{
 		Incarnation: incarnation.New(machine.worker.ID(), machine.worker.Born()), Service: "verbale",
 		Address: strings.TrimPrefix(machine.server.URL, "http://"), MilliCPU: 8000, MemoryMB: 8000, Sequence: machine.sequence,
 	})
--- a/owner/flush.go
+++ b/owner/flush.go
@@ -67,7 +67,7 @@
 func (owner *Owner) appendUntilStored(s *shard, records []platform.Record) bool {
 	s.sequence++
 	request := platform.Append{
-		Topic: job.TopicRuns, Part: s.number, Records: records,
+		Topic: job.TopicRuns, Partition: s.number, Records: records,
 		Producer: producer, Epoch: s.epoch, Sequence: s.sequence,
 	}
 	startedAt := owner.options.Clock.Now()
@@ -80,7 +80,7 @@
 			return true
 		}
 		var refused *platform.RefusedError
-		if errors.As(err, &refused) && !refused.Busy() {
+		if errors.As(err, &refused) && !refused.IsRetryable() {
 			owner.eventLoop.Post(func(now time.Time) { owner.handleFenced(s, refused, now) })
 			return false
 		}
@@ -112,7 +112,7 @@
 		return
 	}
 	owner.fencedEpochs[s.number] = s.epoch
-	if !refused.Fenced() {
+	if !refused.IsFenced() {
 		// The epoch is still valid, so its next sequence number was refused: another process has written
 		// under the same epoch. Only a new epoch helps.
 		owner.leaveBeforeJoin.Store(true)
--- a/owner/incarnation_test.go
+++ b/owner/incarnation_test.go
@@ -72,7 +72,7 @@
 			t.Run(name+order, func(t *testing.T) {
 				h := newHarness(t)
 				read := func() {
-					h.owner.applyAgentRecords(platform.Tail{Records: []platform.Record{newRecord(t, "side-1", test.ended)}}, h.clock.Now())
+					h.owner.applyAgentRecords(platform.ReadResult{Records: []platform.Record{newRecord(t, "side-1", test.ended)}}, h.clock.Now())
 				}
 				if before {
 					read()
@@ -199,7 +199,7 @@
 	if len(queried) != 1 {
 		t.Fatalf("workers to query: %v", queried)
 	}
-	h.owner.handleAdvice(name, advice, queried, platform.Advice{Tickets: map[string]string{workerID: "t-1"}, Valid: time.Minute}, nil, now)
+	h.owner.handleAdvice(name, advice, queried, platform.Advice{Tickets: map[string]string{workerID: "t-1"}, ValidFor: time.Minute}, nil, now)
 	if worker := h.owner.bestWorker(task, h.owner.candidates(h.owner.agentViews(), now), now); worker == nil {
 		t.Fatal("no worker found although there is a ticket")
 	}
--- a/owner/learned_store.go
+++ b/owner/learned_store.go
@@ -82,7 +82,7 @@
 // store had taken the failed append after all, it ignores the retry, but not the append after that.
 func (owner *Owner) retryLearnedAppend(record *learnedRecord, err error) bool {
 	var refused *platform.RefusedError
-	if errors.As(err, &refused) && !refused.Busy() {
+	if errors.As(err, &refused) && !refused.IsRetryable() {
 		owner.log(event.LearnedNotKept, slog.Int64("epoch", record.shard.epoch), slog.Any("error", err))
 		return false
 	}
@@ -96,14 +96,14 @@
 	ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
 	defer cancel()
 	_, err := owner.options.Store.Append(ctx, platform.Append{
-		Topic: job.TopicInterference, Part: s.number, Records: []platform.Record{{Key: job.InterferenceKey, Value: value}},
+		Topic: job.TopicInterference, Partition: s.number, Records: []platform.Record{{Key: job.InterferenceKey, Value: value}},
 		Producer: producer, Epoch: s.epoch, Sequence: record.nextSequence,
 	})
 	return err
 }
 
 // decodeLearned returns the estimates in the records of the topic, nil if there are none.
-func (owner *Owner) decodeLearned(s *shard, tail platform.Tail) []*job.Interference {
+func (owner *Owner) decodeLearned(s *shard, tail platform.ReadResult) []*job.Interference {
 	for _, record := range tail.Records {
 		if record.Key != job.InterferenceKey {
 			continue
--- a/owner/membership.go
+++ b/owner/membership.go
@@ -57,7 +57,7 @@
 
 // join joins the group of owners, or renews the membership. The generation is the one that this entry heard
 // of last.
-func (owner *Owner) join(ctx context.Context, generation int64) (platform.Deal, error) {
+func (owner *Owner) join(ctx context.Context, generation int64) (platform.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	return owner.options.Store.Join(ctx, job.OwnersGroup, owner.MemberName(), []string{job.TopicJobs}, owner.options.MemberTimeout, generation)
@@ -82,10 +82,10 @@
 
 // applyAssignment acquires the shards that the store has assigned to this entry, and releases all others. The
 // join with that answer was sent at sentAt.
-func (owner *Owner) applyAssignment(assignment platform.Deal, sentAt, now time.Time) {
+func (owner *Owner) applyAssignment(assignment platform.Assignment, sentAt, now time.Time) {
 	owner.lastJoinAt = sentAt
 	assigned := map[int]bool{}
-	for _, number := range assignment.Parts {
+	for _, number := range assignment.Partitions {
 		assigned[number] = true
 	}
 	for number, s := range owner.shards {
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -122,7 +122,7 @@
 	// agentsDropped is set after the entry has disconnected from all agents, until it is a candidate again.
 	agentsDropped bool
 	// evacuationState says which failure domains are evacuated, and as of when that is known.
-	evacuationState  operator.Knowledge
+	evacuationState  operator.EvacuationState
 	placementChanges placementChanges
 	// workersExamined counts the workers examined for placing tasks, once for each job, since the counter
 	// of the metrics was last increased.
--- a/owner/peer.go
+++ b/owner/peer.go
@@ -104,7 +104,7 @@
 	owner.eventLoop.Post(func(now time.Time) {
 		s, owned := owner.shards[int(request.GetShard())]
 		if owned && s.loaded {
-			owner.applyRecords(s, platform.Tail{Records: []platform.Record{record}}, now)
+			owner.applyRecords(s, platform.ReadResult{Records: []platform.Record{record}}, now)
 		}
 	})
 	return &wire.TakenReply{}, nil
@@ -114,7 +114,7 @@
 // does not take.
 func (owner *Owner) Relay(ctx context.Context, request *wire.RelayRequest) (*wire.RelayReply, error) {
 	appendRequest := platform.Append{
-		Topic: job.TopicJobs, Part: int(request.GetShard()),
+		Topic: job.TopicJobs, Partition: int(request.GetShard()),
 		Records: []platform.Record{{Key: request.GetKey(), Value: request.GetValue()}},
 	}
 	_, err := owner.options.Store.Append(ctx, appendRequest)
--- a/owner/prune.go
+++ b/owner/prune.go
@@ -62,7 +62,7 @@
 // deleteSubmissions deletes submissions and cancellations from the store, and retries until it succeeds or
 // the shard is released.
 func (owner *Owner) deleteSubmissions(s *shard, ids []string, records []platform.Record) {
-	request := platform.Append{Topic: job.TopicJobs, Part: s.number, Records: records}
+	request := platform.Append{Topic: job.TopicJobs, Partition: s.number, Records: records}
 	for attempt := 1; s.ctx.Err() == nil; attempt++ {
 		ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
 		_, err := owner.options.Store.Append(ctx, request)
--- a/owner/prune_test.go
+++ b/owner/prune_test.go
@@ -92,8 +92,8 @@
 	ended.Cancel(h.clock.Now().Add(-5 * time.Hour))
 	h.shard.loaded = false
 	h.owner.activateShard(h.shard,
-		platform.Tail{Records: []platform.Record{newRecord(t, job.SubmissionKey(jobID), newSubmission())}},
-		platform.Tail{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, h.clock.Now())
+		platform.ReadResult{Records: []platform.Record{newRecord(t, job.SubmissionKey(jobID), newSubmission())}},
+		platform.ReadResult{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, h.clock.Now())
 	h.tick()
 	if h.shard.jobs[jobID] == nil || len(h.shard.tombstones) > 0 {
 		t.Error("a job that was just loaded as ended was pruned")
@@ -109,7 +109,7 @@
 	progress := newRecord(t, jobID, ended.Progress())
 	h.store.Put(job.TopicRuns, h.shard.number, jobID, progress.Value)
 	h.shard.loaded = false
-	h.owner.activateShard(h.shard, platform.Tail{}, platform.Tail{Records: []platform.Record{progress}}, h.clock.Now())
+	h.owner.activateShard(h.shard, platform.ReadResult{}, platform.ReadResult{Records: []platform.Record{progress}}, h.clock.Now())
 	h.tick()
 	h.awaitWrites()
 	if _, progress := h.storedRecords(); progress {
--- a/owner/reconcile_test.go
+++ b/owner/reconcile_test.go
@@ -93,7 +93,7 @@
 			h := newHarness(t)
 			j := h.submit()
 			j.StartRun(j.Tasks()[0], job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, h.clock.Now())
-			records := platform.Tail{Records: []platform.Record{newRecord(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}})}}
+			records := platform.ReadResult{Records: []platform.Record{newRecord(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}})}}
 			if readFirst {
 				h.owner.applyAgentRecords(records, h.clock.Now())
 			}
--- a/owner/registration_test.go
+++ b/owner/registration_test.go
@@ -53,7 +53,7 @@
 		server.Close()
 	})
 	newStore := func() *platform.Store {
-		return platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport())
+		return platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport())
 	}
 	for number := range ownerCount {
 		o := owner.New(owner.Options{
--- a/owner/shard.go
+++ b/owner/shard.go
@@ -124,7 +124,7 @@
 
 // readNewest reads the newest record of each key in the shard's partition of a topic. It retries until it
 // succeeds, and reports false if the shard is released before.
-func (owner *Owner) readNewest(s *shard, topic string) (platform.Tail, bool) {
+func (owner *Owner) readNewest(s *shard, topic string) (platform.ReadResult, bool) {
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
 		tail, err := owner.options.Store.Newest(ctx, topic, s.number)
@@ -135,11 +135,11 @@
 		owner.log(event.AppendRetried, slog.String("call", "newest"), slog.Int("shard", s.number), slog.Any("error", err))
 		owner.sleep(s.ctx, storeRetryDelay)
 	}
-	return platform.Tail{}, false
+	return platform.ReadResult{}, false
 }
 
 // activateShard applies the records that were read of a shard, and marks the shard as loaded.
-func (owner *Owner) activateShard(s *shard, jobs, runs platform.Tail, now time.Time) {
+func (owner *Owner) activateShard(s *shard, jobs, runs platform.ReadResult, now time.Time) {
 	submitted := map[string]bool{}
 	for _, record := range jobs.Records {
 		if job.IsSubmissionKey(record.Key) {
@@ -195,7 +195,7 @@
 }
 
 // applyRecords applies submissions and cancellations that were appended to a shard.
-func (owner *Owner) applyRecords(s *shard, tail platform.Tail, now time.Time) {
+func (owner *Owner) applyRecords(s *shard, tail platform.ReadResult, now time.Time) {
 	if owner.shards[s.number] != s {
 		return
 	}
--- a/owner/standing.go
+++ b/owner/standing.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return heard, err
 	}
-	seat.SetHeldSeats(len(deal.Parts))
+	seat.SetHeldSeats(len(deal.Partitions))
 	return deal.Generation, nil
 }
 
--- a/owner/suspended.go
+++ b/owner/suspended.go
@@ -22,5 +22,5 @@
 func (owner *Owner) handleSuspension(slept time.Duration, _ time.Time) {
 	owner.log(event.MachineWasSuspended, slog.Duration("slept", slept))
 	owner.lastJoinAt = owner.lastJoinAt.Add(-slept)
-	owner.evacuationState.Age(slept)
+	owner.evacuationState.Backdate(slept)
 }
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -35,7 +35,7 @@
 	if grants(made) {
 		t.Error("grants after a long one")
 	}
-	made.owner.applyAssignment(platform.Deal{Generation: 3, Parts: []int{made.shard.number}}, made.clock.Now(), made.clock.Now())
+	made.owner.applyAssignment(platform.Assignment{Generation: 3, Partitions: []int{made.shard.number}}, made.clock.Now(), made.clock.Now())
 	if !grants(made) {
 		t.Error("grants nothing after word from the store")
 	}
