--- a/admission/admission.go
+++ b/admission/admission.go
@@ -62,12 +62,12 @@
 	Accelerators int64
 }
 
-// Lacks returns which bound keeps something from fitting into what is free; the empty
+// Shortage returns which bound keeps something from fitting into what is free; the empty
 // reason if none does.
 //
 // Performance: owners ask it of every worker for each task that waits, so it tells no
 // figures.
-func (free Resources) Lacks(asked Resources) Reason {
+func (free Resources) Shortage(asked Resources) Reason {
 	switch {
 	case asked.MilliCPU < 0 || asked.MemoryBytes < 0 || asked.Accelerators < 0:
 		return Invalid
@@ -81,9 +81,9 @@
 	return ""
 }
 
-// refusal is Lacks with figures, nil if something fits.
-func (free Resources) refusal(asked Resources) *Refusal {
-	reason := free.Lacks(asked)
+// check is Lacks with figures, nil if something fits.
+func (free Resources) check(asked Resources) *Refusal {
+	reason := free.Shortage(asked)
 	switch reason {
 	case "":
 		return nil
@@ -104,8 +104,8 @@
 	free.Accelerators += given.Accelerators
 }
 
-// Take takes resources away.
-func (free *Resources) Take(taken Resources) {
+// Subtract takes resources away.
+func (free *Resources) Subtract(taken Resources) {
 	free.Add(Resources{MilliCPU: -taken.MilliCPU, MemoryBytes: -taken.MemoryBytes, Accelerators: -taken.Accelerators})
 }
 
@@ -120,14 +120,14 @@
 
 // Gate counts what one worker carries. It may be used by many goroutines.
 type Gate struct {
-	mu          sync.Mutex
-	capacity    Capacity
-	slots       int
-	connections int
-	used        Resources
-	tasks       map[string]Resources
-	leaving     bool
-	idle        chan struct{}
+	mu              sync.Mutex
+	capacity        Capacity
+	usedSlots       int
+	openConnections int
+	used            Resources
+	tasks           map[string]Resources
+	leaving         bool
+	idle            chan struct{}
 }
 
 // NewGate returns a gate that carries nothing.
@@ -170,17 +170,17 @@
 	if gate.leaving {
 		return nil, &Refusal{reason: Leaving}
 	}
-	if gate.slots >= gate.capacity.Slots {
+	if gate.usedSlots >= gate.capacity.Slots {
 		return nil, &Refusal{reason: NoSlot, detail: fmt.Sprintf("all %d are taken", gate.capacity.Slots)}
 	}
-	gate.slots++
+	gate.usedSlots++
 	return sync.OnceFunc(func() { gate.releaseSlot() }), nil
 }
 
 func (gate *Gate) releaseSlot() {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	gate.slots--
+	gate.usedSlots--
 	gate.signalIdle()
 }
 
@@ -189,14 +189,14 @@
 func (gate *Gate) AdmitConnection() (release func(), err error) {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	if gate.connections >= gate.capacity.Connections {
+	if gate.openConnections >= gate.capacity.Connections {
 		return nil, &Refusal{reason: NoConnection, detail: fmt.Sprintf("all %d are taken", gate.capacity.Connections)}
 	}
-	gate.connections++
+	gate.openConnections++
 	return sync.OnceFunc(func() {
 		gate.mu.Lock()
 		defer gate.mu.Unlock()
-		gate.connections--
+		gate.openConnections--
 		gate.signalIdle()
 	}), nil
 }
@@ -219,7 +219,7 @@
 	if _, counted := gate.tasks[id]; counted {
 		return
 	}
-	gate.count(id, held)
+	gate.addTask(id, held)
 }
 
 func (gate *Gate) admit(id string, asked Resources) error {
@@ -227,15 +227,15 @@
 		return &Refusal{reason: Duplicate, detail: id}
 	}
 	free := Resources{MilliCPU: gate.capacity.MilliCPU, MemoryBytes: gate.capacity.MemoryBytes, Accelerators: gate.capacity.Accelerators}
-	free.Take(gate.used)
-	if refusal := free.refusal(asked); refusal != nil {
+	free.Subtract(gate.used)
+	if refusal := free.check(asked); refusal != nil {
 		return refusal
 	}
-	gate.count(id, asked)
+	gate.addTask(id, asked)
 	return nil
 }
 
-func (gate *Gate) count(id string, held Resources) {
+func (gate *Gate) addTask(id string, held Resources) {
 	gate.tasks[id] = held
 	gate.used.Add(held)
 }
@@ -249,7 +249,7 @@
 		return
 	}
 	delete(gate.tasks, id)
-	gate.used.Take(held)
+	gate.used.Subtract(held)
 }
 
 // Usage is what a gate carries at one moment.
@@ -264,7 +264,7 @@
 func (gate *Gate) Usage() Usage {
 	gate.mu.Lock()
 	defer gate.mu.Unlock()
-	return Usage{Slots: gate.slots, Connections: gate.connections, Tasks: len(gate.tasks), Resources: gate.used}
+	return Usage{Slots: gate.usedSlots, Connections: gate.openConnections, Tasks: len(gate.tasks), Resources: gate.used}
 }
 
 // Idle returns a channel that is closed when nobody holds a slot or connection.
@@ -280,7 +280,7 @@
 }
 
 func (gate *Gate) signalIdle() {
-	if gate.slots == 0 && gate.connections == 0 && gate.idle != nil {
+	if gate.usedSlots == 0 && gate.openConnections == 0 && gate.idle != nil {
 		close(gate.idle)
 		gate.idle = nil
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -10,7 +10,7 @@
 	"ambertiller.example/ambertiller/admission"
 )
 
-var capacity = admission.Capacity{Slots: 2, Connections: 3, MilliCPU: 4000, MemoryBytes: 100, Accelerators: 1}
+var testCapacity = admission.Capacity{Slots: 2, Connections: 3, MilliCPU: 4000, MemoryBytes: 100, Accelerators: 1}
 
 func reasonOf(err error) admission.Reason {
 	var refusal *admission.Refusal
@@ -35,7 +35,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			gate := admission.NewGate(capacity)
+			gate := admission.NewGate(testCapacity)
 			if err := gate.AdmitTask("first", admission.Resources{MilliCPU: 500, MemoryBytes: 5}); err != nil {
 				t.Fatal(err)
 			}
@@ -47,9 +47,9 @@
 }
 
 func TestSlots(t *testing.T) {
-	gate := admission.NewGate(capacity)
+	gate := admission.NewGate(testCapacity)
 	var release func()
-	for range capacity.Slots {
+	for range testCapacity.Slots {
 		var err error
 		if release, err = gate.AdmitRequest(); err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 }
 
 func TestLeaving(t *testing.T) {
-	gate := admission.NewGate(capacity)
+	gate := admission.NewGate(testCapacity)
 	release, err := gate.AdmitRequest()
 	if err != nil {
 		t.Fatal(err)
@@ -88,11 +88,11 @@
 	<-idle
 }
 
-// TestNeverBeyondCapacity draws admissions and releases: the sum never exceeds
+// TestUsageStaysWithinCapacity draws admissions and releases: the sum never exceeds
 // the bounds, and nothing is given back twice.
-func TestNeverBeyondCapacity(t *testing.T) {
+func TestUsageStaysWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		gate := admission.NewGate(capacity)
+		gate := admission.NewGate(testCapacity)
 		var releases []func()
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			task := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "task"))
@@ -121,10 +121,10 @@
 
 func checkUsage(t *rapid.T, usage admission.Usage) {
 	used := usage.Resources
-	if usage.Slots < 0 || usage.Slots > capacity.Slots ||
-		used.MilliCPU < 0 || used.MilliCPU > capacity.MilliCPU ||
-		used.MemoryBytes < 0 || used.MemoryBytes > capacity.MemoryBytes ||
-		used.Accelerators < 0 || used.Accelerators > capacity.Accelerators {
+	if usage.Slots < 0 || usage.Slots > testCapacity.Slots ||
+		used.MilliCPU < 0 || used.MilliCPU > testCapacity.MilliCPU ||
+		used.MemoryBytes < 0 || used.MemoryBytes > testCapacity.MemoryBytes ||
+		used.Accelerators < 0 || used.Accelerators > testCapacity.Accelerators {
 		t.Fatalf("used %+v", usage)
 	}
 }
--- a/admission/demand.go
+++ b/admission/demand.go
@@ -11,18 +11,18 @@
 	GetFills() bool
 }
 
-// Held returns what a task holds of a worker while it runs. One that fills takes what
+// ReservedBy returns what a task holds of a worker while it runs. One that fills takes what
 // others leave of the processors and holds none.
-func Held(asked demand) Resources {
-	held := FromMessage(asked.GetMilliCpu(), asked.GetMemoryMb(), asked.GetAccelerators())
+func ReservedBy(asked demand) Resources {
+	held := NewResources(asked.GetMilliCpu(), asked.GetMemoryMb(), asked.GetAccelerators())
 	if asked.GetFills() {
 		held.MilliCPU = 0
 	}
 	return held
 }
 
-// FromMessage returns resources whose memory is told in mebibytes.
-func FromMessage(milliCPU, memoryMB, accelerators int64) Resources {
+// NewResources returns resources whose memory is told in mebibytes.
+func NewResources(milliCPU, memoryMB, accelerators int64) Resources {
 	return Resources{MilliCPU: milliCPU, MemoryBytes: memoryMB * mebibyte, Accelerators: accelerators}
 }
 
--- a/agent/evict.go
+++ b/agent/evict.go
@@ -30,7 +30,7 @@
 
 // evictWorst stops the run that disturbs most, so that its owner finds a worker that
 // bears it, or else the one that has been slowed for the longest. Without any moves batch work is late.
-func (agent *Agent) evictWorst(state *workerState, servings []interference.Serving, fills []interference.Fill, paces map[string]float64, now time.Time) {
+func (agent *Agent) evictWorst(state *workerState, servings []interference.ServingTask, fills []interference.FillTask, paces map[string]float64, now time.Time) {
 	if now.Sub(agent.paced.evictedAt) < evictEvery {
 		return
 	}
@@ -38,7 +38,7 @@
 		run := state.runs[fills[index].Task]
 		fills[index].Movable = run.evictable(now) && run.losesLittle(restartedMost) && agent.gainsByMove(run, paces[run.task])
 	}
-	if worst, found := agent.paced.model.Worst(servings, fills, paces); found {
+	if worst, found := agent.paced.model.EvictionCandidate(servings, fills, paces); found {
 		agent.evict(state, state.runs[worst], now)
 		return
 	}
--- a/agent/learned.go
+++ b/agent/learned.go
@@ -21,7 +21,7 @@
 		status.ServingImages = append(status.ServingImages, serving.Image)
 	}
 	slices.Sort(status.ServingImages)
-	borne := agent.paced.model.Bearing(servings, fills)
+	borne := agent.paced.model.SpareHeadroom(servings, fills)
 	tolerated := func(image string) int64 {
 		cores := borne.Tolerance(image)
 		if math.IsInf(cores, 1) {
@@ -30,7 +30,7 @@
 		return int64(cores / state.modelScale())
 	}
 	status.ToleratedMilliCpu = tolerated("")
-	for _, image := range agent.paced.model.Images() {
+	for _, image := range agent.paced.model.FillImages() {
 		status.Tolerances = append(status.Tolerances, &wire.Tolerance{Image: image, MilliCpu: tolerated(image)})
 	}
 }
@@ -38,7 +38,7 @@
 // learned lists what this worker's readings have taught.
 func (paced *pacing) learned() []*job.Interference {
 	var told []*job.Interference
-	for pair, known := range paced.model.Estimates() {
+	for pair, known := range paced.model.LocalEstimates() {
 		if known.Readings > 0 {
 			told = append(told, job.NewInterference(pair, known))
 		}
@@ -85,7 +85,7 @@
 	for _, known := range told {
 		pair := known.Pair()
 		paced.byAll[pair] = known.Estimate()
-		paced.shareKept(pair, paced.model.Own(pair), now)
+		paced.shareKept(pair, paced.model.LocalEstimate(pair), now)
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	paced.sharedAt = now
 	for pair := range paced.byAll {
-		paced.shareKept(pair, paced.model.Own(pair), now)
+		paced.shareKept(pair, paced.model.LocalEstimate(pair), now)
 	}
 }
 
@@ -108,7 +108,7 @@
 		return
 	}
 	weight := (all.Weight*float64(all.Readings) - own.Weight*float64(own.Readings)) / float64(others)
-	paced.model.Share(pair, interference.Estimate{Weight: weight, Readings: others}, now)
+	paced.model.MergeRemoteEstimate(pair, interference.Estimate{Weight: weight, Readings: others}, now)
 }
 
 // share takes in what other workers' readings have taught, by the word of an owner that tells
@@ -118,6 +118,6 @@
 		clear(paced.byAll)
 	}
 	for _, known := range told {
-		paced.model.Share(known.Pair(), known.Estimate(), now)
+		paced.model.MergeRemoteEstimate(known.Pair(), known.Estimate(), now)
 	}
 }
--- a/agent/pace.go
+++ b/agent/pace.go
@@ -68,21 +68,21 @@
 }
 
 // sharing returns the runs that serve and those that fill.
-func (state *workerState) sharing(now time.Time) ([]interference.Serving, []interference.Fill) {
+func (state *workerState) sharing(now time.Time) ([]interference.ServingTask, []interference.FillTask) {
 	scale := state.modelScale()
-	var servings []interference.Serving
-	var fills []interference.Fill
+	var servings []interference.ServingTask
+	var fills []interference.FillTask
 	for _, run := range state.runs {
 		demand := run.demand
 		if demand.GetTargetMs() > 0 {
-			servings = append(servings, interference.Serving{
-				Task: run.task, Image: demand.GetImage(), Tail: float64(run.figure), Target: float64(demand.GetTargetMs()),
+			servings = append(servings, interference.ServingTask{
+				Task: run.task, Image: demand.GetImage(), TailMs: float64(run.figure), TargetMs: float64(demand.GetTargetMs()),
 			})
 		}
 		if demand.GetFills() {
-			fills = append(fills, interference.Fill{
-				Task: run.task, Image: demand.GetImage(), Cores: float64(demand.GetMilliCpu()) * scale, Used: float64(run.figure) * scale,
-				Relaxed: run.relaxed(now),
+			fills = append(fills, interference.FillTask{
+				Task: run.task, Image: demand.GetImage(), Cores: float64(demand.GetMilliCpu()) * scale, UsedCores: float64(run.figure) * scale,
+				HasSlack: run.relaxed(now),
 			})
 		}
 	}
--- a/agent/preempt.go
+++ b/agent/preempt.go
@@ -53,7 +53,7 @@
 		if free.fits(wanted) {
 			break
 		}
-		free.Add(admission.Held(run.demand))
+		free.Add(admission.ReservedBy(run.demand))
 		chosen = append(chosen, run)
 	}
 	return chosen, free.fits(wanted)
@@ -91,7 +91,7 @@
 		if held[priority] == nil {
 			held[priority] = &admission.Resources{}
 		}
-		held[priority].Add(admission.Held(run.demand))
+		held[priority].Add(admission.ReservedBy(run.demand))
 	}
 	var told []*wire.Reclaimable
 	for _, priority := range slices.Sorted(maps.Keys(held)) {
--- a/agent/room.go
+++ b/agent/room.go
@@ -16,10 +16,10 @@
 
 // room returns what the worker's runs leave free.
 func (state *workerState) room() room {
-	free := room{Resources: admission.FromMessage(state.beat.MilliCPU, state.beat.MemoryMB, state.beat.Accelerators)}
+	free := room{Resources: admission.NewResources(state.beat.MilliCPU, state.beat.MemoryMB, state.beat.Accelerators)}
 	for _, run := range state.runs {
 		demand := run.demand
-		free.Take(admission.Held(demand))
+		free.Subtract(admission.ReservedBy(demand))
 		if demand.GetFills() {
 			free.fillMilliCPU += demand.GetMilliCpu() * int64(run.pace) / fullPercent
 		}
@@ -35,11 +35,13 @@
 	free := state.room()
 	for _, run := range state.runs {
 		if run.phase == phaseStopping {
-			free.Add(admission.Held(run.demand))
+			free.Add(admission.ReservedBy(run.demand))
 		}
 	}
 	return free
 }
 
 // fits reports whether there is room for a demand.
-func (free room) fits(demand *wire.Demand) bool { return free.Lacks(admission.Held(demand)) == "" }
+func (free room) fits(demand *wire.Demand) bool {
+	return free.Shortage(admission.ReservedBy(demand)) == ""
+}
--- a/candidacy/candidacy_test.go
+++ b/candidacy/candidacy_test.go
@@ -11,22 +11,22 @@
 	"ambertiller.example/ambertiller/candidacy"
 )
 
-const shards = 16
+const shardCount = 16
 
-var begin = time.Date(2026, time.March, 2, 8, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, time.March, 2, 8, 0, 0, 0, time.UTC)
 
-// agents is how many there are in a deployment of which two strong entries bear the shards, fleetAgents in one in which each
+// smallAgentCount is how many there are in a deployment of which two strong entries bear the shards, largeAgentCount in one in which each
 // strong entry bears one.
 const (
-	agents      = 60
-	fleetAgents = 800
+	smallAgentCount = 60
+	largeAgentCount = 800
 )
 
-// self is the entry that decides.
-const self = "edge-1"
+// selfName is the entry that decides.
+const selfName = "edge-1"
 
-// entriesOf returns so many strong and weak entries, of them the one that decides.
-func entriesOf(strong, weak int, with ...candidacy.Entry) []candidacy.Entry {
+// newEntries returns so many strong and weak entries, of them the one that decides.
+func newEntries(strong, weak int, with ...candidacy.Entry) []candidacy.Entry {
 	found := slices.Clone(with)
 	for number := range strong {
 		found = append(found, candidacy.Entry{Name: fmt.Sprintf("strong-%d", number), Strong: true})
@@ -37,115 +37,115 @@
 	return found
 }
 
-// look is what an entry sees at a moment.
-type look struct {
+// observation is what an entry sees at a moment.
+type observation struct {
 	after           time.Duration
 	owners, holders []candidacy.Entry
-	// seats and shards are what it then holds, stands what it then does.
-	seats, shards int
-	stands        bool
+	// heldSeats and shards are what it then holds, stands what it then does.
+	heldSeats, ownedShards int
+	isCandidate            bool
 }
 
 func TestCandidacy(t *testing.T) {
-	plenty := entriesOf(20, 0)
-	few := entriesOf(1, 7)
-	weakSelf, strongSelf := candidacy.Entry{Name: self}, candidacy.Entry{Name: self, Strong: true}
+	plenty := newEntries(20, 0)
+	few := newEntries(1, 7)
+	weakSelf, strongSelf := candidacy.Entry{Name: selfName}, candidacy.Entry{Name: selfName, Strong: true}
 	tests := map[string]struct {
 		isStrong bool
 		agents   int
-		looks    []look
+		looks    []observation
 	}{
-		"a strong one stands with its first seat": {true, fleetAgents, []look{
+		"a strong one stands with its first seat": {true, largeAgentCount, []observation{
 			{0, plenty, plenty, 0, 0, false},
 			{time.Second, plenty, plenty, 1, 0, true},
 		}},
-		"it stays for a while without one": {true, fleetAgents, []look{
+		"it stays for a while without one": {true, largeAgentCount, []observation{
 			{0, plenty, plenty, 1, 1, true},
 			{9 * time.Second, plenty, plenty, 0, 0, true},
 			{11 * time.Second, plenty, plenty, 0, 0, false},
 		}},
-		"it stays while it owns a shard of a fleet": {true, fleetAgents, []look{
+		"it stays while it owns a shard of a fleet": {true, largeAgentCount, []observation{
 			{0, plenty, plenty, 1, 1, true},
 			{time.Minute, plenty, plenty, 0, 1, true},
 		}},
-		"a strong one does not wait for its seat where owners are lost": {true, fleetAgents, []look{
+		"a strong one does not wait for its seat where owners are lost": {true, largeAgentCount, []observation{
 			{0, few, plenty, 0, 0, false},
 			{2 * time.Second, few, plenty, 0, 0, true},
 		}},
-		"one of few strong ones stands": {true, agents, []look{
-			{0, entriesOf(1, 0), entriesOf(1, 4, strongSelf), 3, 0, true},
-			{time.Minute, entriesOf(1, 0), entriesOf(1, 4, strongSelf), 3, 8, true},
+		"one of few strong ones stands": {true, smallAgentCount, []observation{
+			{0, newEntries(1, 0), newEntries(1, 4, strongSelf), 3, 0, true},
+			{time.Minute, newEntries(1, 0), newEntries(1, 4, strongSelf), 3, 8, true},
 		}},
-		"one of more strong ones than are needed leaves it to those before it": {true, agents, []look{
-			{0, plenty, entriesOf(1, 0, strongSelf), 3, 0, true},
-			{5 * time.Second, plenty, entriesOf(12, 0, strongSelf), 3, 3, true},
-			{20 * time.Second, plenty, entriesOf(12, 0, strongSelf), 3, 3, false},
+		"one of more strong ones than are needed leaves it to those before it": {true, smallAgentCount, []observation{
+			{0, plenty, newEntries(1, 0, strongSelf), 3, 0, true},
+			{5 * time.Second, plenty, newEntries(12, 0, strongSelf), 3, 3, true},
+			{20 * time.Second, plenty, newEntries(12, 0, strongSelf), 3, 3, false},
 		}},
-		"it is there where those are lost": {true, agents, []look{
-			{0, plenty, entriesOf(12, 0, strongSelf), 3, 0, false},
-			{62 * time.Second, entriesOf(1, 0), entriesOf(12, 0, strongSelf), 3, 0, false},
-			{64 * time.Second, entriesOf(1, 0), entriesOf(12, 0, strongSelf), 3, 0, true},
+		"it is there where those are lost": {true, smallAgentCount, []observation{
+			{0, plenty, newEntries(12, 0, strongSelf), 3, 0, false},
+			{62 * time.Second, newEntries(1, 0), newEntries(12, 0, strongSelf), 3, 0, false},
+			{64 * time.Second, newEntries(1, 0), newEntries(12, 0, strongSelf), 3, 0, true},
 		}},
-		"a weak one leaves it to two strong ones": {false, agents, []look{
-			{0, entriesOf(2, 0), entriesOf(2, 0), 0, 0, false},
-			{time.Hour, entriesOf(2, 0), entriesOf(2, 0), 0, 0, false},
+		"a weak one leaves it to two strong ones": {false, smallAgentCount, []observation{
+			{0, newEntries(2, 0), newEntries(2, 0), 0, 0, false},
+			{time.Hour, newEntries(2, 0), newEntries(2, 0), 0, 0, false},
 		}},
-		"a weak one lets strong ones go first": {false, agents, []look{
-			{0, entriesOf(1, 0), plenty, 0, 0, false},
-			{2 * time.Second, entriesOf(1, 0), plenty, 0, 0, false},
+		"a weak one lets strong ones go first": {false, smallAgentCount, []observation{
+			{0, newEntries(1, 0), plenty, 0, 0, false},
+			{2 * time.Second, newEntries(1, 0), plenty, 0, 0, false},
 			{4 * time.Second, plenty, plenty, 0, 0, false},
 			{time.Minute, few, plenty, 0, 0, false},
 		}},
-		"a weak one is there where owners stay few": {false, fleetAgents, []look{
+		"a weak one is there where owners stay few": {false, largeAgentCount, []observation{
 			{0, few, few, 0, 0, false},
 			{5 * time.Second, few, few, 0, 0, true},
-			{time.Minute, few, entriesOf(1, 8, weakSelf), 1, 1, true},
+			{time.Minute, few, newEntries(1, 8, weakSelf), 1, 1, true},
 		}},
-		"a weak one is there sooner where nobody is": {false, fleetAgents, []look{
-			{0, nil, entriesOf(2, 0), 0, 0, false},
-			{3 * time.Second, nil, entriesOf(2, 0), 0, 0, true},
+		"a weak one is there sooner where nobody is": {false, largeAgentCount, []observation{
+			{0, nil, newEntries(2, 0), 0, 0, false},
+			{3 * time.Second, nil, newEntries(2, 0), 0, 0, true},
 		}},
-		"a weak one that comes back is there at once": {false, fleetAgents, []look{
-			{0, few, entriesOf(1, 8, weakSelf), 1, 2, true},
+		"a weak one that comes back is there at once": {false, largeAgentCount, []observation{
+			{0, few, newEntries(1, 8, weakSelf), 1, 2, true},
 		}},
-		"a weak one leaves once strong ones are enough": {false, fleetAgents, []look{
-			{0, few, entriesOf(1, 8, weakSelf), 1, 1, true},
-			{5 * time.Second, few, entriesOf(16, 8, weakSelf), 1, 1, true},
-			{10 * time.Second, few, entriesOf(16, 8, weakSelf), 1, 1, true},
-			{time.Minute, few, entriesOf(16, 8, weakSelf), 1, 1, false},
+		"a weak one leaves once strong ones are enough": {false, largeAgentCount, []observation{
+			{0, few, newEntries(1, 8, weakSelf), 1, 1, true},
+			{5 * time.Second, few, newEntries(16, 8, weakSelf), 1, 1, true},
+			{10 * time.Second, few, newEntries(16, 8, weakSelf), 1, 1, true},
+			{time.Minute, few, newEntries(16, 8, weakSelf), 1, 1, false},
 		}},
-		"a weak one makes room for strong ones that may wait": {false, fleetAgents, []look{
-			{0, few, entriesOf(0, 15, weakSelf), 1, 1, true},
-			{5 * time.Second, few, entriesOf(3, 29, weakSelf), 1, 1, true},
-			{time.Minute, few, entriesOf(3, 29, weakSelf), 1, 1, false},
+		"a weak one makes room for strong ones that may wait": {false, largeAgentCount, []observation{
+			{0, few, newEntries(0, 15, weakSelf), 1, 1, true},
+			{5 * time.Second, few, newEntries(3, 29, weakSelf), 1, 1, true},
+			{time.Minute, few, newEntries(3, 29, weakSelf), 1, 1, false},
 		}},
-		"a weak one stays where all have a seat": {false, fleetAgents, []look{
-			{0, few, entriesOf(3, 7, weakSelf), 1, 1, true},
-			{5 * time.Second, few, entriesOf(3, 23, weakSelf), 1, 1, true},
-			{time.Hour, few, entriesOf(3, 23, weakSelf), 1, 1, true},
+		"a weak one stays where all have a seat": {false, largeAgentCount, []observation{
+			{0, few, newEntries(3, 7, weakSelf), 1, 1, true},
+			{5 * time.Second, few, newEntries(3, 23, weakSelf), 1, 1, true},
+			{time.Hour, few, newEntries(3, 23, weakSelf), 1, 1, true},
 		}},
-		"a weak one without a seat leaves": {false, fleetAgents, []look{
-			{0, few, entriesOf(0, 15, weakSelf), 0, 0, false},
-			{5 * time.Second, plenty, entriesOf(0, 32), 0, 0, false},
-			{time.Minute, plenty, entriesOf(0, 32), 0, 0, false},
+		"a weak one without a seat leaves": {false, largeAgentCount, []observation{
+			{0, few, newEntries(0, 15, weakSelf), 0, 0, false},
+			{5 * time.Second, plenty, newEntries(0, 32), 0, 0, false},
+			{time.Minute, plenty, newEntries(0, 32), 0, 0, false},
 		}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			seat := candidacy.New(candidacy.Options{Self: candidacy.Entry{Name: self, Strong: test.isStrong}, Shards: shards})
-			seat.NoteAgents(test.agents)
+			seat := candidacy.New(candidacy.Options{Self: candidacy.Entry{Name: selfName, Strong: test.isStrong}, Shards: shardCount})
+			seat.SetAgentCount(test.agents)
 			for index, seen := range test.looks {
-				now := begin.Add(seen.after)
-				if seat.LooksAtOwners(now) {
-					seat.NoteOwners(seen.owners, now)
+				now := startTime.Add(seen.after)
+				if seat.NeedsOwners(now) {
+					seat.ObserveOwners(seen.owners, now)
 				}
-				if seat.Applies() {
-					seat.NoteDealt(seen.seats)
+				if seat.WantsSeat() {
+					seat.SetHeldSeats(seen.heldSeats)
 				}
-				if seat.LooksAtHolders(now) {
-					seat.NoteHolders(seen.holders, now)
+				if seat.NeedsSeatHolders(now) {
+					seat.ObserveSeatHolders(seen.holders, now)
 				}
-				if got := seat.Stands(seen.shards, now); got != seen.stands {
+				if got := seat.Decide(seen.ownedShards, now); got != seen.isCandidate {
 					t.Errorf("look %d: stands %v", index, got)
 				}
 			}
@@ -153,20 +153,20 @@
 	}
 }
 
-// dealt is a group of the store that deals parts evenly over its members.
-type dealt struct {
-	parts   int
-	members []int
+// partitionGroup is a group of the store that deals parts evenly over its members.
+type partitionGroup struct {
+	partitions int
+	members    []int
 }
 
-// holds counts the parts of a member.
-func (group *dealt) holds(entry int) int {
+// partitionsOf counts the parts of a member.
+func (group *partitionGroup) partitionsOf(entry int) int {
 	at := slices.Index(group.members, entry)
 	if at < 0 {
 		return 0
 	}
-	share := group.parts / len(group.members)
-	if at < group.parts%len(group.members) {
+	share := group.partitions / len(group.members)
+	if at < group.partitions%len(group.members) {
 		share++
 	}
 	return share
@@ -176,15 +176,15 @@
 type fleet struct {
 	strong        int
 	agents        int
-	entries       []*candidacy.Candidacy
-	away          []bool
-	seats, shards dealt
+	candidacies   []*candidacy.Candidacy
+	down          []bool
+	seats, owners partitionGroup
 }
 
 func newFleet(strong, weak, agents int) *fleet {
-	made := &fleet{strong: strong, agents: agents, away: make([]bool, strong+weak), seats: dealt{parts: candidacy.Seats(shards)}, shards: dealt{parts: shards}}
+	made := &fleet{strong: strong, agents: agents, down: make([]bool, strong+weak), seats: partitionGroup{partitions: candidacy.SeatCount(shardCount)}, owners: partitionGroup{partitions: shardCount}}
 	for number := range strong + weak {
-		made.entries = append(made.entries, made.begin(number))
+		made.candidacies = append(made.candidacies, made.newCandidacy(number))
 	}
 	return made
 }
@@ -193,15 +193,15 @@
 	return candidacy.Entry{Name: fmt.Sprintf("edge-%d", number), Strong: number < made.strong}
 }
 
-func (made *fleet) begin(number int) *candidacy.Candidacy {
-	return candidacy.New(candidacy.Options{Self: made.entry(number), Shards: shards})
+func (made *fleet) newCandidacy(number int) *candidacy.Candidacy {
+	return candidacy.New(candidacy.Options{Self: made.entry(number), Shards: shardCount})
 }
 
 // holders returns who holds some of what is dealt.
-func (made *fleet) holders(group *dealt) []candidacy.Entry {
+func (made *fleet) holders(group *partitionGroup) []candidacy.Entry {
 	var holders []candidacy.Entry
 	for _, number := range group.members {
-		if group.holds(number) > 0 {
+		if group.partitionsOf(number) > 0 {
 			holders = append(holders, made.entry(number))
 		}
 	}
@@ -211,41 +211,41 @@
 // step has all entries that are there look and decide, and returns how many stand.
 func (made *fleet) step(now time.Time) int {
 	var applying, standing []int
-	owners, holders := made.holders(&made.shards), made.holders(&made.seats)
-	for number, entry := range made.entries {
-		if made.away[number] {
+	owners, holders := made.holders(&made.owners), made.holders(&made.seats)
+	for number, entry := range made.candidacies {
+		if made.down[number] {
 			continue
 		}
-		if entry.LooksAtOwners(now) {
-			entry.NoteOwners(owners, now)
+		if entry.NeedsOwners(now) {
+			entry.ObserveOwners(owners, now)
 		}
-		if entry.LooksAtHolders(now) {
-			entry.NoteHolders(holders, now)
+		if entry.NeedsSeatHolders(now) {
+			entry.ObserveSeatHolders(holders, now)
 		}
-		if entry.CountsAgents() {
-			entry.NoteAgents(made.agents)
+		if entry.NeedsAgentCount() {
+			entry.SetAgentCount(made.agents)
 		}
-		if entry.Applies() {
+		if entry.WantsSeat() {
 			applying = append(applying, number)
 		}
 	}
 	made.seats.members = applying
-	for number, entry := range made.entries {
-		if made.away[number] {
+	for number, entry := range made.candidacies {
+		if made.down[number] {
 			continue
 		}
-		entry.NoteDealt(made.seats.holds(number))
-		if entry.Stands(made.shards.holds(number), now) {
+		entry.SetHeldSeats(made.seats.partitionsOf(number))
+		if entry.Decide(made.owners.partitionsOf(number), now) {
 			standing = append(standing, number)
 		}
 	}
-	made.shards.members = standing
+	made.owners.members = standing
 	return len(standing)
 }
 
-// TestCandidatesDoNotGrowWithTheFleet counts the connections that candidates keep, one to each agent, in a fleet and one of
+// TestCandidateCountIsBounded counts the connections that candidates keep, one to each agent, in a fleet and one of
 // twice the size: they grow with the agents, not with the entries too.
-func TestCandidatesDoNotGrowWithTheFleet(t *testing.T) {
+func TestCandidateCountIsBounded(t *testing.T) {
 	tests := map[string]struct{ strong, weak, agents int }{
 		"a fleet":                     {50, 134, 800},
 		"one of twice the size":       {100, 268, 1600},
@@ -258,9 +258,9 @@
 			made := newFleet(test.strong, test.weak, test.agents)
 			standing := 0
 			for second := range 90 {
-				standing = made.step(begin.Add(time.Duration(second) * time.Second))
+				standing = made.step(startTime.Add(time.Duration(second) * time.Second))
 			}
-			if most := candidacy.Seats(shards) + shards; standing < 2 || standing > most {
+			if most := candidacy.SeatCount(shardCount) + shardCount; standing < 2 || standing > most {
 				t.Errorf("%d of %d entries stand, want %d at most", standing, test.strong+test.weak, most)
 			}
 			t.Logf("%d connections of %d", standing*test.agents, (test.strong+test.weak)*test.agents)
@@ -273,37 +273,37 @@
 func TestThereAreCandidatesWhateverIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		made := newFleet(rapid.IntRange(0, 40).Draw(t, "strong"), rapid.IntRange(1, 80).Draw(t, "weak"), rapid.IntRange(1, 2000).Draw(t, "agents"))
-		now := begin
+		now := startTime
 		for range rapid.IntRange(1, 6).Draw(t, "turns") {
-			made.lose(t, rapid.IntRange(0, 100).Draw(t, "share lost"))
+			made.redrawDown(t, rapid.IntRange(0, 100).Draw(t, "share lost"))
 			standing := 0
 			for range 7 {
 				now = now.Add(time.Second)
 				standing = made.step(now)
 			}
-			if standing == 0 && slices.Contains(made.away, false) {
-				t.Fatalf("nobody stands of %d strong and %d weak entries: away %v", made.strong, len(made.away)-made.strong, made.away)
+			if standing == 0 && slices.Contains(made.down, false) {
+				t.Fatalf("nobody stands of %d strong and %d weak entries: away %v", made.strong, len(made.down)-made.strong, made.down)
 			}
 		}
-		made.lose(t, 0)
+		made.redrawDown(t, 0)
 		standing := 0
 		for range 120 {
 			now = now.Add(time.Second)
 			standing = made.step(now)
 		}
-		if most := candidacy.Seats(shards) + shards; standing == 0 || standing > most {
+		if most := candidacy.SeatCount(shardCount) + shardCount; standing == 0 || standing > most {
 			t.Fatalf("%d stand, want %d at most", standing, most)
 		}
 	})
 }
 
-// lose takes a share of the entries away and brings the others back. What comes back is another process.
-func (made *fleet) lose(t *rapid.T, share int) {
-	for number := range made.away {
+// redrawDown takes a share of the entries away and brings the others back. What comes back is another process.
+func (made *fleet) redrawDown(t *rapid.T, share int) {
+	for number := range made.down {
 		lost := rapid.IntRange(0, 99).Draw(t, "luck") < share
-		if made.away[number] && !lost {
-			made.entries[number] = made.begin(number)
+		if made.down[number] && !lost {
+			made.candidacies[number] = made.newCandidacy(number)
 		}
-		made.away[number] = lost
+		made.down[number] = lost
 	}
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -97,7 +97,7 @@
 	pool := rpc.NewPool(nil)
 	owning := owner.New(owner.Options{
 		Name: settings.Name(), Address: address, FailureDomain: settings.FailureDomain(), Shards: settings.Parts(),
-		Strong: candidacy.Strong(settings.Cores()),
+		Strong: candidacy.IsStrong(settings.Cores()),
 		Grant:  min(grantMost, settings.LeaseMost()), Silent: max(ownerSilent, settings.MembershipLeast()), StatusKept: settings.StatusKept(),
 		Store: made.store, Advisor: advisor(settings), Dial: rpc.DialOne, Clock: made.clock, Suspended: made.clocks.Suspended,
 		Events: made.events, Meters: made.metering.Provider(),
--- a/interference/bench_test.go
+++ b/interference/bench_test.go
@@ -8,24 +8,24 @@
 	"ambertiller.example/ambertiller/interference"
 )
 
-// BenchmarkReading is one reading of a worker with five serving tasks of one image,
+// BenchmarkObserve is one reading of a worker with five serving tasks of one image,
 // with the paces that follow, beside filling tasks of so many images.
-func BenchmarkReading(b *testing.B) {
+func BenchmarkObserve(b *testing.B) {
 	for _, images := range []int{9, 18, 36} {
 		b.Run(fmt.Sprintf("images=%d", images), func(b *testing.B) {
 			model := interference.New(4 * time.Second)
-			var servings []interference.Serving
+			var servings []interference.ServingTask
 			for index := range 5 {
-				servings = append(servings, interference.Serving{Task: fmt.Sprint("s", index), Image: "s", Tail: 20, Target: 45})
+				servings = append(servings, interference.ServingTask{Task: fmt.Sprint("s", index), Image: "s", TailMs: 20, TargetMs: 45})
 			}
-			var fills []interference.Fill
+			var fills []interference.FillTask
 			for index := range images {
-				fills = append(fills, interference.Fill{Task: fmt.Sprint("f", index), Image: fmt.Sprint("f", index), Cores: 2, Used: 2})
+				fills = append(fills, interference.FillTask{Task: fmt.Sprint("f", index), Image: fmt.Sprint("f", index), Cores: 2, UsedCores: 2})
 			}
 			reading := 0
 			for b.Loop() {
 				reading++
-				model.Observe(servings, fills, now.Add(time.Duration(reading)*400*time.Millisecond))
+				model.Observe(servings, fills, startTime.Add(time.Duration(reading)*400*time.Millisecond))
 				model.Paces(servings, fills)
 			}
 		})
--- a/interference/interference.go
+++ b/interference/interference.go
@@ -50,52 +50,52 @@
 // Pair names a serving and a filling image.
 type Pair struct{ Serving, Fill string }
 
-// Serving is a task that serves, with its newest reading.
-type Serving struct {
-	Task, Image  string
-	Tail, Target float64
+// ServingTask is a task that serves, with its newest reading.
+type ServingTask struct {
+	Task, Image      string
+	TailMs, TargetMs float64
 }
 
 // headroom returns the target divided by the tail.
-func (serving Serving) headroom() float64 { return serving.Target / serving.Tail }
+func (serving ServingTask) headroom() float64 { return serving.TargetMs / serving.TailMs }
 
-// read reports whether the worker has told a tail of the task yet.
-func (serving Serving) read() bool { return serving.Tail > 0 && serving.Target > 0 }
+// hasReading reports whether the worker has told a tail of the task yet.
+func (serving ServingTask) hasReading() bool { return serving.TailMs > 0 && serving.TargetMs > 0 }
 
-// Fill is a task that fills: the cores that it uses at full pace and those that it
+// FillTask is a task that fills: the cores that it uses at full pace and those that it
 // used by its newest reading. A movable one goes on elsewhere from where it is
 // stopped.
-type Fill struct {
-	Task, Image string
-	Cores, Used float64
-	Movable     bool
-	// Relaxed is set for one whose job has time to spare.
-	Relaxed bool
+type FillTask struct {
+	Task, Image      string
+	Cores, UsedCores float64
+	Movable          bool
+	// HasSlack is set for one whose job has time to spare.
+	HasSlack bool
 }
 
 // Model learns from the readings of one worker.
 type Model struct {
-	allowed time.Duration // how long a target may be missed on end
-	images  map[string]*imageState
-	tasks   map[string]*servingState
-	// present holds the filling tasks of the last reading.
-	present map[string]bool
+	maxMiss      time.Duration // how long a target may be missed on end
+	images       map[string]*imageState
+	servingTasks map[string]*servingState
+	// presentFills holds the filling tasks of the last reading.
+	presentFills map[string]bool
 }
 
 // New returns a model that has learned nothing. A target may be missed for the
 // allowed time on end.
 func New(allowed time.Duration) *Model {
 	return &Model{
-		allowed: allowed,
-		images:  map[string]*imageState{}, tasks: map[string]*servingState{}, present: map[string]bool{},
+		maxMiss: allowed,
+		images:  map[string]*imageState{}, servingTasks: map[string]*servingState{}, presentFills: map[string]bool{},
 	}
 }
 
-// Images returns the filling images that the model knows.
-func (model *Model) Images() []string {
+// FillImages returns the filling images that the model knows.
+func (model *Model) FillImages() []string {
 	known := map[string]bool{}
 	for _, state := range model.images {
-		for fill := range state.own {
+		for fill := range state.evidence {
 			known[fill] = true
 		}
 	}
--- a/interference/relaxed_test.go
+++ b/interference/relaxed_test.go
@@ -7,18 +7,18 @@
 	"ambertiller.example/ambertiller/interference"
 )
 
-// TestRelaxedYieldEarlier: beside a serving task that has a little to spare, a task whose
+// TestTasksWithSlackAreThrottledFirst: beside a serving task that has a little to spare, a task whose
 // job has time goes slower than one whose job has none.
-func TestRelaxedYieldEarlier(t *testing.T) {
+func TestTasksWithSlackAreThrottledFirst(t *testing.T) {
 	pace := func(relaxed bool) float64 {
-		model := learned(2)
-		fills := []interference.Fill{{Task: "f", Image: "loud", Cores: 2, Relaxed: relaxed}}
-		var servings []interference.Serving
+		model := newTrainedModel(2)
+		fills := []interference.FillTask{{Task: "f", Image: "loud", Cores: 2, HasSlack: relaxed}}
+		var servings []interference.ServingTask
 		for reading := range 8 {
-			headroom := 1.9 - truth["loud"]*fills[0].Used
-			servings = []interference.Serving{{Task: "new", Image: "s", Tail: servingTarget / headroom, Target: servingTarget}}
-			model.Observe(servings, fills, now.Add(time.Hour+time.Duration(reading)*500*time.Millisecond))
-			fills[0].Used = 2 * model.Paces(servings, fills)["f"]
+			headroom := 1.9 - trueWeights["loud"]*fills[0].UsedCores
+			servings = []interference.ServingTask{{Task: "new", Image: "s", TailMs: servingTargetMs / headroom, TargetMs: servingTargetMs}}
+			model.Observe(servings, fills, startTime.Add(time.Hour+time.Duration(reading)*500*time.Millisecond))
+			fills[0].UsedCores = 2 * model.Paces(servings, fills)["f"]
 		}
 		return model.Paces(servings, fills)["f"]
 	}
--- a/interference/tolerance_test.go
+++ b/interference/tolerance_test.go
@@ -8,9 +8,9 @@
 	"ambertiller.example/ambertiller/interference"
 )
 
-// TestToleranceFollowsTheLoad: what a serving task bears is judged by where its load is
+// TestToleranceFollowsLoadTrend: what a serving task bears is judged by where its load is
 // going, not by the worst that it has been.
-func TestToleranceFollowsTheLoad(t *testing.T) {
+func TestToleranceFollowsLoadTrend(t *testing.T) {
 	const (
 		period = 14 * time.Second
 		weight = 0.4
@@ -34,12 +34,12 @@
 		t.Run(name, func(t *testing.T) {
 			model := interference.New(4 * time.Second)
 			for range 20 {
-				model.Share(interference.Pair{Serving: "s", Fill: "loud"}, interference.Estimate{Weight: weight, Readings: 60}, now)
+				model.MergeRemoteEstimate(interference.Pair{Serving: "s", Fill: "loud"}, interference.Estimate{Weight: weight, Readings: 60}, startTime)
 			}
-			var servings []interference.Serving
+			var servings []interference.ServingTask
 			for at := time.Duration(0); at <= test.until; at += every {
-				servings = []interference.Serving{{Task: "s", Image: "s", Tail: servingTarget / level(at), Target: servingTarget}}
-				model.Observe(servings, nil, now.Add(at))
+				servings = []interference.ServingTask{{Task: "s", Image: "s", TailMs: servingTargetMs / level(at), TargetMs: servingTargetMs}}
+				model.Observe(servings, nil, startTime.Add(at))
 			}
 			if got := model.Tolerance(servings, nil, "loud"); got < test.least || got > test.most {
 				t.Errorf("%.1f cores are tolerated, want %.1f to %.1f", got, test.least, test.most)
--- a/owner/candidate.go
+++ b/owner/candidate.go
@@ -60,7 +60,7 @@
 func newCandidate(view *agentView) *candidate {
 	status := view.status()
 	worker := &candidate{
-		view: view, free: admission.FromMessage(status.GetFreeMilliCpu(), status.GetFreeMemoryMb(), status.GetFreeAccelerators()),
+		view: view, free: admission.NewResources(status.GetFreeMilliCpu(), status.GetFreeMemoryMb(), status.GetFreeAccelerators()),
 		fillMilliCPU: status.GetFillMilliCpu(), servingMilliCPU: status.GetServingMilliCpu(),
 		serving: slices.Clone(status.GetServingImages()),
 		trial:   view.failures >= failuresBeforeDoubt,
@@ -82,7 +82,7 @@
 
 // take takes what a start needs from what is free.
 func (worker *candidate) take(demand *wire.Demand) {
-	worker.free.Take(admission.Held(demand))
+	worker.free.Subtract(admission.ReservedBy(demand))
 	if demand.GetFills() {
 		worker.fillMilliCPU += demand.GetMilliCpu()
 		worker.addedFill += demand.GetMilliCpu()
@@ -127,7 +127,7 @@
 	if found := worker.allows(task); found != unobstructed {
 		return found
 	}
-	if lacking := worker.free.Lacks(admission.Held(spec)); lacking != "" {
+	if lacking := worker.free.Shortage(admission.ReservedBy(spec)); lacking != "" {
 		return obstacle(lacking)
 	}
 	switch {
@@ -152,9 +152,9 @@
 
 // fitsTwice reports whether the worker has what a task holds twice over.
 func (worker *candidate) fitsTwice(task *job.Task) bool {
-	held := admission.Held(task.Spec())
+	held := admission.ReservedBy(task.Spec())
 	held.Add(held)
-	return worker.free.Lacks(held) == ""
+	return worker.free.Shortage(held) == ""
 }
 
 // rankFor orders workers for an image, or for what else is placed, in the same way at each
--- a/owner/candidates_test.go
+++ b/owner/candidates_test.go
@@ -99,7 +99,7 @@
 			made.pass(14 * time.Second)
 			views, shards := made.views()
 			// Who owns a shard stays where its seat has been dealt to another entry.
-			if most := (candidacy.Seats(8) + 8) * agents; views > most || views < 2*agents {
+			if most := (candidacy.SeatCount(8) + 8) * agents; views > most || views < 2*agents {
 				t.Errorf("%d entries look at %d agents, want %d at most", test.strong+test.weak, views, most)
 			}
 			if shards != 8 {
--- a/owner/preempt.go
+++ b/owner/preempt.go
@@ -84,7 +84,7 @@
 	freed := *worker
 	for _, known := range worker.view.status().GetReclaimable() {
 		if known.GetPriority() > task.Job().Submission().GetPriority() {
-			freed.free.Add(admission.FromMessage(known.GetMilliCpu(), known.GetMemoryMb(), known.GetAccelerators()))
+			freed.free.Add(admission.NewResources(known.GetMilliCpu(), known.GetMemoryMb(), known.GetAccelerators()))
 		}
 	}
 	return freed.fits(task)
--- a/owner/standing.go
+++ b/owner/standing.go
@@ -54,7 +54,7 @@
 			return
 		}
 		// Naming a new generation at once hands over what is no longer held.
-		named := generation == heard || !seat.Applies()
+		named := generation == heard || !seat.WantsSeat()
 		heard = generation
 		if named {
 			owner.sleep(ctx, applyEvery)
@@ -65,7 +65,7 @@
 // keepSeat asks for a seat or leaves it, as the candidacy says. It returns the generation that the store named last, 0
 // once the entry has left.
 func (owner *Owner) keepSeat(ctx context.Context, seat *candidacy.Candidacy, heard int64) (int64, error) {
-	if seat.Applies() {
+	if seat.WantsSeat() {
 		return owner.applyForSeat(ctx, seat, heard)
 	}
 	if heard == 0 {
@@ -79,18 +79,18 @@
 
 // look finds out what the candidacy needs to know.
 func (owner *Owner) look(ctx context.Context, seat *candidacy.Candidacy) {
-	if seat.LooksAtOwners(owner.options.Clock.Now()) {
-		owner.lookAt(ctx, job.OwnersGroup, seat.NoteOwners)
+	if seat.NeedsOwners(owner.options.Clock.Now()) {
+		owner.lookAt(ctx, job.OwnersGroup, seat.ObserveOwners)
 	}
-	if seat.CountsAgents() {
+	if seat.NeedsAgentCount() {
 		owner.countAgents(ctx, seat)
 	}
 	owner.lookAtHolders(ctx, seat)
 }
 
 func (owner *Owner) lookAtHolders(ctx context.Context, seat *candidacy.Candidacy) {
-	if seat.LooksAtHolders(owner.options.Clock.Now()) {
-		owner.lookAt(ctx, job.SeatsGroup, seat.NoteHolders)
+	if seat.NeedsSeatHolders(owner.options.Clock.Now()) {
+		owner.lookAt(ctx, job.SeatsGroup, seat.ObserveSeatHolders)
 	}
 }
 
@@ -123,7 +123,7 @@
 		return
 	}
 	if count > 0 {
-		seat.NoteAgents(count)
+		seat.SetAgentCount(count)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
@@ -136,7 +136,7 @@
 		}
 		count += len(tail.Records)
 	}
-	seat.NoteAgents(count)
+	seat.SetAgentCount(count)
 }
 
 // applyForSeat asks for a seat, or stays in it. It returns the generation that the store names.
@@ -148,14 +148,14 @@
 	if err != nil {
 		return heard, err
 	}
-	seat.NoteDealt(len(deal.Parts))
+	seat.SetHeldSeats(len(deal.Parts))
 	return deal.Generation, nil
 }
 
 // stand begins or ends to stand where the candidacy says so. It reports false once the owner has ended.
 func (owner *Owner) stand(ctx context.Context, seat *candidacy.Candidacy) bool {
 	stands := false
-	if !owner.decisions.Ask(ctx, func(now time.Time) { stands = seat.Stands(len(owner.shards), now) }) {
+	if !owner.decisions.Ask(ctx, func(now time.Time) { stands = seat.Decide(len(owner.shards), now) }) {
 		return false
 	}
 	switch {
