--- a/gateway/configure.go
+++ b/gateway/configure.go
@@ -24,7 +24,7 @@
 			pause(ctx, gateway.options.Clock, operatorPause)
 			continue
 		}
-		gateway.options.Owner.NoteEvacuations(news.Evacuations, news.AsOf)
+		gateway.options.Owner.UpdateEvacuations(news.Evacuations, news.AsOf)
 		for _, record := range news.Records {
 			if record.Key == platform.ConfigurationKey {
 				gateway.configure(ctx, record.Value)
--- a/owner/advice_test.go
+++ b/owner/advice_test.go
@@ -9,58 +9,58 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// terms are those of the service that is asked for advice.
-func terms() *job.Advice { return &job.Advice{DecideMs: 100, EachMs: 10, ValidMs: 3000} }
+// adviceTiming are those of the service that is asked for advice.
+func adviceTiming() *job.Advice { return &job.Advice{DecideMs: 100, EachMs: 10, ValidMs: 3000} }
 
-// TestAdvisedQueueStartsOnlyWithATicket: without the service's word no worker may
+// TestStartsWithAdviceNeedTicket: without the service's word no worker may
 // run the step.
-func TestAdvisedQueueStartsOnlyWithATicket(t *testing.T) {
-	made := newBench(t)
-	made.submitChanged(func(handed *job.Submission) { handed.Advice = terms() })
+func TestStartsWithAdviceNeedTicket(t *testing.T) {
+	made := newHarness(t)
+	made.submitWith(func(handed *job.Submission) { handed.Advice = adviceTiming() })
 	made.attach()
 	made.step()
-	if len(made.view.runs) != 0 {
+	if len(made.agent.runs) != 0 {
 		t.Fatal("placed without a ticket")
 	}
 	now := made.clock.Now()
-	made.owner.advised.steps[jobID+".0.0"] = &stepAdvice{tickets: map[incarnation.ID]ticket{incarnation.New(life, 0): {text: "c81e", until: now.Add(3 * time.Second)}}, until: now.Add(3 * time.Second)}
-	made.owner.lookout.noteAll()
+	made.owner.advised.steps[jobID+".0.0"] = &stepAdvice{tickets: map[incarnation.ID]ticket{incarnation.New(workerID, 0): {token: "c81e", expiresAt: now.Add(3 * time.Second)}}, expiresAt: now.Add(3 * time.Second)}
+	made.owner.lookout.addAll()
 	made.step()
-	made.settle()
+	made.awaitWrites()
 	made.step()
-	orders := starts(made.sent())
+	orders := startOrders(made.takeSent())
 	if len(orders) != 1 || orders[0].GetTicket() != "c81e" {
 		t.Errorf("ordered %v", orders)
 	}
 }
 
-// TestQuestionsThatCannotBeAsked: a step that was forgotten while its question waited,
+// TestUnansweredAdviceRequestsDoNotBlockQueue: a step that was forgotten while its question waited,
 // or that has no worker to ask about, does not hold up the questions behind it.
-func TestQuestionsThatCannotBeAsked(t *testing.T) {
-	made := newBench(t)
+func TestUnansweredAdviceRequestsDoNotBlockQueue(t *testing.T) {
+	made := newHarness(t)
 	made.attach()
 	now := made.clock.Now()
 	made.owner.options.Advisor = platform.NewAdvisor("127.0.0.1:1", platform.Transport())
-	made.owner.advised.steps["no worker"] = &stepAdvice{terms: terms(), service: "another", waiting: true}
-	made.owner.advised.steps["last"] = &stepAdvice{terms: terms(), service: "verbale", waiting: true}
+	made.owner.advised.steps["no worker"] = &stepAdvice{timing: adviceTiming(), service: "another", pending: true}
+	made.owner.advised.steps["last"] = &stepAdvice{timing: adviceTiming(), service: "verbale", pending: true}
 	made.owner.advised.queue = []string{"forgotten", "no worker", "last"}
-	made.owner.askNext(now)
-	if !made.owner.advised.asking || made.owner.advised.steps["last"].askedAt != now {
+	made.owner.requestNextAdvice(now)
+	if !made.owner.advised.inFlight || made.owner.advised.steps["last"].queriedAt != now {
 		t.Error("the last question was not asked")
 	}
-	if made.owner.advised.steps["no worker"].waiting {
+	if made.owner.advised.steps["no worker"].pending {
 		t.Error("a step without workers to ask about goes on waiting")
 	}
 }
 
-// TestOldAdviceIsForgotten: steps are not kept for ever.
-func TestOldAdviceIsForgotten(t *testing.T) {
-	made := newBench(t)
+// TestOldAdviceExpires: steps are not kept for ever.
+func TestOldAdviceExpires(t *testing.T) {
+	made := newHarness(t)
 	now := made.clock.Now()
-	made.owner.advised.steps["old"] = &stepAdvice{askedAt: now.Add(-2 * adviceKept)}
-	made.owner.advised.steps["asked for"] = &stepAdvice{askedAt: now.Add(-2 * adviceKept), waiting: true}
-	made.owner.advised.steps["new"] = &stepAdvice{askedAt: now}
-	made.owner.forgetAdvice(now)
+	made.owner.advised.steps["old"] = &stepAdvice{queriedAt: now.Add(-2 * adviceRetention)}
+	made.owner.advised.steps["asked for"] = &stepAdvice{queriedAt: now.Add(-2 * adviceRetention), pending: true}
+	made.owner.advised.steps["new"] = &stepAdvice{queriedAt: now}
+	made.owner.expireAdvice(now)
 	if len(made.owner.advised.steps) != 2 || made.owner.advised.steps["old"] != nil {
 		t.Errorf("kept %v", made.owner.advised.steps)
 	}
--- a/owner/again_test.go
+++ b/owner/again_test.go
@@ -21,20 +21,20 @@
 
 // bornWorker is the status of a ready worker on which nothing runs.
 func bornWorker(born int64) *wire.WorkerStatus {
-	status := emptyWorker()
+	status := idleWorkerStatus()
 	status.Born = born
 	return status
 }
 
 // kept is a run of the job on a life of a worker, as an owner before left it in the store.
-func (made *bench) kept(born ...int64) *job.Job {
+func (made *harness) kept(born ...int64) *job.Job {
 	made.t.Helper()
 	of := made.submit()
-	made.owner.noteProgress(made.held, record(made.t, jobID, &job.Progress{
-		Id: jobID, State: job.State_STATE_RUNNING, Workers: []string{life}, Agents: []string{agentAt}, Born: born,
+	made.owner.noteProgress(made.shard, newRecord(made.t, jobID, &job.Progress{
+		Id: jobID, State: job.State_STATE_RUNNING, Workers: []string{workerID}, Agents: []string{agentAddress}, Born: born,
 		Tasks: []*job.TaskProgress{{Attempt: 1, State: job.TaskState_TASK_STARTED, Worker: 1}},
 	}), made.clock.Now())
-	made.owner.adoptRuns(made.held, made.clock.Now())
+	made.owner.adoptRuns(made.shard, made.clock.Now())
 	return of
 }
 
@@ -45,15 +45,15 @@
 }
 
 // listed is what an agent says of the first run of the task.
-func listed() []*wire.RunStatus { return []*wire.RunStatus{{Task: taskOne, Attempt: 1}} }
+func listed() []*wire.RunStatus { return []*wire.RunStatus{{Task: firstTask, Attempt: 1}} }
 
 // TestEndOfAnEarlierLife: that a life has ended says nothing about a run on the next one, nor does an id
 // alone, which an earlier build wrote of a life that it could not tell from others.
 func TestEndOfAnEarlierLife(t *testing.T) {
 	over := func(born int64) *job.AgentRecord {
-		return &job.AgentRecord{Name: "side-1", Address: agentAt, Over: []*job.Incarnation{{Id: life, Born: born}}}
+		return &job.AgentRecord{Name: "side-1", Address: agentAddress, Over: []*job.Incarnation{{Id: workerID, Born: born}}}
 	}
-	byID := &job.AgentRecord{Name: "side-1", Address: agentAt, Ended: []string{life}}
+	byID := &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}}
 	tests := map[string]struct {
 		born   []int64 // of the life that the run is on
 		ended  *job.AgentRecord
@@ -68,9 +68,9 @@
 	for name, test := range tests {
 		for when, before := range map[string]bool{", read before the shard": true, ", read after it": false} {
 			t.Run(name+when, func(t *testing.T) {
-				made := newBench(t)
+				made := newHarness(t)
 				read := func() {
-					made.owner.noteAgents(platform.Tail{Records: []platform.Record{record(t, "side-1", test.ended)}}, made.clock.Now())
+					made.owner.noteAgents(platform.Tail{Records: []platform.Record{newRecord(t, "side-1", test.ended)}}, made.clock.Now())
 				}
 				if before {
 					read()
@@ -105,13 +105,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
+			made := newHarness(t)
 			of := made.kept(test.born...)
 			made.attach()
 			for range 2 {
-				made.hear(&wire.AgentMessage{Status: bornWorker(test.status), Complete: true, Runs: test.runs})
+				made.receive(&wire.AgentMessage{Status: bornWorker(test.status), Complete: true, Runs: test.runs})
 				made.step()
-				made.sent()
+				made.takeSent()
 			}
 			if goesOn(of) != test.goesOn {
 				t.Errorf("goes on: %v", goesOn(of))
@@ -123,28 +123,28 @@
 // TestOrdersNameTheLife: a start, its end and the word that the end is in the store name the life that they are
 // about, and so does the record of the start.
 func TestOrdersNameTheLife(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	of := made.submit()
 	made.attach()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond)})
+	made.receive(&wire.AgentMessage{Status: bornWorker(bornSecond)})
 	made.step()
-	made.settle()
+	made.awaitWrites()
 	made.step()
-	orders := starts(made.sent())
+	orders := startOrders(made.takeSent())
 	if len(orders) != 1 || orders[0].GetBorn() != bornSecond {
 		t.Fatalf("ordered %v", orders)
 	}
 	if kept := of.Progress(); len(kept.GetBorn()) != 1 || kept.GetBorn()[0] != bornSecond {
 		t.Errorf("kept %v", kept)
 	}
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond), Ends: []*wire.RunEnd{
-		{Worker: life, Born: bornSecond, Number: 7, Task: taskOne, Attempt: 1, Reason: wire.EndReason_END_DONE},
+	made.receive(&wire.AgentMessage{Status: bornWorker(bornSecond), Ends: []*wire.RunEnd{
+		{Worker: workerID, Born: bornSecond, Number: 7, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE},
 	}})
 	made.step()
-	made.settle()
+	made.awaitWrites()
 	made.step()
 	var seen []*wire.EndSeen
-	for _, message := range made.sent() {
+	for _, message := range made.takeSent() {
 		seen = append(seen, message.GetSeen()...)
 	}
 	if len(seen) != 1 || seen[0].GetBorn() != bornSecond || seen[0].GetNumber() != 7 {
@@ -154,15 +154,15 @@
 
 // TestPlaceThatStartsAgainBeforeTheOrder: a run that was placed on one life is not ordered of the next one.
 func TestPlaceThatStartsAgainBeforeTheOrder(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	made.submit()
 	made.attach()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornFirst)})
+	made.receive(&wire.AgentMessage{Status: bornWorker(bornFirst)})
 	made.step()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond)})
-	made.settle()
-	made.owner.tell(made.view, made.clock.Now())
-	for _, order := range starts(made.sent()) {
+	made.receive(&wire.AgentMessage{Status: bornWorker(bornSecond)})
+	made.awaitWrites()
+	made.owner.tell(made.agent, made.clock.Now())
+	for _, order := range startOrders(made.takeSent()) {
 		if order.GetBorn() != bornSecond {
 			t.Errorf("ordered %v of another life", order)
 		}
@@ -171,39 +171,39 @@
 
 // TestDoubtEndsWithTheLife: what failed on one life of a worker says nothing of the next one.
 func TestDoubtEndsWithTheLife(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	made.attach()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornFirst)})
-	made.view.failures, made.view.avoidUntil = failuresBeforeDoubt, made.clock.Now().Add(time.Minute)
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond)})
-	if made.view.failures != 0 || !made.view.avoidUntil.IsZero() {
-		t.Errorf("%d failures, avoided until %v", made.view.failures, made.view.avoidUntil)
+	made.receive(&wire.AgentMessage{Status: bornWorker(bornFirst)})
+	made.agent.failures, made.agent.avoidUntil = failuresBeforeDoubt, made.clock.Now().Add(time.Minute)
+	made.receive(&wire.AgentMessage{Status: bornWorker(bornSecond)})
+	if made.agent.failures != 0 || !made.agent.avoidUntil.IsZero() {
+		t.Errorf("%d failures, avoided until %v", made.agent.failures, made.agent.avoidUntil)
 	}
 }
 
 // TestTicketHoldsForOneLife: the next life of a worker is asked about anew.
 func TestTicketHoldsForOneLife(t *testing.T) {
-	made := newBench(t)
-	of := made.submitChanged(func(handed *job.Submission) { handed.Advice = &job.Advice{ValidMs: 60_000} })
+	made := newHarness(t)
+	of := made.submitWith(func(handed *job.Submission) { handed.Advice = &job.Advice{ValidMs: 60_000} })
 	made.attach()
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornFirst)})
+	made.receive(&wire.AgentMessage{Status: bornWorker(bornFirst)})
 	task, now := of.Tasks()[0], made.clock.Now()
-	known := &stepAdvice{terms: of.Submission().GetAdvice(), service: "verbale"}
+	known := &stepAdvice{timing: of.Submission().GetAdvice(), service: "verbale"}
 	name := stepName(task)
 	made.owner.advised.steps[name] = known
-	asked := made.owner.workersToAsk(known)
+	asked := made.owner.workersToQuery(known)
 	if len(asked) != 1 {
 		t.Fatalf("asks about %v", asked)
 	}
-	made.owner.noteAdvice(name, known, asked, platform.Advice{Tickets: map[string]string{life: "t-1"}, Valid: time.Minute}, nil, now)
-	if best := made.owner.bestOf(task, made.owner.candidates(made.owner.views(), now), now); best == nil {
+	made.owner.handleAdvice(name, known, asked, platform.Advice{Tickets: map[string]string{workerID: "t-1"}, Valid: time.Minute}, nil, now)
+	if best := made.owner.bestWorker(task, made.owner.candidates(made.owner.agentViews(), now), now); best == nil {
 		t.Fatal("no place with a ticket")
 	}
-	made.hear(&wire.AgentMessage{Status: bornWorker(bornSecond)})
-	if best := made.owner.bestOf(task, made.owner.candidates(made.owner.views(), now), now); best != nil {
+	made.receive(&wire.AgentMessage{Status: bornWorker(bornSecond)})
+	if best := made.owner.bestWorker(task, made.owner.candidates(made.owner.agentViews(), now), now); best != nil {
 		t.Error("the ticket of the life before is used")
 	}
-	if again := made.owner.workersToAsk(known); len(again) != 1 {
+	if again := made.owner.workersToQuery(known); len(again) != 1 {
 		t.Errorf("asks about %v", again)
 	}
 }
@@ -230,16 +230,16 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
+			made := newHarness(t)
 			of := made.kept(bornFirst)
 			made.attach()
-			made.hear(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
+			made.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
 			if !goesOn(of) {
 				t.Fatal("released before the agent had heard of the claim")
 			}
 			made.step()
-			made.sent()
-			made.hear(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
+			made.takeSent()
+			made.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
 			if goesOn(of) != test.goesOn {
 				t.Errorf("goes on: %v", goesOn(of))
 			}
--- a/owner/agents.go
+++ b/owner/agents.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// agentAt returns the view of the agent at an address, and begins to connect to
+// agentAddress returns the view of the agent at an address, and begins to connect to
 // one that is new.
 func (owner *Owner) agentAt(address string) *agentView {
 	if view, known := owner.agents[address]; known || address == "" || owner.withdrawn {
--- a/owner/cancelled_test.go
+++ b/owner/cancelled_test.go
@@ -13,7 +13,7 @@
 	count := 0
 	for _, message := range messages {
 		for _, order := range message.GetStops() {
-			if order.GetTask() == taskOne {
+			if order.GetTask() == firstTask {
 				count++
 			}
 		}
@@ -22,59 +22,59 @@
 }
 
 // listed has the agent list a run of the first task.
-func (made *bench) listed() {
-	made.hear(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: taskOne, Attempt: 1, Percent: 1}}})
+func (made *harness) listed() {
+	made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1, Percent: 1}}})
 }
 
 // TestRunOfCancelledJobIsStopped: whoever owns a job now stops a run of it that goes on
 // after the cancellation, also one that its worker began seconds after the order, and one
 // whose owner is gone for good.
 func TestRunOfCancelledJobIsStopped(t *testing.T) {
-	cancel := func(made *bench) {
-		made.read(record(made.t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
+	cancel := func(made *harness) {
+		made.readRecords(newRecord(made.t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
 	}
-	tests := map[string]func(made *bench){
-		"it runs": func(made *bench) {
+	tests := map[string]func(made *harness){
+		"it runs": func(made *harness) {
 			made.submit()
 			made.attachAndStart()
 			made.listed()
 			cancel(made)
 		},
-		"it is begun late, after its end was taken for certain": func(made *bench) {
+		"it is begun late, after its end was taken for certain": func(made *harness) {
 			made.submit()
 			made.attachAndStart()
 			cancel(made)
 			made.step()
-			made.hear(&wire.AgentMessage{Results: []*wire.StartResult{{Task: taskOne, Attempt: 1, Worker: life, Outcome: wire.StartOutcome_START_WORKER_FAILED}}})
+			made.receive(&wire.AgentMessage{Results: []*wire.StartResult{{Task: firstTask, Attempt: 1, Worker: workerID, Outcome: wire.StartOutcome_START_WORKER_FAILED}}})
 			made.step()
-			made.settle()
-			made.sent()
+			made.awaitWrites()
+			made.takeSent()
 			made.clock.Advance(5 * time.Second)
 			made.owner.joinedAt = made.clock.Now()
 			made.listed()
 		},
-		"its owner is gone for good": func(made *bench) {
-			made.inherit(life)
+		"its owner is gone for good": func(made *harness) {
+			made.adoptRun(workerID)
 			cancel(made)
 			made.attach()
 			made.listed()
 		},
-		"the cancellation is read before the job": func(made *bench) {
+		"the cancellation is read before the job": func(made *harness) {
 			cancel(made)
 			made.submit()
 			made.attach()
 			made.step()
-			made.settle()
-			made.sent()
+			made.awaitWrites()
+			made.takeSent()
 			made.listed()
 		},
 	}
 	for name, prepare := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
+			made := newHarness(t)
 			prepare(made)
 			made.step()
-			if count := stopsFor(made.sent()); count != 1 {
+			if count := stopsFor(made.takeSent()); count != 1 {
 				t.Errorf("%d stops ordered", count)
 			}
 		})
--- a/owner/candidate.go
+++ b/owner/candidate.go
@@ -20,24 +20,24 @@
 	free            admission.Resources
 	fillMilliCPU    int64
 	servingMilliCPU int64
-	// serving lists the images of the tasks that serve there.
-	serving []string
-	// addedFill is what has been placed since the agent's last word.
-	addedFill int64
+	// servingImages lists the images of the tasks that serve there.
+	servingImages []string
+	// unreportedFillMilliCPU is what has been placed since the agent's last word.
+	unreportedFillMilliCPU int64
 	// evacuated is set where the worker's failure domain is: nothing is started there.
 	evacuated bool
-	// trial is set after failures: the worker is given one run until it has shown
+	// onProbation is set after failures: the worker is given one run until it has shown
 	// that it does. tried is set while it has one.
-	trial, tried bool
-	// hasSuspect is set where a suspect has just been started: no other one is for a while.
+	onProbation, hasTrialRun bool
+	// obstacleSuspect is set where a suspect has just been started: no other one is for a while.
 	hasSuspect bool
-	// patience is the share that a filling task of the present job should find
+	// toleranceRatio is the share that a filling task of the present job should find
 	// tolerated.
-	patience float64
+	toleranceRatio float64
 }
 
-// views goes over all agents.
-func (owner *Owner) views() iter.Seq[*agentView] { return maps.Values(owner.agents) }
+// agentViews goes over all agents.
+func (owner *Owner) agentViews() iter.Seq[*agentView] { return maps.Values(owner.agents) }
 
 // candidates returns those workers that may be given starts now.
 func (owner *Owner) candidates(views iter.Seq[*agentView], now time.Time) []*candidate {
@@ -48,9 +48,9 @@
 			continue
 		}
 		worker := newCandidate(view)
-		worker.evacuated = owner.evacuated(view)
+		worker.evacuated = owner.isEvacuated(view)
 		worker.hasSuspect = now.Before(view.suspectUntil)
-		worker.tried = view.onTrial(now)
+		worker.hasTrialRun = view.onTrial(now)
 		workers = append(workers, worker)
 	}
 	return workers
@@ -62,69 +62,69 @@
 	worker := &candidate{
 		view: view, free: admission.NewResources(status.GetFreeMilliCpu(), status.GetFreeMemoryMb(), status.GetFreeAccelerators()),
 		fillMilliCPU: status.GetFillMilliCpu(), servingMilliCPU: status.GetServingMilliCpu(),
-		serving: slices.Clone(status.GetServingImages()),
-		trial:   view.failures >= failuresBeforeDoubt,
+		servingImages: slices.Clone(status.GetServingImages()),
+		onProbation:   view.failures >= failuresBeforeDoubt,
 	}
 	for _, entry := range view.runs {
 		if !entry.reflected {
-			worker.take(entry.demand)
+			worker.reserve(entry.demand)
 		}
 	}
 	return worker
 }
 
-// place takes note of a start.
-func (worker *candidate) place(task *job.Task, demand *wire.Demand) {
-	worker.take(demand)
+// recordStart takes note of a start.
+func (worker *candidate) recordStart(task *job.Task, demand *wire.Demand) {
+	worker.reserve(demand)
 	worker.hasSuspect = worker.hasSuspect || task.IsSuspect()
-	worker.tried = true
+	worker.hasTrialRun = true
 }
 
-// take takes what a start needs from what is free.
-func (worker *candidate) take(demand *wire.Demand) {
+// reserve takes what a start needs from what is free.
+func (worker *candidate) reserve(demand *wire.Demand) {
 	worker.free.Subtract(admission.ReservedBy(demand))
 	if demand.GetFills() {
 		worker.fillMilliCPU += demand.GetMilliCpu()
-		worker.addedFill += demand.GetMilliCpu()
+		worker.unreportedFillMilliCPU += demand.GetMilliCpu()
 		return
 	}
 	if demand.GetTargetMs() > 0 {
-		worker.serving = append(worker.serving, demand.GetImage())
+		worker.servingImages = append(worker.servingImages, demand.GetImage())
 		worker.servingMilliCPU += demand.GetMilliCpu()
 	}
 }
 
-// idle is what is expected to be unused of the processors: tasks that serve use
+// idleMilliCPU is what is expected to be unused of the processors: tasks that serve use
 // only part of what they hold.
-func (worker *candidate) idle() int64 {
-	return worker.free.MilliCPU + int64(servingUnused*float64(worker.servingMilliCPU)) - worker.fillMilliCPU
+func (worker *candidate) idleMilliCPU() int64 {
+	return worker.free.MilliCPU + int64(servingIdleRatio*float64(worker.servingMilliCPU)) - worker.fillMilliCPU
 }
 
-// allows says what forbids a task to run at the worker, if there were room.
-func (worker *candidate) allows(task *job.Task) obstacle {
+// violatedConstraint says what forbids a task to run at the worker, if there were room.
+func (worker *candidate) violatedConstraint(task *job.Task) obstacle {
 	spec := task.Spec()
 	status := worker.view.status()
 	switch {
 	case status.GetService() != task.Job().Submission().GetService():
-		return wrongService
+		return obstacleService
 	case worker.evacuated:
-		return domainEvacuated
+		return obstacleEvacuation
 	case spec.GetLabel() != "" && !slices.Contains(status.GetLabels(), spec.GetLabel()):
-		return lacksLabel
-	case spec.GetMostPerWorker() > 0 && worker.holding(task) >= spec.GetMostPerWorker():
-		return holdsEnough
+		return obstacleLabel
+	case spec.GetMostPerWorker() > 0 && worker.countStepTasks(task) >= spec.GetMostPerWorker():
+		return obstacleSpread
 	case worker.hasSuspect && task.IsSuspect():
-		return hasSuspect
-	case worker.trial && worker.tried:
-		return inDoubt
+		return obstacleSuspect
+	case worker.onProbation && worker.hasTrialRun:
+		return obstacleProbation
 	}
-	return unobstructed
+	return obstacleNone
 }
 
 // obstacleTo says why a task can't be started at the worker now.
 func (worker *candidate) obstacleTo(task *job.Task) obstacle {
 	spec := task.Spec()
-	if found := worker.allows(task); found != unobstructed {
+	if found := worker.violatedConstraint(task); found != obstacleNone {
 		return found
 	}
 	if lacking := worker.free.Shortage(admission.ReservedBy(spec)); lacking != "" {
@@ -132,22 +132,22 @@
 	}
 	switch {
 	case !spec.GetFills():
-		return unobstructed
-	case float64(worker.idle()) < fillShare*float64(spec.GetMilliCpu()):
-		return lacksIdleProcessors
-	case float64(worker.tolerates(spec.GetImage())) < worker.patience*float64(spec.GetMilliCpu()):
-		return wouldDisturb
+		return obstacleNone
+	case float64(worker.idleMilliCPU()) < minFillIdleRatio*float64(spec.GetMilliCpu()):
+		return obstacleIdleProcessors
+	case float64(worker.toleratedMilliCPU(spec.GetImage())) < worker.toleranceRatio*float64(spec.GetMilliCpu()):
+		return obstacleInterference
 	}
-	return unobstructed
+	return obstacleNone
 }
 
 // fits reports whether a task may run at the worker and has room there.
-func (worker *candidate) fits(task *job.Task) bool { return worker.obstacleTo(task) == unobstructed }
+func (worker *candidate) fits(task *job.Task) bool { return worker.obstacleTo(task) == obstacleNone }
 
-// tolerates returns how many more processors of a filling image the worker's
+// toleratedMilliCPU returns how many more processors of a filling image the worker's
 // serving tasks bear, at most what is idle; below zero, how much they would suffer.
-func (worker *candidate) tolerates(image string) int64 {
-	return min(worker.idle(), worker.view.heard.Tolerance(image)-worker.addedFill)
+func (worker *candidate) toleratedMilliCPU(image string) int64 {
+	return min(worker.idleMilliCPU(), worker.view.heard.Tolerance(image)-worker.unreportedFillMilliCPU)
 }
 
 // fitsTwice reports whether the worker has what a task holds twice over.
@@ -157,29 +157,31 @@
 	return worker.free.Shortage(held) == ""
 }
 
-// rankFor orders workers for an image, or for what else is placed, in the same way at each
+// rendezvousScore orders workers for an image, or for what else is placed, in the same way at each
 // owner.
-func (worker *candidate) rankFor(what string) uint64 {
+func (worker *candidate) rendezvousScore(what string) uint64 {
 	return xxhash.Sum64String(what + " " + worker.view.address)
 }
 
-// serves reports whether the worker has a serving task of the image.
-func (worker *candidate) serves(image string) bool { return slices.Contains(worker.serving, image) }
+// servesImage reports whether the worker has a serving task of the image.
+func (worker *candidate) servesImage(image string) bool {
+	return slices.Contains(worker.servingImages, image)
+}
 
-// strangers counts the kinds of the worker's serving tasks of other images.
-func (worker *candidate) strangers(image string) int {
+// countOtherImages counts the kinds of the worker's serving tasks of other images.
+func (worker *candidate) countOtherImages(image string) int {
 	count := 0
-	for index, other := range worker.serving {
-		if other != image && !slices.Contains(worker.serving[:index], other) {
+	for index, other := range worker.servingImages {
+		if other != image && !slices.Contains(worker.servingImages[:index], other) {
 			count++
 		}
 	}
 	return count
 }
 
-// holding counts the tasks of the same step and round that the machine has, on whichever life of its worker: one
+// countStepTasks counts the tasks of the same step and round that the machine has, on whichever life of its worker: one
 // that was ordered of an earlier life may still go on.
-func (worker *candidate) holding(task *job.Task) int32 {
+func (worker *candidate) countStepTasks(task *job.Task) int32 {
 	count := int32(0)
 	for _, member := range task.Job().StepTasks(task) {
 		if member.State() == job.TaskState_TASK_STARTED && member.Place().AgentAddress == worker.view.address {
@@ -191,14 +193,14 @@
 
 // rack returns the worker's rack, which is its second label.
 func (worker *candidate) rack() string {
-	if labels := worker.view.status().GetLabels(); len(labels) > rackLabel {
-		return labels[rackLabel]
+	if labels := worker.view.status().GetLabels(); len(labels) > rackLabelIndex {
+		return labels[rackLabelIndex]
 	}
 	return ""
 }
 
-// near reports whether the worker stands in the rack that holds the task's data.
-func (worker *candidate) near(task *job.Task) bool {
+// isNearData reports whether the worker stands in the rack that holds the task's data.
+func (worker *candidate) isNearData(task *job.Task) bool {
 	rack := task.Spec().GetAffinity()
 	return rack == "" || slices.Contains(worker.view.status().GetLabels(), rack)
 }
--- a/owner/candidates_test.go
+++ b/owner/candidates_test.go
@@ -21,8 +21,8 @@
 	"ambertiller.example/ambertiller/standin/wirestore"
 )
 
-// entries is a fleet's entries over one store, and agents that are registered there but answer nobody.
-type entries struct {
+// entryGroup is a fleet's entries over one store, and agents that are registered there but answer nobody.
+type entryGroup struct {
 	clock  *clockwork.FakeClock
 	owners []*Owner
 	kills  []context.CancelFunc
@@ -30,7 +30,7 @@
 	dials []*atomic.Int64
 }
 
-func newEntries(t *testing.T, strong, weak, agents int) *entries {
+func newEntryGroup(t *testing.T, strong, weak, agents int) *entryGroup {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
 	for number := range agents {
@@ -46,7 +46,7 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	made := &entries{clock: clock}
+	made := &entryGroup{clock: clock}
 	for number := range strong + weak {
 		dials := &atomic.Int64{}
 		begun := New(Options{
@@ -66,16 +66,16 @@
 	return made
 }
 
-// pass lets time pass.
-func (made *entries) pass(length time.Duration) {
+// advance lets time pass.
+func (made *entryGroup) advance(length time.Duration) {
 	for range length / (10 * time.Millisecond) {
 		made.clock.Advance(10 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// views counts the agents that all entries look at, and shards those that they own.
-func (made *entries) views() (views, shards int) {
+// counts counts the agents that all entries look at, and shards those that they own.
+func (made *entryGroup) counts() (views, shards int) {
 	for _, begun := range made.owners {
 		begun.decisions.Ask(context.Background(), func(time.Time) { views += len(begun.agents) })
 		shards += len(epochs(begun))
@@ -83,9 +83,9 @@
 	return views, shards
 }
 
-// TestOnlyCandidatesLookAtAgents counts the agents that the entries of a fleet look at, and of one with twice the entries. The
+// TestOnlyCandidatesConnectToAgents counts the agents that the entries of a fleet look at, and of one with twice the entries. The
 // case that forced it: each of 184 entries kept a connection to each of 800 agents, though at most 16 entries owned any shard.
-func TestOnlyCandidatesLookAtAgents(t *testing.T) {
+func TestOnlyCandidatesConnectToAgents(t *testing.T) {
 	const agents = 5
 	tests := map[string]struct{ strong, weak int }{
 		"a fleet":                      {20, 10},
@@ -94,10 +94,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newEntries(t, test.strong, test.weak, agents)
+			made := newEntryGroup(t, test.strong, test.weak, agents)
 			// Seats settle, and those who had one for a moment leave.
-			made.pass(14 * time.Second)
-			views, shards := made.views()
+			made.advance(14 * time.Second)
+			views, shards := made.counts()
 			// Who owns a shard stays where its seat has been dealt to another entry.
 			if most := (candidacy.SeatCount(8) + 8) * agents; views > most || views < 2*agents {
 				t.Errorf("%d entries look at %d agents, want %d at most", test.strong+test.weak, views, most)
@@ -116,14 +116,14 @@
 
 // TestWeakEntriesTakeOver: where all strong entries are gone, weak ones own the shards.
 func TestWeakEntriesTakeOver(t *testing.T) {
-	made := newEntries(t, 9, 5, 3)
-	made.pass(5 * time.Second)
+	made := newEntryGroup(t, 9, 5, 3)
+	made.advance(5 * time.Second)
 	for number := range 9 {
 		made.kills[number]()
 	}
 	made.owners = made.owners[9:]
 	until(t, made.clock, func() bool {
-		_, shards := made.views()
+		_, shards := made.counts()
 		return shards == 8
 	})
 }
--- a/owner/connection_test.go
+++ b/owner/connection_test.go
@@ -20,20 +20,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
+			made := newHarness(t)
 			made.submit()
 			made.attach()
 			ended := false
-			made.view.link.cancel = func() { ended = true }
+			made.agent.link.cancel = func() { ended = true }
 			for range 60 {
 				made.step()
-				handled := made.agentN
-				made.sent()
+				handled := made.handledSequence
+				made.takeSent()
 				if !test.hears {
-					made.agentN = handled
+					made.handledSequence = handled
 				}
 				if test.speaks {
-					made.hear(&wire.AgentMessage{})
+					made.receive(&wire.AgentMessage{})
 				}
 				made.clock.Advance(100 * time.Millisecond)
 				made.owner.joinedAt = made.clock.Now()
@@ -49,18 +49,18 @@
 // claims each 3 s. It is not taken for silent by an owner that has just taken a shard, nor
 // by one whose shard is still to be read.
 func TestTakingAShardCutsNobodyOff(t *testing.T) {
-	made := newBench(t)
-	made.held.active = false
+	made := newHarness(t)
+	made.shard.active = false
 	made.attach()
-	made.view.link.cancel = func() { t.Error("cut off") }
+	made.agent.link.cancel = func() { t.Error("cut off") }
 	for range 10 {
 		for range quietEvery / grantEvery {
 			made.clock.Advance(grantEvery)
 			made.owner.joinedAt = made.clock.Now()
 			made.step()
 		}
-		made.sent()
-		made.hear(&wire.AgentMessage{})
+		made.takeSent()
+		made.receive(&wire.AgentMessage{})
 	}
 }
 
@@ -76,22 +76,22 @@
 // TestGrantIsForTheProcessThatAnswers has an owner speak first on a connection to an agent that may
 // be another process than the one that it heard before.
 func TestGrantIsForTheProcessThatAnswers(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	made.attach()
-	made.hear(&wire.AgentMessage{UptimeNanos: int64(time.Hour)})
+	made.receive(&wire.AgentMessage{UptimeNanos: int64(time.Hour)})
 	made.step()
-	made.sent()
-	made.owner.noteAttached(made.view, &link{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
+	made.takeSent()
+	made.owner.noteAttached(made.agent, &link{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
 	made.step()
-	for _, message := range made.sent() {
+	for _, message := range made.takeSent() {
 		if granted := time.Duration(message.GetGrantUntilNanos()); granted > 0 {
 			t.Errorf("runs were granted time until %v before the agent was heard", granted)
 		}
 	}
-	made.hear(&wire.AgentMessage{UptimeNanos: int64(time.Second)})
+	made.receive(&wire.AgentMessage{UptimeNanos: int64(time.Second)})
 	made.step()
 	granted := time.Duration(0)
-	for _, message := range made.sent() {
+	for _, message := range made.takeSent() {
 		granted = max(granted, time.Duration(message.GetGrantUntilNanos()))
 	}
 	if want := time.Second + made.owner.options.Grant; granted != want {
--- a/owner/crash_test.go
+++ b/owner/crash_test.go
@@ -8,7 +8,7 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// TestTaskThatBringsItsWorkersDown is a failure that users met.
+// TestTaskThatCrashesWorkers is a failure that users met.
 //
 // What they saw: two jobs neither ended nor failed. One worker of eleven after the other went
 // down, about one each second, and each took 8 to 49 runs of other jobs with it; these began
@@ -30,7 +30,7 @@
 //
 // So the tasks that were lost most often include chance victims, which have to be told from
 // the cause: the other jobs must end, and none of them as failed.
-func TestTaskThatBringsItsWorkersDown(t *testing.T) {
+func TestTaskThatCrashesWorkers(t *testing.T) {
 	const (
 		bad = "0123456789abcdef"
 		// crashesBorne is how many workers may crash under a task, startsAfter how often it
--- a/owner/doubt_test.go
+++ b/owner/doubt_test.go
@@ -10,9 +10,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestDoubtBesideATaskThatLasts: a worker in doubt is tried also beside a task that lasts, which never ends and
+// TestProbationBesideLongRunningTask: a worker in doubt is tried also beside a task that lasts, which never ends and
 // so never shows that the worker does. While it is tried it is given nothing else.
-func TestDoubtBesideATaskThatLasts(t *testing.T) {
+func TestProbationBesideLongRunningTask(t *testing.T) {
 	tests := map[string]struct {
 		lasts  bool
 		atWork time.Duration
@@ -24,20 +24,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			made.submitChanged(func(handed *job.Submission) { handed.Steps[0].Lasting = test.lasts })
+			made := newHarness(t)
+			made.submitWith(func(handed *job.Submission) { handed.Steps[0].Lasting = test.lasts })
 			made.attachAndStart()
-			made.hear(&wire.AgentMessage{Complete: true, Runs: listed()})
+			made.receive(&wire.AgentMessage{Complete: true, Runs: listed()})
 			made.clock.Advance(test.atWork)
 			made.owner.joinedAt = made.clock.Now()
-			made.hear(&wire.AgentMessage{Complete: true, Runs: listed()})
-			made.view.failures, made.view.avoidUntil = failuresBeforeDoubt, time.Time{}
-			handed := submission()
-			handed.Id, handed.Steps[0].Count = otherJob(), 3
-			made.read(record(t, job.SubmissionKey(handed.Id), handed))
+			made.receive(&wire.AgentMessage{Complete: true, Runs: listed()})
+			made.agent.failures, made.agent.avoidUntil = failuresBeforeDoubt, time.Time{}
+			handed := newSubmission()
+			handed.Id, handed.Steps[0].Count = otherJobInShard(), 3
+			made.readRecords(newRecord(t, job.SubmissionKey(handed.Id), handed))
 			made.step()
 			placed := 0
-			for _, task := range made.held.jobs[handed.Id].Tasks() {
+			for _, task := range made.shard.jobs[handed.Id].Tasks() {
 				if task.State() == job.TaskState_TASK_STARTED {
 					placed++
 				}
@@ -49,8 +49,8 @@
 	}
 }
 
-// otherJob names another job of the same shard.
-func otherJob() string {
+// otherJobInShard names another job of the same shard.
+func otherJobInShard() string {
 	for id := []byte(jobID); ; id[0]++ {
 		if string(id) != jobID && job.ShardOf(string(id), 8) == job.ShardOf(jobID, 8) {
 			return string(id)
@@ -58,28 +58,28 @@
 	}
 }
 
-// TestTicketsEndOneByOne: that of an earlier answer ends before that of a later one. It would be refused, and with
+// TestTicketsExpireSeparately: that of an earlier answer ends before that of a later one. It would be refused, and with
 // it all tickets of the step would be forgotten.
-func TestTicketsEndOneByOne(t *testing.T) {
-	made := newBench(t)
-	of := made.submitChanged(func(handed *job.Submission) { handed.Advice = terms() })
+func TestTicketsExpireSeparately(t *testing.T) {
+	made := newHarness(t)
+	of := made.submitWith(func(handed *job.Submission) { handed.Advice = adviceTiming() })
 	made.attach()
 	task, name := of.Tasks()[0], stepName(of.Tasks()[0])
-	known := &stepAdvice{terms: terms(), service: "verbale"}
+	known := &stepAdvice{timing: adviceTiming(), service: "verbale"}
 	made.owner.advised.steps[name] = known
 	answer := func(id string) {
-		made.owner.noteAdvice(name, known, []incarnation.ID{incarnation.New(id, 0)},
+		made.owner.handleAdvice(name, known, []incarnation.ID{incarnation.New(id, 0)},
 			platform.Advice{Tickets: map[string]string{id: "t-" + id}, Valid: 3 * time.Second}, nil, made.clock.Now())
 	}
-	answer(life)
+	answer(workerID)
 	made.clock.Advance(2 * time.Second)
 	answer("i-2")
 	made.clock.Advance(1500 * time.Millisecond)
 	now := made.clock.Now()
-	if _, good := made.owner.ticket(task, incarnation.New(life, 0), now); good {
+	if _, good := made.owner.ticketFor(task, incarnation.New(workerID, 0), now); good {
 		t.Error("the earlier ticket is taken to hold")
 	}
-	if _, good := made.owner.ticket(task, incarnation.New("i-2", 0), now); !good {
+	if _, good := made.owner.ticketFor(task, incarnation.New("i-2", 0), now); !good {
 		t.Error("the later ticket is taken to have ended")
 	}
 }
--- a/owner/entry_test.go
+++ b/owner/entry_test.go
@@ -12,16 +12,16 @@
 // TestDescriptionTellsWhatIsLeft: an agent that has been replaced hears what the job may
 // lose from now on, not what it could when the run was ordered.
 func TestDescriptionTellsWhatIsLeft(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	made.submit()
 	made.attachAndStart()
-	ordered := made.view.runs[taskOne].demand.GetSpareMs()
+	ordered := made.agent.runs[firstTask].demand.GetSpareMs()
 	made.clock.Advance(600 * time.Millisecond)
-	unready := emptyWorker()
+	unready := idleWorkerStatus()
 	unready.Ready = false
-	made.hear(&wire.AgentMessage{Complete: true, Status: unready, Runs: []*wire.RunStatus{{Task: taskOne, Attempt: 1}}})
+	made.receive(&wire.AgentMessage{Complete: true, Status: unready, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1}}})
 	made.step()
-	described := descriptions(made.sent())
+	described := descriptions(made.takeSent())
 	if len(described) != 1 {
 		t.Fatalf("described: %v", described)
 	}
@@ -45,12 +45,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			handed := submission()
+			handed := newSubmission()
 			test.change(handed.Steps[0])
 			of := job.New(handed, 0)
 			task := of.Tasks()[0]
 			for range test.ends {
-				of.StartRun(task, job.Place{Incarnation: incarnation.New(life, 0), AgentAddress: agentAt}, time.UnixMilli(0))
+				of.StartRun(task, job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, time.UnixMilli(0))
 				of.EndRun(task, task.Attempt(), job.EndInterrupted, "", time.UnixMilli(0))
 			}
 			if got := movable(task); got != test.want {
--- a/owner/evacuated.go
+++ b/owner/evacuated.go
@@ -10,13 +10,13 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// NoteEvacuations takes in which failure domains are evacuated, as of a moment up to which
+// UpdateEvacuations takes in which failure domains are evacuated, as of a moment up to which
 // that is known to be all; zero where that is not known.
-func (owner *Owner) NoteEvacuations(told operator.Evacuations, asOf time.Time) {
-	owner.decisions.Post(func(time.Time) { owner.noteEvacuations(told, asOf) })
+func (owner *Owner) UpdateEvacuations(told operator.Evacuations, asOf time.Time) {
+	owner.decisions.Post(func(time.Time) { owner.applyEvacuations(told, asOf) })
 }
 
-func (owner *Owner) noteEvacuations(told operator.Evacuations, asOf time.Time) {
+func (owner *Owner) applyEvacuations(told operator.Evacuations, asOf time.Time) {
 	before := owner.knowledge.Evacuations()
 	owner.knowledge.Note(told, asOf)
 	after := owner.knowledge.Evacuations()
@@ -25,20 +25,20 @@
 	}
 	for _, domain := range before.Less(after) {
 		owner.log(event.DomainGivenBack, slog.String("failure_domain", domain), slog.Int64("version", after.Version()))
-		owner.lookout.noteAll()
+		owner.lookout.addAll()
 	}
 	owner.meters.evacuated.Record(owner.ctx, int64(len(after.Domains())))
 }
 
-// evacuated reports whether the worker's failure domain is evacuated.
-func (owner *Owner) evacuated(view *agentView) bool {
+// isEvacuated reports whether the worker's failure domain is evacuated.
+func (owner *Owner) isEvacuated(view *agentView) bool {
 	return owner.knowledge.Evacuations().Has(view.status().GetFailureDomain())
 }
 
-// tellEvacuations adds what is known of evacuations to the message that goes out next: with
+// addEvacuations adds what is known of evacuations to the message that goes out next: with
 // every start, since its agent starts nothing by what is known too old, and when it has
 // changed. Without starts it costs nothing.
-func (owner *Owner) tellEvacuations(view *agentView) {
+func (owner *Owner) addEvacuations(view *agentView) {
 	known := owner.knowledge.Evacuations()
 	if owner.knowledge.AsOf().IsZero() || !view.greeted {
 		return
--- a/owner/evacuated_test.go
+++ b/owner/evacuated_test.go
@@ -9,37 +9,37 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-const emptied = "milano-a"
+const evacuatedDomain = "milano-a"
 
-// inDomain is the status of an empty worker in the failure domain that the tests evacuate.
-func inDomain() *wire.WorkerStatus {
-	status := emptyWorker()
-	status.FailureDomain, status.ToleratedMilliCpu = emptied, status.GetMilliCpu()
+// evacuatedDomainStatus is the status of an empty worker in the failure domain that the tests evacuate.
+func evacuatedDomainStatus() *wire.WorkerStatus {
+	status := idleWorkerStatus()
+	status.FailureDomain, status.ToleratedMilliCpu = evacuatedDomain, status.GetMilliCpu()
 	return status
 }
 
 // evacuate has the owner read now that domains are evacuated.
-func (made *bench) evacuate(version int64, domains ...string) {
-	made.owner.noteEvacuations(operator.NewEvacuations(version, domains), made.clock.Now())
+func (made *harness) evacuate(version int64, domains ...string) {
+	made.owner.applyEvacuations(operator.NewEvacuations(version, domains), made.clock.Now())
 }
 
-// orders lets time pass as long as starts could go out, and returns them.
-func (made *bench) orders() []*wire.StartOrder {
+// collectStarts lets time pass as long as starts could go out, and returns them.
+func (made *harness) collectStarts() []*wire.StartOrder {
 	var found []*wire.StartOrder
 	for range 4 {
 		made.step()
-		made.settle()
-		found = append(found, starts(made.sent())...)
+		made.awaitWrites()
+		found = append(found, startOrders(made.takeSent())...)
 		made.clock.Advance(100 * time.Millisecond)
-		made.hear(&wire.AgentMessage{Status: inDomain()})
+		made.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
 	}
 	return found
 }
 
-// TestNothingStartsWhereEvacuated: whatever kind of task waits, none is ordered to an
+// TestNothingStartsInEvacuatedDomain: whatever kind of task waits, none is ordered to an
 // evacuated failure domain, nothing is stopped to make room there, and all are ordered
 // once it is given back.
-func TestNothingStartsWhereEvacuated(t *testing.T) {
+func TestNothingStartsInEvacuatedDomain(t *testing.T) {
 	tests := map[string]func(handed *job.Submission){
 		"a task":               func(*job.Submission) {},
 		"a gang":               func(handed *job.Submission) { handed.Steps[0].Gang, handed.Steps[0].Count = true, 2 },
@@ -50,38 +50,38 @@
 	}
 	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			of := made.submitChanged(change)
+			made := newHarness(t)
+			of := made.submitWith(change)
 			made.attach()
-			made.hear(&wire.AgentMessage{Status: inDomain()})
-			made.evacuate(1, emptied)
-			if orders := made.orders(); len(orders) != 0 {
+			made.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
+			made.evacuate(1, evacuatedDomain)
+			if orders := made.collectStarts(); len(orders) != 0 {
 				t.Errorf("ordered %v", orders)
 			}
-			if waited, obstacle := of.Tasks()[0].UnplacedFor(made.clock.Now()); waited == 0 || obstacle != string(domainEvacuated) {
+			if waited, obstacle := of.Tasks()[0].UnplacedFor(made.clock.Now()); waited == 0 || obstacle != string(obstacleEvacuation) {
 				t.Errorf("waits %v for %q", waited, obstacle)
 			}
 			made.evacuate(2)
-			if orders := made.orders(); len(orders) != len(of.Tasks()) {
+			if orders := made.collectStarts(); len(orders) != len(of.Tasks()) {
 				t.Errorf("given back: ordered %v", orders)
 			}
 		})
 	}
 }
 
-// TestPlacedBeforeEvacuation: a start that is on its way to the store when the evacuation
+// TestPlacementBeforeEvacuationIsReleased: a start that is on its way to the store when the evacuation
 // is read does not go out, and its task waits for another place.
-func TestPlacedBeforeEvacuation(t *testing.T) {
-	made := newBench(t)
+func TestPlacementBeforeEvacuationIsReleased(t *testing.T) {
+	made := newHarness(t)
 	of := made.submit()
 	made.attach()
-	made.hear(&wire.AgentMessage{Status: inDomain()})
+	made.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
 	made.step()
 	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("not placed")
 	}
-	made.evacuate(1, emptied)
-	if orders := made.orders(); len(orders) != 0 {
+	made.evacuate(1, evacuatedDomain)
+	if orders := made.collectStarts(); len(orders) != 0 {
 		t.Errorf("ordered %v", orders)
 	}
 	if got := of.Tasks()[0].State(); got != job.TaskState_TASK_WAITING {
@@ -89,40 +89,40 @@
 	}
 }
 
-// TestNothingMakesRoomWhereEvacuated: no run is stopped for a task that could not take its
+// TestNoPreemptionInEvacuatedDomain: no run is stopped for a task that could not take its
 // place.
-func TestNothingMakesRoomWhereEvacuated(t *testing.T) {
-	made := newBench(t)
+func TestNoPreemptionInEvacuatedDomain(t *testing.T) {
+	made := newHarness(t)
 	made.submit()
 	made.attach()
-	full := inDomain()
+	full := evacuatedDomainStatus()
 	full.FreeMilliCpu = 0
 	full.Reclaimable = []*wire.Reclaimable{{Priority: 2, MilliCpu: 4000, MemoryMb: 4000}}
-	made.evacuate(1, emptied)
-	made.hear(&wire.AgentMessage{Status: full})
+	made.evacuate(1, evacuatedDomain)
+	made.receive(&wire.AgentMessage{Status: full})
 	made.step()
-	for _, message := range made.sent() {
+	for _, message := range made.takeSent() {
 		if len(message.GetPreempts()) > 0 {
 			t.Errorf("asked to make room: %v", message.GetPreempts())
 		}
 	}
 }
 
-// TestEvacuationsAreTold: each message with a start says as of when evacuations are known,
+// TestEvacuationsAreSentToAgents: each message with a start says as of when evacuations are known,
 // no later on the agent's clock than they were read; a change is told at once.
-func TestEvacuationsAreTold(t *testing.T) {
+func TestEvacuationsAreSentToAgents(t *testing.T) {
 	const uptime = 20 * time.Second
-	made := newBench(t)
+	made := newHarness(t)
 	made.submit()
 	made.attach()
 	made.evacuate(1)
 	made.clock.Advance(2 * time.Second)
-	made.hear(&wire.AgentMessage{UptimeNanos: int64(uptime), Status: inDomain()})
+	made.receive(&wire.AgentMessage{UptimeNanos: int64(uptime), Status: evacuatedDomainStatus()})
 	made.step()
-	made.settle()
+	made.awaitWrites()
 	made.step()
 	told := 0
-	for _, message := range made.sent() {
+	for _, message := range made.takeSent() {
 		if len(message.GetStarts()) == 0 {
 			continue
 		}
@@ -137,12 +137,12 @@
 	}
 	made.evacuate(5, "bergamo")
 	made.step()
-	messages := made.sent()
+	messages := made.takeSent()
 	if len(messages) != 1 || len(messages[0].GetEvacuations().GetFailureDomains()) != 1 {
 		t.Errorf("after a change: %v", messages)
 	}
 	made.step()
-	if again := made.sent(); len(again) != 0 {
+	if again := made.takeSent(); len(again) != 0 {
 		t.Errorf("told again: %v", again)
 	}
 }
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -287,7 +287,7 @@
 // until lets time pass until what is waited for holds, most of it at most.
 func (made *fleet) until(most time.Duration, holds func() bool) bool {
 	for end := made.clock.Now().Add(most); made.clock.Now().Before(end); {
-		made.owner.NoteEvacuations(operator.NewEvacuations(1, nil), made.clock.Now())
+		made.owner.UpdateEvacuations(operator.NewEvacuations(1, nil), made.clock.Now())
 		for range 50 {
 			made.clock.Advance(fleetStep)
 			time.Sleep(fleetPause)
--- a/owner/forget_test.go
+++ b/owner/forget_test.go
@@ -21,26 +21,26 @@
 // a job that is queued and live.
 
 // forgetting is a bench whose job has ended, and is known for as long as it has to be.
-func forgetting(t *testing.T) *bench {
-	made := newBench(t)
+func forgetting(t *testing.T) *harness {
+	made := newHarness(t)
 	made.owner.options.StatusKept = time.Minute
-	value, err := proto.Marshal(submission())
+	value, err := proto.Marshal(newSubmission())
 	if err != nil {
 		t.Fatal(err)
 	}
-	made.store.Put(job.TopicJobs, made.held.number, job.SubmissionKey(jobID), value)
+	made.store.Put(job.TopicJobs, made.shard.number, job.SubmissionKey(jobID), value)
 	made.submit()
 	made.attachAndStart()
-	made.hear(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: life, Number: 1, Task: taskOne, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
+	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
 	made.step()
-	made.settle()
+	made.awaitWrites()
 	return made
 }
 
 // stored reports what the store holds of the job.
-func (made *bench) stored() (handedIn, progress bool) {
-	_, handedIn = made.store.Newest(job.TopicJobs, made.held.number, job.SubmissionKey(jobID))
-	_, progress = made.store.Newest(job.TopicRuns, made.held.number, jobID)
+func (made *harness) stored() (handedIn, progress bool) {
+	_, handedIn = made.store.Newest(job.TopicJobs, made.shard.number, job.SubmissionKey(jobID))
+	_, progress = made.store.Newest(job.TopicRuns, made.shard.number, jobID)
 	return handedIn, progress
 }
 
@@ -65,7 +65,7 @@
 			made.clock.Advance(3 * time.Minute)
 			for try := 0; try < 200; try++ {
 				made.step()
-				made.settle()
+				made.awaitWrites()
 				made.clock.Advance(100 * time.Millisecond)
 				made.runPosted()
 				handedIn, progress := made.stored()
@@ -82,7 +82,7 @@
 }
 
 // runPosted gives what is on its way a moment, and runs what has come back.
-func (made *bench) runPosted() {
+func (made *harness) runPosted() {
 	time.Sleep(2 * time.Millisecond)
 	for made.owner.decisions.RunAny(made.clock.Now()) {
 	}
@@ -91,15 +91,15 @@
 // TestClockThatJumpsForgetsNothing has an owner read a job that ended hours ago by the time of day, as it
 // is after that has jumped ahead: clients may still ask for it, or hand it in again.
 func TestClockThatJumpsForgetsNothing(t *testing.T) {
-	made := newBench(t)
-	ended := job.New(submission(), made.held.number)
+	made := newHarness(t)
+	ended := job.New(newSubmission(), made.shard.number)
 	ended.Cancel(made.clock.Now().Add(-5 * time.Hour))
-	made.held.active = false
-	made.owner.noteLoaded(made.held,
-		platform.Tail{Records: []platform.Record{record(t, job.SubmissionKey(jobID), submission())}},
-		platform.Tail{Records: []platform.Record{record(t, jobID, ended.Progress())}}, made.clock.Now())
+	made.shard.active = false
+	made.owner.noteLoaded(made.shard,
+		platform.Tail{Records: []platform.Record{newRecord(t, job.SubmissionKey(jobID), newSubmission())}},
+		platform.Tail{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, made.clock.Now())
 	made.step()
-	if made.held.jobs[jobID] == nil || len(made.held.dropped) > 0 {
+	if made.shard.jobs[jobID] == nil || len(made.shard.dropped) > 0 {
 		t.Error("a job that was just read as ended is forgotten")
 	}
 }
@@ -107,15 +107,15 @@
 // TestProgressWithoutJobIsDropped has an owner read what became of a job that the one before it had
 // begun to drop.
 func TestProgressWithoutJobIsDropped(t *testing.T) {
-	made := newBench(t)
-	ended := job.New(submission(), made.held.number)
+	made := newHarness(t)
+	ended := job.New(newSubmission(), made.shard.number)
 	ended.Cancel(made.clock.Now())
-	kept := record(t, jobID, ended.Progress())
-	made.store.Put(job.TopicRuns, made.held.number, jobID, kept.Value)
-	made.held.active = false
-	made.owner.noteLoaded(made.held, platform.Tail{}, platform.Tail{Records: []platform.Record{kept}}, made.clock.Now())
+	kept := newRecord(t, jobID, ended.Progress())
+	made.store.Put(job.TopicRuns, made.shard.number, jobID, kept.Value)
+	made.shard.active = false
+	made.owner.noteLoaded(made.shard, platform.Tail{}, platform.Tail{Records: []platform.Record{kept}}, made.clock.Now())
 	made.step()
-	made.settle()
+	made.awaitWrites()
 	if _, progress := made.stored(); progress {
 		t.Error("what became of a job that is gone stays in the store")
 	}
--- a/owner/gang.go
+++ b/owner/gang.go
@@ -13,26 +13,26 @@
 // placeGang starts all members of a gang or none: a member that waits for others
 // that don't come holds room for nothing.
 func (owner *Owner) placeGang(members []*job.Task, workers []*candidate, now time.Time) {
-	for _, among := range owner.gangChoices(members[0], workers) {
-		if chosen := owner.chooseGang(members, among, now); chosen != nil {
+	for _, among := range owner.gangCandidateSets(members[0], workers) {
+		if chosen := owner.assignGang(members, among, now); chosen != nil {
 			for index, member := range members {
 				owner.start(member, chosen[index].view, now)
-				chosen[index].place(member, chosen[index].view.runs[member.Name()].demand)
+				chosen[index].recordStart(member, chosen[index].view.runs[member.Name()].demand)
 			}
 			return
 		}
 	}
 	for _, member := range members {
 		if !member.IsUnplaced() {
-			member.MarkUnplaced(string(mainObstacle(member, workers)), now)
+			member.MarkUnplaced(string(mostCommonObstacle(member, workers)), now)
 		}
 	}
-	owner.wantAdvice(members[0], now)
+	owner.enqueueAdvice(members[0], now)
 }
 
-// gangChoices returns the sets of workers to try: each rack by itself for a gang
+// gangCandidateSets returns the sets of workers to try: each rack by itself for a gang
 // that should not be spread, then all of them.
-func (owner *Owner) gangChoices(member *job.Task, workers []*candidate) [][]*candidate {
+func (owner *Owner) gangCandidateSets(member *job.Task, workers []*candidate) [][]*candidate {
 	var choices [][]*candidate
 	if member.Spec().GetSameRack() {
 		racks := map[string][]*candidate{}
@@ -46,8 +46,8 @@
 	return append(choices, workers)
 }
 
-// chooseGang returns a worker for each member, or nil if they don't all fit.
-func (owner *Owner) chooseGang(members []*job.Task, workers []*candidate, now time.Time) []*candidate {
+// assignGang returns a worker for each member, or nil if they don't all fit.
+func (owner *Owner) assignGang(members []*job.Task, workers []*candidate, now time.Time) []*candidate {
 	trial := make(map[*candidate]*candidate, len(workers))
 	copies := make([]*candidate, 0, len(workers))
 	for _, worker := range workers {
@@ -58,13 +58,13 @@
 	var chosen []*candidate
 	held := map[*candidate]int32{}
 	for _, member := range members {
-		best := owner.bestOf(member, copies, now)
+		best := owner.bestWorker(member, copies, now)
 		most := member.Spec().GetMostPerWorker()
 		if best == nil || most > 0 && held[best] >= most {
 			return nil
 		}
 		held[best]++
-		best.place(member, demandOf(member, now))
+		best.recordStart(member, demandOf(member, now))
 		chosen = append(chosen, trial[best])
 	}
 	return chosen
@@ -89,8 +89,8 @@
 	}
 }
 
-// gangOf returns the members of a ready task's gang if all of them are ready.
-func gangOf(task *job.Task, ready []*job.Task) []*job.Task {
+// readyGang returns the members of a ready task's gang if all of them are ready.
+func readyGang(task *job.Task, ready []*job.Task) []*job.Task {
 	members := task.Job().StepTasks(task)
 	count := 0
 	for _, other := range ready {
--- a/owner/gang_test.go
+++ b/owner/gang_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestGangStartsWholeOrNotAtAll: members that wait for others hold room for
+// TestGangStartsAllOrNone: members that wait for others hold room for
 // nothing.
-func TestGangStartsWholeOrNotAtAll(t *testing.T) {
+func TestGangStartsAllOrNone(t *testing.T) {
 	tests := map[string]struct {
 		free int64
 		want int
@@ -19,16 +19,16 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			made.submitChanged(func(handed *job.Submission) {
+			made := newHarness(t)
+			made.submitWith(func(handed *job.Submission) {
 				handed.Steps = []*job.StepSpec{{Count: 3, MilliCpu: 1000, MemoryMb: 10, EstimateMs: 1000, Gang: true}}
 			})
 			made.attach()
-			made.hear(&wire.AgentMessage{Status: &wire.WorkerStatus{
-				Worker: life, Service: "verbale", Ready: true, FreeMilliCpu: test.free, FreeMemoryMb: 4000,
+			made.receive(&wire.AgentMessage{Status: &wire.WorkerStatus{
+				Worker: workerID, Service: "verbale", Ready: true, FreeMilliCpu: test.free, FreeMemoryMb: 4000,
 			}})
 			made.step()
-			if got := len(made.view.runs); got != test.want {
+			if got := len(made.agent.runs); got != test.want {
 				t.Errorf("%d members started", got)
 			}
 		})
--- a/owner/lookout_test.go
+++ b/owner/lookout_test.go
@@ -8,45 +8,45 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// looksAfter counts the workers that are looked at, for each job once, after something has changed.
-func looksAfter(made *bench, change func()) int64 {
+// examinedAfter counts the workers that are looked at, for each job once, after something has changed.
+func examinedAfter(made *harness, change func()) int64 {
 	change()
 	before := made.owner.looked
-	made.owner.place(made.owner.lookout.take(made.clock.Now()), made.clock.Now())
+	made.owner.placeJobs(made.owner.lookout.take(made.clock.Now()), made.clock.Now())
 	return made.owner.looked - before
 }
 
-// TestALookFollowsWhatHasChanged counts the work of a look for places on a fleet whose workers are full, and on one of twice
+// TestPlacementCostFollowsChanges counts the work of a look for places on a fleet whose workers are full, and on one of twice
 // the size. The case that forced it: each change of any worker's room had all waiting jobs looked at on all workers.
-func TestALookFollowsWhatHasChanged(t *testing.T) {
+func TestPlacementCostFollowsChanges(t *testing.T) {
 	const jobs = 10
 	tests := map[string]struct {
-		change func(made *bench)
+		change func(made *harness)
 		// looks is what a look may cost on so many workers.
 		looks func(workers int64) int64
 	}{
 		"the room of one worker has grown": {
-			func(made *bench) { made.owner.lookout.noteRoom(made.owner.agents["10.0.1.7:7001"]) },
+			func(made *harness) { made.owner.lookout.addWorker(made.owner.agents["10.0.1.7:7001"]) },
 			func(int64) int64 { return jobs },
 		},
 		"a job has come": {
-			func(made *bench) { made.owner.lookout.noteJob(made.held.jobs[idInShard(made.held.number, 3)]) },
+			func(made *harness) { made.owner.lookout.addJob(made.shard.jobs[jobIDInShard(made.shard.number, 3)]) },
 			func(workers int64) int64 { return workers },
 		},
 		"all has to be looked at": {
-			func(made *bench) { made.owner.lookout.noteAll() },
+			func(made *harness) { made.owner.lookout.addAll() },
 			func(workers int64) int64 { return jobs * workers },
 		},
-		"nothing": {func(*bench) {}, func(int64) int64 { return 0 }},
+		"nothing": {func(*harness) {}, func(int64) int64 { return 0 }},
 	}
 	for name, test := range tests {
 		for _, workers := range []int{50, 100} {
 			t.Run(fmt.Sprint(name, " of ", workers), func(t *testing.T) {
-				made := newBench(t)
-				delete(made.owner.agents, agentAt)
-				placing(made, workers, jobs)
-				looksAfter(made, made.owner.lookout.noteAll)
-				got := looksAfter(made, func() { test.change(made) })
+				made := newHarness(t)
+				delete(made.owner.agents, agentAddress)
+				addFullWorkers(made, workers, jobs)
+				examinedAfter(made, made.owner.lookout.addAll)
+				got := examinedAfter(made, func() { test.change(made) })
 				if want := test.looks(int64(workers)); got != want {
 					t.Errorf("%d looks, want %d", got, want)
 				}
@@ -55,14 +55,14 @@
 	}
 }
 
-// TestWhatHasGrownIsUsedAtOnce: a task that found no place is started with the agent's word that there is room, by a look that
+// TestFreedRoomIsUsedAtOnce: a task that found no place is started with the agent's word that there is room, by a look that
 // goes over no other worker.
-func TestWhatHasGrownIsUsedAtOnce(t *testing.T) {
-	made := newBench(t)
-	placing(made, 20, 2)
-	looksAfter(made, made.owner.lookout.noteAll)
+func TestFreedRoomIsUsedAtOnce(t *testing.T) {
+	made := newHarness(t)
+	addFullWorkers(made, 20, 2)
+	examinedAfter(made, made.owner.lookout.addAll)
 	view := made.owner.agents["10.0.1.7:7001"]
-	looksAfter(made, func() {
+	examinedAfter(made, func() {
 		grown := &wire.AgentMessage{Status: &wire.WorkerStatus{
 			Worker: "7", Service: "verbale", Ready: true, MilliCpu: 32_000, FreeMilliCpu: 9000, MemoryMb: 1000, FreeMemoryMb: 1000,
 		}}
--- a/owner/membership.go
+++ b/owner/membership.go
@@ -22,7 +22,7 @@
 	heard := int64(0)
 	lost := time.Time{}
 	for ctx.Err() == nil {
-		sent, sentAfter := owner.options.Clock.Now(), owner.suspended()
+		sent, sentAfter := owner.options.Clock.Now(), owner.suspendedFor()
 		if owner.renew.Load() {
 			if err := owner.leaveGroup(ctx, job.OwnersGroup, owner.Member()); err != nil {
 				lost = owner.noteStoreLost(ctx, lost, sent, err)
--- a/owner/obstacle.go
+++ b/owner/obstacle.go
@@ -7,33 +7,33 @@
 type obstacle string
 
 const (
-	unobstructed        obstacle = ""
-	wrongService        obstacle = "service"
-	domainEvacuated     obstacle = "evacuation"
-	lacksLabel          obstacle = "label"
-	holdsEnough         obstacle = "spread"
-	inDoubt             obstacle = "doubt"
-	hasSuspect          obstacle = "suspect"
-	lacksIdleProcessors obstacle = "idle processors"
-	wouldDisturb        obstacle = "interference"
-	lacksTicket         obstacle = "advice"
-	noWorkers           obstacle = "workers"
+	obstacleNone           obstacle = ""
+	obstacleService        obstacle = "service"
+	obstacleEvacuation     obstacle = "evacuation"
+	obstacleLabel          obstacle = "label"
+	obstacleSpread         obstacle = "spread"
+	obstacleProbation      obstacle = "doubt"
+	obstacleSuspect        obstacle = "suspect"
+	obstacleIdleProcessors obstacle = "idle processors"
+	obstacleInterference   obstacle = "interference"
+	obstacleTicket         obstacle = "advice"
+	obstacleNoWorkers      obstacle = "workers"
 )
 
-// mainObstacle returns what keeps a task from most of the workers that run its service.
-func mainObstacle(task *job.Task, workers []*candidate) obstacle {
+// mostCommonObstacle returns what keeps a task from most of the workers that run its service.
+func mostCommonObstacle(task *job.Task, workers []*candidate) obstacle {
 	counts := map[obstacle]int{}
 	for _, worker := range workers {
 		found := worker.obstacleTo(task)
-		if found == unobstructed {
+		if found == obstacleNone {
 			// It would fit, so what is missing is the leave to run there.
-			found = lacksTicket
+			found = obstacleTicket
 		}
-		if found != wrongService {
+		if found != obstacleService {
 			counts[found]++
 		}
 	}
-	main := noWorkers
+	main := obstacleNoWorkers
 	for found, count := range counts {
 		if count > counts[main] || count == counts[main] && found < main {
 			main = found
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -106,7 +106,7 @@
 	applied      chan struct{}
 	// present is nil while the entry does not offer itself as an owner. Only the candidacy changes it, and
 	// Leave once that has ended.
-	present *standing
+	present *membership
 	// renew has the membership leave the group before it joins. A process that
 	// comes back before it was missed would else be dealt its shards under the
 	// epoch that it wrote with before, and a late append of its earlier life
@@ -121,7 +121,7 @@
 	withdrawn bool
 	// knowledge is what is known of evacuations.
 	knowledge operator.Knowledge
-	lookout   lookout
+	lookout   placementChanges
 	// looked counts the workers that were looked at for a place, once for each job, since the meters were set.
 	looked int64
 	// publishedAt is when what agents are told of interference was last worked out.
@@ -147,11 +147,11 @@
 		sent:         traffic.New(options.Meters),
 		meters:       newMeters(options.Meters),
 		advised:      adviceQueue{steps: map[string]*stepAdvice{}},
-		lookout:      newLookout(),
+		lookout:      newPlacementChanges(),
 	}
 	made.renew.Store(true)
 	if options.Suspended != nil {
-		made.decisions.WatchSuspension(options.Suspended, made.noteSuspended)
+		made.decisions.WatchSuspension(options.Suspended, made.handleSuspension)
 	}
 	return made
 }
@@ -159,7 +159,7 @@
 // Run schedules until ctx ends.
 func (owner *Owner) Run(ctx context.Context) {
 	owner.ctx = ctx
-	go owner.keepCandidacy(owner.applying)
+	go owner.runCandidacy(owner.applying)
 	owner.decisions.Run(ctx, stepEvery, owner.step)
 	owner.stopApplying()
 }
@@ -196,8 +196,8 @@
 	for _, view := range owner.agents {
 		owner.giveUpSilent(view, now)
 	}
-	if owner.lookout.due(now) {
-		owner.place(owner.lookout.take(now), now)
+	if owner.lookout.isDue(now) {
+		owner.placeJobs(owner.lookout.take(now), now)
 	}
 	for _, held := range owner.shards {
 		owner.flush(held, now)
@@ -208,7 +208,7 @@
 	}
 	owner.gauge(now)
 	owner.sent.Log(owner.ctx, owner.options.Events, now)
-	owner.forgetAdvice(now)
+	owner.expireAdvice(now)
 }
 
 func (owner *Owner) log(code event.Code, attributes ...slog.Attr) {
--- a/owner/placebench_test.go
+++ b/owner/placebench_test.go
@@ -15,23 +15,23 @@
 	for _, workers := range []int{80, 300, 800, 1600} {
 		for _, jobs := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("workers=%d/jobs=%d", workers, jobs), func(b *testing.B) {
-				made := newBench(b)
-				placing(made, workers, jobs)
+				made := newHarness(b)
+				addFullWorkers(made, workers, jobs)
 				b.ReportAllocs()
 				for b.Loop() {
-					made.owner.lookout.noteRoom(made.owner.agents["10.0.1.7:7001"])
-					made.owner.place(made.owner.lookout.take(made.clock.Now()), made.clock.Now())
+					made.owner.lookout.addWorker(made.owner.agents["10.0.1.7:7001"])
+					made.owner.placeJobs(made.owner.lookout.take(made.clock.Now()), made.clock.Now())
 				}
 			})
 		}
 	}
 }
 
-// placing has an owner look at workers without room, for jobs of 27 tasks that wait.
-func placing(made *bench, workers, jobs int) {
+// addFullWorkers has an owner look at workers without room, for jobs of 27 tasks that wait.
+func addFullWorkers(made *harness, workers, jobs int) {
 	for number := range jobs {
-		made.submitChanged(func(handed *job.Submission) {
-			handed.Id = idInShard(made.held.number, number)
+		made.submitWith(func(handed *job.Submission) {
+			handed.Id = jobIDInShard(made.shard.number, number)
 			handed.Steps[0] = &job.StepSpec{Count: 27, MilliCpu: 9000, MemoryMb: 1, Image: "counter"}
 		})
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// idInShard returns the number-th ID of a job of a shard.
-func idInShard(shard, number int) string {
+// jobIDInShard returns the number-th ID of a job of a shard.
+func jobIDInShard(shard, number int) string {
 	for try := 0; ; try++ {
 		id := fmt.Sprintf("%016x", try)
 		if job.ShardOf(id, 8) != shard {
--- a/owner/preempt.go
+++ b/owner/preempt.go
@@ -10,9 +10,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// preemptEvery keeps requests to make room at one worker apart: a stop takes up to
+// preemptInterval keeps requests to make room at one worker apart: a stop takes up to
 // half a second, and the room that it makes has to be told.
-const preemptEvery = 700 * time.Millisecond
+const preemptInterval = 700 * time.Millisecond
 
 // preemptFor asks the worker that has to stop the least for it to make room for a
 // task that found no place. Tasks that fill wait instead: they take what is left. It reports whether
@@ -21,36 +21,36 @@
 	if task.Spec().GetFills() || task.Spec().GetGang() {
 		return false
 	}
-	best := owner.leastToStop(task, workers, now)
+	best := owner.preemptionTarget(task, workers, now)
 	if best == nil {
 		return false
 	}
-	owner.orderPreemption(task, best, now)
+	owner.addPreemptOrder(task, best, now)
 	return true
 }
 
-// leastToStop returns the worker that misses the least of its own room for a task, of
+// preemptionTarget returns the worker that misses the least of its own room for a task, of
 // those where the task would fit once what is less urgent has been stopped; nil if
 // there is none. Where it fits already, or has no ticket, room is not what it lacks.
-func (owner *Owner) leastToStop(task *job.Task, workers []*candidate, now time.Time) *candidate {
+func (owner *Owner) preemptionTarget(task *job.Task, workers []*candidate, now time.Time) *candidate {
 	var best *candidate
 	least := 0.0
 	for _, worker := range workers {
-		if now.Sub(worker.view.preemptedAt) < preemptEvery || worker.fits(task) || !worker.fitsOnceReclaimed(task) {
+		if now.Sub(worker.view.preemptedAt) < preemptInterval || worker.fits(task) || !worker.fitsAfterReclaim(task) {
 			continue
 		}
-		if _, allowed := owner.ticket(task, worker.view.incarnation(), now); !allowed {
+		if _, allowed := owner.ticketFor(task, worker.view.incarnation(), now); !allowed {
 			continue
 		}
-		if missing := worker.missing(task); best == nil || missing < least {
+		if missing := worker.shortage(task); best == nil || missing < least {
 			best, least = worker, missing
 		}
 	}
 	return best
 }
 
-// orderPreemption has a worker's agent make room for a task, with the next message.
-func (owner *Owner) orderPreemption(task *job.Task, worker *candidate, now time.Time) {
+// addPreemptOrder has a worker's agent make room for a task, with the next message.
+func (owner *Owner) addPreemptOrder(task *job.Task, worker *candidate, now time.Time) {
 	view := worker.view
 	view.preemptedAt = now
 	demand := demandOf(task, now)
@@ -63,24 +63,24 @@
 		slog.Int64("milli_cpu", demand.GetMilliCpu()), slog.Int64("free_milli_cpu", worker.free.MilliCPU))
 }
 
-// missing returns what a task lacks at the worker, in shares of what the worker has,
+// shortage returns what a task lacks at the worker, in shares of what the worker has,
 // added up; 0 if there is room.
-func (worker *candidate) missing(task *job.Task) float64 {
+func (worker *candidate) shortage(task *job.Task) float64 {
 	spec, status := task.Spec(), worker.view.status()
-	return lacking(spec.GetMilliCpu(), worker.free.MilliCPU, status.GetMilliCpu()) +
-		lacking(spec.GetMemoryMb(), worker.free.MemoryMB(), status.GetMemoryMb()) +
-		lacking(spec.GetAccelerators(), worker.free.Accelerators, status.GetAccelerators())
+	return shortfall(spec.GetMilliCpu(), worker.free.MilliCPU, status.GetMilliCpu()) +
+		shortfall(spec.GetMemoryMb(), worker.free.MemoryMB(), status.GetMemoryMb()) +
+		shortfall(spec.GetAccelerators(), worker.free.Accelerators, status.GetAccelerators())
 }
 
-// lacking returns how much of something is wanted beyond what is free, as a share of
+// shortfall returns how much of something is wanted beyond what is free, as a share of
 // the whole.
-func lacking(wanted, free, whole int64) float64 {
+func shortfall(wanted, free, whole int64) float64 {
 	return float64(max(wanted-free, 0)) / float64(max(whole, 1))
 }
 
-// fitsOnceReclaimed reports whether a task fits once what is less urgent has been
+// fitsAfterReclaim reports whether a task fits once what is less urgent has been
 // stopped.
-func (worker *candidate) fitsOnceReclaimed(task *job.Task) bool {
+func (worker *candidate) fitsAfterReclaim(task *job.Task) bool {
 	freed := *worker
 	for _, known := range worker.view.status().GetReclaimable() {
 		if known.GetPriority() > task.Job().Submission().GetPriority() {
--- a/owner/preempt_test.go
+++ b/owner/preempt_test.go
@@ -24,20 +24,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			made.submitChanged(func(handed *job.Submission) { test.change(handed.Steps[0]) })
+			made := newHarness(t)
+			made.submitWith(func(handed *job.Submission) { test.change(handed.Steps[0]) })
 			made.attach()
-			status := emptyWorker()
+			status := idleWorkerStatus()
 			status.FreeMemoryMb = 20
 			status.Reclaimable = []*wire.Reclaimable{test.reclaimable}
 			for range 4 {
 				made.owner.joinedAt = made.clock.Now()
-				made.hear(&wire.AgentMessage{Status: status})
+				made.receive(&wire.AgentMessage{Status: status})
 				made.step()
 				made.clock.Advance(100 * time.Millisecond)
 			}
 			asks := 0
-			for _, message := range made.sent() {
+			for _, message := range made.takeSent() {
 				asks += len(message.GetPreempts())
 			}
 			if asks != test.asks {
@@ -47,27 +47,27 @@
 	}
 }
 
-// TestRoomIsNotWhatIsMissing: nothing is asked for where the task fits already, or
+// TestNoPreemptionWhenRoomIsNotTheObstacle: nothing is asked for where the task fits already, or
 // waits for a ticket.
-func TestRoomIsNotWhatIsMissing(t *testing.T) {
+func TestNoPreemptionWhenRoomIsNotTheObstacle(t *testing.T) {
 	tests := map[string]struct {
 		change func(handed *job.Submission)
 		free   int64
 	}{
 		"it fits, the worker is avoided": {func(*job.Submission) {}, 4000},
-		"it waits for a ticket":          {func(handed *job.Submission) { handed.Advice = terms() }, 20},
+		"it waits for a ticket":          {func(handed *job.Submission) { handed.Advice = adviceTiming() }, 20},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			of := made.submitChanged(test.change)
+			made := newHarness(t)
+			of := made.submitWith(test.change)
 			made.attach()
-			status := emptyWorker()
+			status := idleWorkerStatus()
 			status.FreeMemoryMb = test.free
 			status.Reclaimable = []*wire.Reclaimable{{Priority: 2, MemoryMb: 500}}
-			made.hear(&wire.AgentMessage{Status: status})
+			made.receive(&wire.AgentMessage{Status: status})
 			now := made.clock.Now()
-			if worker := made.owner.leastToStop(of.Tasks()[0], made.owner.candidates(made.owner.views(), now), now); worker != nil {
+			if worker := made.owner.preemptionTarget(of.Tasks()[0], made.owner.candidates(made.owner.agentViews(), now), now); worker != nil {
 				t.Error("a worker is asked to make room")
 			}
 		})
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -18,7 +18,7 @@
 	if message.GetAgent() != "" && view.id != message.GetAgent() {
 		view.id = message.GetAgent()
 		view.failures = 0
-		owner.forgetLearned(view)
+		owner.removeLearned(view)
 	}
 	if !view.greeted {
 		view.greeted = true
@@ -30,7 +30,7 @@
 	view.noteAnswered(message.GetHandled(), now)
 	before := view.incarnation()
 	if view.heard.Apply(message) {
-		owner.lookout.noteRoom(view)
+		owner.lookout.addWorker(view)
 	}
 	if view.incarnation() != before {
 		// Doubts are about a life: what failed on one says nothing of the next.
@@ -46,7 +46,7 @@
 	if message.GetComplete() {
 		owner.reconcile(view, message, now)
 	}
-	owner.noteLearned(view, message.GetLearned())
+	owner.updateLearned(view, message.GetLearned())
 }
 
 // noteReflected marks the runs that the agent's account of its room includes.
@@ -78,7 +78,7 @@
 			// have been carried out by the next one.
 			entry.place.Incarnation = worker
 			owner.noteListed(view, entry, run, now)
-			owner.noteProgressOf(view, entry, run, now)
+			owner.checkProgress(view, entry, run, now)
 			continue
 		}
 		owner.noteUnlisted(view, entry, worker, now)
--- a/owner/reconcile_test.go
+++ b/owner/reconcile_test.go
@@ -15,8 +15,8 @@
 // it gave up. The case that forced it: after all processes had been killed, tasks
 // were started a second time beside their first runs.
 func TestInheritedRunWaitsOutItsGrant(t *testing.T) {
-	made := newBench(t)
-	of := made.inherit(life)
+	made := newHarness(t)
+	of := made.adoptRun(workerID)
 	made.step()
 	made.clock.Advance(grantAlone)
 	made.owner.joinedAt = made.clock.Now()
@@ -34,26 +34,26 @@
 // TestInheritedRunIsReleasedWhereItsAgentLacksIt: once the agent has heard of the
 // claim, no order of an earlier owner can start anything.
 func TestInheritedRunIsReleasedWhereItsAgentLacksIt(t *testing.T) {
-	made := newBench(t)
-	of := made.inherit(life)
+	made := newHarness(t)
+	of := made.adoptRun(workerID)
 	made.attach()
-	made.hear(&wire.AgentMessage{Complete: true})
+	made.receive(&wire.AgentMessage{Complete: true})
 	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released before the agent had heard of the claim")
 	}
 	made.step()
-	made.sent()
-	made.hear(&wire.AgentMessage{Complete: true})
+	made.takeSent()
+	made.receive(&wire.AgentMessage{Complete: true})
 	if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
 		t.Error("not released although the agent lacks it")
 	}
 }
 
 func TestSilentAgentKeepsItsRunsUntilTheGrantEnds(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	of := made.submit()
 	made.attachAndStart()
-	made.owner.noteDetached(made.view, made.view.link, context.Canceled)
+	made.owner.noteDetached(made.agent, made.agent.link, context.Canceled)
 	made.clock.Advance(6 * time.Second)
 	made.step()
 	if of.Tasks()[0].Attempt() != 1 || of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
@@ -69,14 +69,14 @@
 // TestAnotherIncarnationEndsTheRuns: the case that forced it left lasting tasks
 // waiting for twenty seconds after all machines had lost power.
 func TestAnotherIncarnationEndsTheRuns(t *testing.T) {
-	made := newBench(t)
-	of := made.inherit("i-0")
+	made := newHarness(t)
+	of := made.adoptRun("i-0")
 	made.attach()
-	made.hear(&wire.AgentMessage{Complete: true, Status: &wire.WorkerStatus{}})
+	made.receive(&wire.AgentMessage{Complete: true, Status: &wire.WorkerStatus{}})
 	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released while the agent knows of no worker")
 	}
-	made.hear(&wire.AgentMessage{Complete: true})
+	made.receive(&wire.AgentMessage{Complete: true})
 	if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
 		t.Error("not released although another incarnation stands there")
 	}
@@ -89,14 +89,14 @@
 	tests := map[string]bool{"read before the shard": true, "read after the shard": false}
 	for name, before := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
+			made := newHarness(t)
 			of := made.submit()
-			of.StartRun(of.Tasks()[0], job.Place{Incarnation: incarnation.New(life, 0), AgentAddress: agentAt}, made.clock.Now())
-			registered := platform.Tail{Records: []platform.Record{record(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAt, Ended: []string{life}})}}
+			of.StartRun(of.Tasks()[0], job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, made.clock.Now())
+			registered := platform.Tail{Records: []platform.Record{newRecord(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}})}}
 			if before {
 				made.owner.noteAgents(registered, made.clock.Now())
 			}
-			made.owner.adoptRuns(made.held, made.clock.Now())
+			made.owner.adoptRuns(made.shard, made.clock.Now())
 			if !before {
 				made.owner.noteAgents(registered, made.clock.Now())
 			}
@@ -108,16 +108,16 @@
 }
 
 func TestNoGrantOnceOwnershipMayBeGone(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	made.attach()
 	made.step()
-	if got := made.sent(); len(got) == 0 || got[len(got)-1].GetGrantUntilNanos() == 0 {
+	if got := made.takeSent(); len(got) == 0 || got[len(got)-1].GetGrantUntilNanos() == 0 {
 		t.Fatalf("no grant at first: %v", got)
 	}
 	made.clock.Advance(grantAlone + time.Second)
-	made.hear(&wire.AgentMessage{})
+	made.receive(&wire.AgentMessage{})
 	made.step()
-	for _, message := range made.sent() {
+	for _, message := range made.takeSent() {
 		if message.GetGrantUntilNanos() != 0 {
 			t.Error("granted without word from the store for longer than another owner waits")
 		}
@@ -125,13 +125,13 @@
 }
 
 func TestStrayRunIsStopped(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	made.submit()
 	made.attach()
-	made.hear(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: taskOne, Attempt: 9}}})
+	made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 9}}})
 	made.step()
 	stops := 0
-	for _, message := range made.sent() {
+	for _, message := range made.takeSent() {
 		stops += len(message.GetStops())
 	}
 	if stops != 1 {
@@ -144,12 +144,12 @@
 func TestUnprovenWorkerReplacesNone(t *testing.T) {
 	for name, ready := range map[string]bool{"it has not answered": false, "it has answered": true} {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
+			made := newHarness(t)
 			of := made.submit()
 			made.attachAndStart()
-			status := emptyWorker()
+			status := idleWorkerStatus()
 			status.Worker, status.Ready = "i-0", ready
-			made.hear(&wire.AgentMessage{Status: status, Complete: true})
+			made.receive(&wire.AgentMessage{Status: status, Complete: true})
 			if released := of.Tasks()[0].State() == job.TaskState_TASK_WAITING; released != ready {
 				t.Errorf("the task waits again: %v", released)
 			}
--- a/owner/records.go
+++ b/owner/records.go
@@ -28,7 +28,7 @@
 	held.live[made.ID()] = made
 	if held.active {
 		made.RebaseObjective(now)
-		owner.lookout.noteJob(made)
+		owner.lookout.addJob(made)
 	}
 	if held.cancelled[made.ID()] {
 		owner.cancelJob(held, made, now)
@@ -105,8 +105,8 @@
 // freed has the job's progress written after a run is over, and places looked for what may start now.
 func (owner *Owner) freed(held *shard, made *job.Job, view *agentView) {
 	owner.changed(held, made)
-	owner.lookout.noteJob(made)
-	owner.lookout.noteRoom(view)
+	owner.lookout.addJob(made)
+	owner.lookout.addWorker(view)
 }
 
 func (owner *Owner) logEnded(held *shard, made *job.Job) {
--- a/owner/remember.go
+++ b/owner/remember.go
@@ -59,7 +59,7 @@
 // reports false once this owner is not to write any more.
 func (owner *Owner) writeLearned(record *learnedRecord) bool {
 	var learned []*job.Interference
-	if !owner.decisions.Ask(record.held.ctx, func(time.Time) { learned = record.held.learned.without(nil) }) {
+	if !owner.decisions.Ask(record.held.ctx, func(time.Time) { learned = record.held.learned.meansExcluding(nil) }) {
 		return false
 	}
 	value, err := proto.Marshal(&job.Learned{Pairs: forRemembering(learned)})
@@ -123,7 +123,7 @@
 	if owner.shards[held.number] != held || len(remembered) == 0 {
 		return
 	}
-	held.learned.remember(remembered)
+	held.learned.addStored(remembered)
 	owner.publishedAt = time.Time{}
 	for _, view := range owner.agents {
 		view.sharedAt = time.Time{}
--- a/owner/remember_test.go
+++ b/owner/remember_test.go
@@ -9,7 +9,7 @@
 
 // sharedShard has the bench's owner own the shard whose owner puts together what has
 // been learned.
-func (made *bench) sharedShard(ctx context.Context, epoch int64) *shard {
+func (made *harness) sharedShard(ctx context.Context, epoch int64) *shard {
 	held := newShard(ctx, job.InterferenceShard, epoch, made.clock.Now())
 	held.active = true
 	made.owner.shards[job.InterferenceShard] = held
@@ -32,9 +32,9 @@
 func TestLearnedIsKept(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	made := newBench(t)
+	made := newHarness(t)
 	held := made.sharedShard(ctx, 4)
-	held.learned.note(made.view, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
+	held.learned.update(made.agent, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
 	go made.owner.keepLearned(held)
 	made.owner.decisions.RunOne(made.clock.Now()) // Nothing is remembered yet.
 	for range 2 {
@@ -52,20 +52,20 @@
 		t.Errorf("%d appends", appends)
 	}
 
-	after := newBench(t)
+	after := newHarness(t)
 	after.store = made.store
 	after.owner = newOwner(t, after.clock, made.store)
 	after.owner.ctx = ctx
-	after.owner.agents[agentAt] = after.view
+	after.owner.agents[agentAddress] = after.agent
 	next := after.sharedShard(ctx, 5)
-	after.view.sharedAt = after.clock.Now()
+	after.agent.sharedAt = after.clock.Now()
 	go after.owner.keepLearned(next)
 	after.owner.decisions.RunOne(after.clock.Now())
-	weight, readings := weightOf(next.learned.without(after.view))
+	weight, readings := weightOf(next.learned.meansExcluding(after.agent))
 	if weight != 0.5 || readings != rememberedReadings {
 		t.Errorf("the next owner tells a weight of %v by %d readings", weight, readings)
 	}
-	if !after.view.sharedAt.IsZero() {
+	if !after.agent.sharedAt.IsZero() {
 		t.Error("the agent is not told at once")
 	}
 }
--- a/owner/runs.go
+++ b/owner/runs.go
@@ -39,7 +39,7 @@
 	waited, obstacle := task.UnplacedFor(now)
 	made.StartRun(task, job.Place{Incarnation: view.incarnation(), AgentAddress: view.address}, now)
 	entry := newEntry(held, task, now)
-	entry.ticket, _ = owner.ticket(task, entry.place.Incarnation, now)
+	entry.ticket, _ = owner.ticketFor(task, entry.place.Incarnation, now)
 	view.runs[entry.name] = entry
 	if task.IsSuspect() {
 		view.suspectUntil = now.Add(suspectsApart)
@@ -62,7 +62,7 @@
 		owner.release(view, entry, "its place went away before the order", now)
 		return
 	}
-	if owner.evacuated(view) {
+	if owner.isEvacuated(view) {
 		owner.release(view, entry, "its failure domain was evacuated before the order", now)
 		return
 	}
--- a/owner/shard.go
+++ b/owner/shard.go
@@ -163,7 +163,7 @@
 	held.active = true
 	held.next = jobs.Next
 	owner.adoptRuns(held, now)
-	owner.lookout.noteAll()
+	owner.lookout.addAll()
 	owner.log(event.ShardLoaded, slog.Int("shard", held.number), slog.Int64("epoch", held.epoch),
 		slog.Int("jobs", len(held.jobs)), slog.Int("live", len(held.live)), slog.Duration("after", now.Sub(held.takenAt)))
 }
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -11,48 +11,48 @@
 )
 
 func TestOrderOnlyOnceTheStartIsInTheStore(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	made.submit()
 	made.attach()
 	made.step()
-	if got := starts(made.sent()); len(got) != 0 {
+	if got := startOrders(made.takeSent()); len(got) != 0 {
 		t.Fatalf("ordered before the store had it: %v", got)
 	}
-	made.settle()
-	if _, kept := made.store.Newest(job.TopicRuns, made.held.number, jobID); !kept {
+	made.awaitWrites()
+	if _, kept := made.store.Newest(job.TopicRuns, made.shard.number, jobID); !kept {
 		t.Fatal("the start is not in the store")
 	}
 	made.step()
-	if got := starts(made.sent()); len(got) != 1 || got[0].GetTask() != taskOne || got[0].GetEpoch() != 3 {
+	if got := startOrders(made.takeSent()); len(got) != 1 || got[0].GetTask() != firstTask || got[0].GetEpoch() != 3 {
 		t.Errorf("ordered: %v", got)
 	}
 }
 
 func TestEndIsSeenOnlyOnceItIsInTheStore(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	of := made.submit()
 	made.attachAndStart()
-	made.hear(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: life, Number: 4, Task: taskOne, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
+	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 4, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
 	if of.State() != job.State_STATE_COMPLETED {
 		t.Fatalf("state %v", of.State())
 	}
-	if shown := made.held.shown(of); shown != job.State_STATE_RUNNING {
+	if shown := made.shard.shown(of); shown != job.State_STATE_RUNNING {
 		t.Errorf("shown as %v before the store had it", shown)
 	}
 	made.step()
-	for _, message := range made.sent() {
+	for _, message := range made.takeSent() {
 		if len(message.GetSeen()) > 0 {
 			t.Error("seen before the store had it")
 		}
 	}
-	made.settle()
+	made.awaitWrites()
 	made.step()
 	seen := 0
-	for _, message := range made.sent() {
+	for _, message := range made.takeSent() {
 		seen += len(message.GetSeen())
 	}
-	if seen != 1 || made.held.shown(of) != job.State_STATE_COMPLETED {
-		t.Errorf("seen %d, shown %v", seen, made.held.shown(of))
+	if seen != 1 || made.shard.shown(of) != job.State_STATE_COMPLETED {
+		t.Errorf("seen %d, shown %v", seen, made.shard.shown(of))
 	}
 }
 
@@ -60,12 +60,12 @@
 // The case that forced it: after the store had dropped its history a job ran on
 // that had been cancelled.
 func TestCancellationReadBeforeItsJob(t *testing.T) {
-	made := newBench(t)
-	made.read(
-		record(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}),
-		record(t, job.SubmissionKey(jobID), submission()),
+	made := newHarness(t)
+	made.readRecords(
+		newRecord(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}),
+		newRecord(t, job.SubmissionKey(jobID), newSubmission()),
 	)
-	if got := made.held.jobs[jobID].State(); got != job.State_STATE_CANCELLED {
+	if got := made.shard.jobs[jobID].State(); got != job.State_STATE_CANCELLED {
 		t.Errorf("state %v", got)
 	}
 }
@@ -73,26 +73,26 @@
 // TestOldJobsAreForgotten: an ended job is known for as long as it must be, and
 // then dropped from the store too.
 func TestOldJobsAreForgotten(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	made.owner.options.StatusKept = 2 * time.Minute
 	of := made.submit()
-	made.owner.cancelJob(made.held, of, made.clock.Now())
+	made.owner.cancelJob(made.shard, of, made.clock.Now())
 	made.step()
-	made.settle()
+	made.awaitWrites()
 	made.clock.Advance(2*time.Minute + 30*time.Second)
 	made.step()
-	if made.held.jobs[jobID] == nil {
+	if made.shard.jobs[jobID] == nil {
 		t.Fatal("forgotten too early")
 	}
 	made.clock.Advance(time.Minute)
 	made.step()
 	made.owner.decisions.RunOne(made.clock.Now()) // What was handed in is dropped.
 	made.step()
-	made.settle()
-	if made.held.jobs[jobID] != nil {
+	made.awaitWrites()
+	if made.shard.jobs[jobID] != nil {
 		t.Error("not forgotten")
 	}
-	if _, kept := made.store.Newest(job.TopicRuns, made.held.number, jobID); kept {
+	if _, kept := made.store.Newest(job.TopicRuns, made.shard.number, jobID); kept {
 		t.Error("its progress is still in the store")
 	}
 }
@@ -100,25 +100,25 @@
 // TestTakenIsTakenUpOnce: what a gateway tells and what the store's read brings is
 // one job, and a cancellation that is told stops it.
 func TestTakenIsTakenUpOnce(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	tell := func(handed platform.Record) {
-		request := &wire.TakenRequest{Shard: int32(made.held.number), Key: handed.Key, Value: handed.Value}
+		request := &wire.TakenRequest{Shard: int32(made.shard.number), Key: handed.Key, Value: handed.Value}
 		if _, err := made.owner.Taken(context.Background(), request); err != nil {
 			t.Fatal(err)
 		}
 		made.owner.decisions.RunOne(made.clock.Now())
 	}
-	handed := record(t, job.SubmissionKey(jobID), submission())
+	handed := newRecord(t, job.SubmissionKey(jobID), newSubmission())
 	tell(handed)
-	first := made.held.jobs[jobID]
+	first := made.shard.jobs[jobID]
 	if first == nil {
 		t.Fatal("not taken up")
 	}
-	made.read(handed)
-	if made.held.jobs[jobID] != first {
+	made.readRecords(handed)
+	if made.shard.jobs[jobID] != first {
 		t.Error("taken up twice")
 	}
-	tell(record(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
+	tell(newRecord(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
 	if first.State() != job.State_STATE_CANCELLED {
 		t.Errorf("state %v", first.State())
 	}
--- a/owner/share.go
+++ b/owner/share.go
@@ -4,32 +4,32 @@
 	"time"
 )
 
-// shareEvery is how often an agent is told: weights move over seconds.
-const shareEvery = 1500 * time.Millisecond
+// learnedSendInterval is how often an agent is told: weights move over seconds.
+const learnedSendInterval = 1500 * time.Millisecond
 
-// share tells an agent what the readings of all workers have taught: one worker alone sees few of the
+// addLearned tells an agent what the readings of all workers have taught: one worker alone sees few of the
 // pairs of images. An agent that keeps what it is told hears of what has changed since; another one of
 // all that others have learned.
-func (owner *Owner) share(view *agentView, now time.Time) {
-	table := owner.learned()
-	if table == nil || !view.greeted || now.Sub(view.sharedAt) < shareEvery {
+func (owner *Owner) addLearned(view *agentView, now time.Time) {
+	table := owner.learnedTable()
+	if table == nil || !view.greeted || now.Sub(view.sharedAt) < learnedSendInterval {
 		return
 	}
 	view.sharedAt = now
 	if !view.keepsLearned {
-		view.message.Learned = table.without(view)
+		view.message.Learned = table.meansExcluding(view)
 		return
 	}
 	owner.publishLearned(table, now)
 	if view.sharedVersion < table.version {
-		view.message.LearnedByAll = table.since(view.sharedVersion)
+		view.message.LearnedByAll = table.changedSince(view.sharedVersion)
 		view.sharedVersion = table.version
 	}
 }
 
 // publishLearned begins a new version of the table where that is due: once for all agents.
 func (owner *Owner) publishLearned(table *learnedTable, now time.Time) {
-	if now.Sub(owner.publishedAt) < shareEvery {
+	if now.Sub(owner.publishedAt) < learnedSendInterval {
 		return
 	}
 	owner.publishedAt = now
--- a/owner/stall.go
+++ b/owner/stall.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// stallLeast is how long a run may show no progress at least. Agents tell
+	// minStallTimeout is how long a run may show no progress at least. Agents tell
 	// progress once a second, in whole percent.
-	stallLeast = 2500 * time.Millisecond
-	// stallShare adds this share of the estimate: a long task that is slowed
+	minStallTimeout = 2500 * time.Millisecond
+	// stallEstimateRatio adds this share of the estimate: a long task that is slowed
 	// takes long for one percent.
-	stallShare = 0.25
-	// fullPercent is the progress of a run at full work.
-	fullPercent = 100
+	stallEstimateRatio = 0.25
+	// fullProgressPercent is the progress of a run at full work.
+	fullProgressPercent = 100
 )
 
-// noteProgressOf stops a run that stands still, so that its task goes on at
+// checkProgress stops a run that stands still, so that its task goes on at
 // another worker.
-func (owner *Owner) noteProgressOf(view *agentView, entry *runEntry, run *wire.RunStatus, now time.Time) {
+func (owner *Owner) checkProgress(view *agentView, entry *runEntry, run *wire.RunStatus, now time.Time) {
 	if run.GetPercent() != entry.percent || entry.movedAt.IsZero() {
 		entry.percent = run.GetPercent()
 		entry.movedAt = now
 		return
 	}
 	spec := entry.task.Spec()
-	if spec.GetLasting() && run.GetPercent() >= fullPercent || spec.GetGang() {
+	if spec.GetLasting() && run.GetPercent() >= fullProgressPercent || spec.GetGang() {
 		return
 	}
-	limit := stallLeast + time.Duration(stallShare*float64(spec.GetEstimateMs()))*time.Millisecond
+	limit := minStallTimeout + time.Duration(stallEstimateRatio*float64(spec.GetEstimateMs()))*time.Millisecond
 	if now.Sub(entry.movedAt) < limit || now.Sub(entry.stopAt) < stopAgain {
 		return
 	}
--- a/owner/stall_test.go
+++ b/owner/stall_test.go
@@ -8,9 +8,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestStandingStillMovesOn: a run without progress is stopped, one with progress
+// TestStalledRunIsStopped: a run without progress is stopped, one with progress
 // or at full work is not.
-func TestStandingStillMovesOn(t *testing.T) {
+func TestStalledRunIsStopped(t *testing.T) {
 	tests := map[string]struct {
 		lasting  bool
 		percents []int32
@@ -23,16 +23,16 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			made.submitChanged(func(handed *job.Submission) { handed.Steps[0].Lasting = test.lasting })
+			made := newHarness(t)
+			made.submitWith(func(handed *job.Submission) { handed.Steps[0].Lasting = test.lasting })
 			made.attachAndStart()
 			stops := 0
 			for _, percent := range test.percents {
 				made.clock.Advance(time.Second)
 				made.owner.joinedAt = made.clock.Now()
-				made.hear(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: taskOne, Attempt: 1, Percent: percent}}})
+				made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1, Percent: percent}}})
 				made.step()
-				for _, message := range made.sent() {
+				for _, message := range made.takeSent() {
 					stops = max(stops, len(message.GetStops()))
 				}
 			}
--- a/owner/standing.go
+++ b/owner/standing.go
@@ -14,57 +14,57 @@
 )
 
 const (
-	// applyEvery is how often an entry asks for its seat again.
-	applyEvery = time.Second
-	// seatSilent is after how long without a word the store deals an entry's seats to others. Shards pass on
+	// seatRenewInterval is how often an entry asks for its seat again.
+	seatRenewInterval = time.Second
+	// seatTimeout is after how long without a word the store deals an entry's seats to others. Shards pass on
 	// much sooner, to those that stand; a process that comes back within this time has its seat at once.
-	seatSilent = 10 * time.Second
+	seatTimeout = 10 * time.Second
 )
 
-// standing is one period in which the entry offers itself as an owner: it is a member of the group of owners
+// membership is one period in which the entry offers itself as an owner: it is a member of the group of owners
 // and connected to all agents.
-type standing struct {
-	// joining ends the membership, joined is closed once it has ended.
-	joining     context.Context
-	stopJoining context.CancelFunc
-	joined      chan struct{}
-	// stopFollowing ends the connections to agents.
-	stopFollowing context.CancelFunc
+type membership struct {
+	// joinCtx ends the membership, joined is closed once it has ended.
+	joinCtx    context.Context
+	cancelJoin context.CancelFunc
+	joinDone   chan struct{}
+	// disconnectAgents ends the connections to agents.
+	disconnectAgents context.CancelFunc
 }
 
-// keepCandidacy has the entry offer itself as an owner while it is a candidate, until ctx ends.
-func (owner *Owner) keepCandidacy(ctx context.Context) {
+// runCandidacy has the entry offer itself as an owner while it is a candidate, until ctx ends.
+func (owner *Owner) runCandidacy(ctx context.Context) {
 	defer close(owner.applied)
-	seat := candidacy.New(candidacy.Options{Self: entryOf(owner.Member()), Shards: owner.options.Shards})
+	seat := candidacy.New(candidacy.Options{Self: entryOfMember(owner.Member()), Shards: owner.options.Shards})
 	heard := int64(0)
 	lost := time.Time{}
 	for ctx.Err() == nil {
 		asked := owner.options.Clock.Now()
-		owner.look(ctx, seat)
-		generation, err := owner.keepSeat(ctx, seat, heard)
+		owner.refreshCandidacy(ctx, seat)
+		generation, err := owner.renewSeat(ctx, seat, heard)
 		// Whether it is among the first by rank is known before it connects to all agents.
-		owner.lookAtHolders(ctx, seat)
+		owner.refreshSeatHolders(ctx, seat)
 		if err != nil {
 			lost = owner.noteStoreLost(ctx, lost, asked, err)
 		} else {
 			owner.noteStoreBack(ctx, lost, asked)
 			lost = time.Time{}
 		}
-		if !owner.stand(ctx, seat) {
+		if !owner.updateMembership(ctx, seat) {
 			return
 		}
 		// Naming a new generation at once hands over what is no longer held.
 		named := generation == heard || !seat.WantsSeat()
 		heard = generation
 		if named {
-			owner.sleep(ctx, applyEvery)
+			owner.sleep(ctx, seatRenewInterval)
 		}
 	}
 }
 
-// keepSeat asks for a seat or leaves it, as the candidacy says. It returns the generation that the store named last, 0
+// renewSeat asks for a seat or leaves it, as the candidacy says. It returns the generation that the store named last, 0
 // once the entry has left.
-func (owner *Owner) keepSeat(ctx context.Context, seat *candidacy.Candidacy, heard int64) (int64, error) {
+func (owner *Owner) renewSeat(ctx context.Context, seat *candidacy.Candidacy, heard int64) (int64, error) {
 	if seat.WantsSeat() {
 		return owner.applyForSeat(ctx, seat, heard)
 	}
@@ -77,26 +77,26 @@
 	return 0, nil
 }
 
-// look finds out what the candidacy needs to know.
-func (owner *Owner) look(ctx context.Context, seat *candidacy.Candidacy) {
+// refreshCandidacy finds out what the candidacy needs to know.
+func (owner *Owner) refreshCandidacy(ctx context.Context, seat *candidacy.Candidacy) {
 	if seat.NeedsOwners(owner.options.Clock.Now()) {
-		owner.lookAt(ctx, job.OwnersGroup, seat.ObserveOwners)
+		owner.queryHolders(ctx, job.OwnersGroup, seat.ObserveOwners)
 	}
 	if seat.NeedsAgentCount() {
 		owner.countAgents(ctx, seat)
 	}
-	owner.lookAtHolders(ctx, seat)
+	owner.refreshSeatHolders(ctx, seat)
 }
 
-func (owner *Owner) lookAtHolders(ctx context.Context, seat *candidacy.Candidacy) {
+func (owner *Owner) refreshSeatHolders(ctx context.Context, seat *candidacy.Candidacy) {
 	if seat.NeedsSeatHolders(owner.options.Clock.Now()) {
-		owner.lookAt(ctx, job.SeatsGroup, seat.ObserveSeatHolders)
+		owner.queryHolders(ctx, job.SeatsGroup, seat.ObserveSeatHolders)
 	}
 }
 
-// lookAt has note take in which entries hold something of a group. What the store does not say is asked for again, and
+// queryHolders has note take in which entries hold something of a group. What the store does not say is asked for again, and
 // the entry goes on as it is until then.
-func (owner *Owner) lookAt(ctx context.Context, group string, note func(holders []candidacy.Entry, now time.Time)) {
+func (owner *Owner) queryHolders(ctx context.Context, group string, note func(holders []candidacy.Entry, now time.Time)) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	members, err := owner.options.Store.Holders(ctx, group)
@@ -106,13 +106,13 @@
 	}
 	var holders []candidacy.Entry
 	for _, member := range members {
-		holders = append(holders, entryOf(member))
+		holders = append(holders, entryOfMember(member))
 	}
 	note(holders, owner.options.Clock.Now())
 }
 
-// entryOf returns the entry with a member's name. One of an earlier build does not say what its machine bears.
-func entryOf(member string) candidacy.Entry {
+// entryOfMember returns the entry with a member's name. One of an earlier build does not say what its machine bears.
+func entryOfMember(member string) candidacy.Entry {
 	return candidacy.Entry{Name: member, Strong: !strings.HasPrefix(member, weakMark)}
 }
 
@@ -143,7 +143,7 @@
 func (owner *Owner) applyForSeat(ctx context.Context, seat *candidacy.Candidacy, heard int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	silent := max(seatSilent, owner.options.Silent)
+	silent := max(seatTimeout, owner.options.Silent)
 	deal, err := owner.options.Store.Join(ctx, job.SeatsGroup, owner.Member(), job.SeatTopics(), silent, heard)
 	if err != nil {
 		return heard, err
@@ -152,8 +152,8 @@
 	return deal.Generation, nil
 }
 
-// stand begins or ends to stand where the candidacy says so. It reports false once the owner has ended.
-func (owner *Owner) stand(ctx context.Context, seat *candidacy.Candidacy) bool {
+// updateMembership begins or ends to stand where the candidacy says so. It reports false once the owner has ended.
+func (owner *Owner) updateMembership(ctx context.Context, seat *candidacy.Candidacy) bool {
 	stands := false
 	if !owner.decisions.Ask(ctx, func(now time.Time) { stands = seat.Decide(len(owner.shards), now) }) {
 		return false
@@ -161,10 +161,10 @@
 	switch {
 	case stands && owner.present == nil:
 		owner.log(event.CandidacyBegun, slog.Bool("strong", owner.options.Strong))
-		owner.present = owner.beginStanding(ctx)
+		owner.present = owner.beginMembership(ctx)
 	case !stands && owner.present != nil:
 		owner.log(event.CandidacyEnded, slog.Bool("strong", owner.options.Strong))
-		err := owner.endStanding(ctx, "not a candidate any more")
+		err := owner.endMembership(ctx, "not a candidate any more")
 		if err != nil {
 			// The store takes a silent member out by itself.
 			owner.log(event.StoreLost, slog.Any("error", err))
@@ -173,29 +173,29 @@
 	return true
 }
 
-func (owner *Owner) beginStanding(ctx context.Context) *standing {
+func (owner *Owner) beginMembership(ctx context.Context) *membership {
 	owner.decisions.Ask(ctx, func(time.Time) { owner.withdrawn = false })
-	begun := &standing{joined: make(chan struct{})}
-	begun.joining, begun.stopJoining = context.WithCancel(owner.ctx)
+	begun := &membership{joinDone: make(chan struct{})}
+	begun.joinCtx, begun.cancelJoin = context.WithCancel(owner.ctx)
 	following, stopFollowing := context.WithCancel(owner.ctx)
-	begun.stopFollowing = stopFollowing
+	begun.disconnectAgents = stopFollowing
 	owner.renew.Store(true)
 	go func() {
-		defer close(begun.joined)
-		owner.keepMembership(begun.joining)
+		defer close(begun.joinDone)
+		owner.keepMembership(begun.joinCtx)
 	}()
 	owner.followAgents(following)
 	return begun
 }
 
-// endStanding gives all shards up, so that others take them at once, and leaves the agents.
-func (owner *Owner) endStanding(ctx context.Context, reason string) error {
+// endMembership gives all shards up, so that others take them at once, and leaves the agents.
+func (owner *Owner) endMembership(ctx context.Context, reason string) error {
 	ended := owner.present
 	owner.present = nil
 	// No join may reach the store after the leave: it would bring shards back
 	// to an entry that no longer schedules them.
-	ended.stopJoining()
-	<-ended.joined
+	ended.cancelJoin()
+	<-ended.joinDone
 	// Once the loop of decisions has ended there is nothing left to give up.
 	owner.decisions.Ask(ctx, func(now time.Time) {
 		for _, held := range owner.shards {
@@ -203,7 +203,7 @@
 		}
 	})
 	err := owner.leaveGroup(ctx, job.OwnersGroup, owner.Member())
-	ended.stopFollowing()
+	ended.disconnectAgents()
 	owner.decisions.Ask(ctx, func(time.Time) { owner.withdraw() })
 	return err
 }
@@ -214,7 +214,7 @@
 	<-owner.applied
 	var left error
 	if owner.present != nil {
-		left = owner.endStanding(ctx, "the process stops")
+		left = owner.endMembership(ctx, "the process stops")
 	}
 	err := owner.leaveGroup(ctx, job.SeatsGroup, owner.Member())
 	if left != nil {
--- a/owner/suspect.go
+++ b/owner/suspect.go
@@ -6,10 +6,10 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// crashesSpared is after how many crashes a task goes where the least runs: it is likely to
+// crashesBeforeIsolation is after how many crashes a task goes where the least runs: it is likely to
 // bring the worker down, which costs all else there. Before, it is most likely a chance
 // victim and goes where it does best.
-const crashesSpared = 2
+const crashesBeforeIsolation = 2
 
 // compareForSuspect orders two workers for a task that a worker may have crashed for, the
 // better one first; 0 if it has no preference. It prefers a machine where none of the task's
@@ -25,7 +25,7 @@
 		}
 		return 1
 	}
-	if task.Crashes() < crashesSpared {
+	if task.Crashes() < crashesBeforeIsolation {
 		return 0
 	}
 	return cmp.Compare(b.free.MilliCPU, a.free.MilliCPU)
--- a/owner/suspect_test.go
+++ b/owner/suspect_test.go
@@ -14,22 +14,22 @@
 // until the other has outlived its start there. What is not suspected is placed at once,
 // though it is of the same step.
 func TestSuspectsArePlacedApart(t *testing.T) {
-	made := newBench(t)
-	of := made.submitChanged(func(handed *job.Submission) { handed.Steps[0].Count = 3 })
+	made := newHarness(t)
+	of := made.submitWith(func(handed *job.Submission) { handed.Steps[0].Count = 3 })
 	made.attachAndStart()
-	made.hear(&wire.AgentMessage{Ends: []*wire.RunEnd{
-		{Worker: life, Task: taskOne, Attempt: 1, Reason: wire.EndReason_END_CRASHED},
-		{Worker: life, Task: jobID + ".0.0.1", Attempt: 1, Reason: wire.EndReason_END_CRASHED},
-		{Worker: life, Task: jobID + ".0.0.2", Attempt: 1, Reason: wire.EndReason_END_LOST},
+	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{
+		{Worker: workerID, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_CRASHED},
+		{Worker: workerID, Task: jobID + ".0.0.1", Attempt: 1, Reason: wire.EndReason_END_CRASHED},
+		{Worker: workerID, Task: jobID + ".0.0.2", Attempt: 1, Reason: wire.EndReason_END_LOST},
 	}})
 	pass := func(length time.Duration) (suspects, others int) {
 		made.clock.Advance(length)
 		made.owner.joinedAt = made.clock.Now()
-		made.hear(&wire.AgentMessage{})
+		made.receive(&wire.AgentMessage{})
 		made.step()
-		made.settle()
+		made.awaitWrites()
 		made.step()
-		for _, order := range starts(made.sent()) {
+		for _, order := range startOrders(made.takeSent()) {
 			if order.GetSuspect() {
 				suspects++
 				continue
@@ -52,19 +52,19 @@
 	}
 }
 
-// TestRefusedSuspectKeepsNobodyElseAway: an agent that refuses a suspect takes anything else.
-func TestRefusedSuspectKeepsNobodyElseAway(t *testing.T) {
-	made := newBench(t)
+// TestRefusedSuspectBlocksOnlySuspects: an agent that refuses a suspect takes anything else.
+func TestRefusedSuspectBlocksOnlySuspects(t *testing.T) {
+	made := newHarness(t)
 	made.submit()
 	made.attachAndStart()
-	made.hear(&wire.AgentMessage{Results: []*wire.StartResult{
-		{Task: taskOne, Attempt: 1, Worker: life, Outcome: wire.StartOutcome_START_SUSPECT},
+	made.receive(&wire.AgentMessage{Results: []*wire.StartResult{
+		{Task: firstTask, Attempt: 1, Worker: workerID, Outcome: wire.StartOutcome_START_SUSPECT},
 	}})
 	now := made.clock.Now()
-	if now.Before(made.view.avoidUntil) {
+	if now.Before(made.agent.avoidUntil) {
 		t.Error("the worker is avoided")
 	}
-	if !now.Before(made.view.suspectUntil) {
+	if !now.Before(made.agent.suspectUntil) {
 		t.Error("other suspects are not kept away")
 	}
 }
@@ -72,20 +72,20 @@
 // TestSuspectGoesToAnotherMachine: what met a crash is not started again where it did while
 // there is another place: a worker that goes down by itself is the emptiest each time.
 func TestSuspectGoesToAnotherMachine(t *testing.T) {
-	made := newBench(t)
+	made := newHarness(t)
 	task := made.submit().Tasks()[0]
 	made.attachAndStart()
-	made.hear(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: life, Task: taskOne, Attempt: 1, Reason: wire.EndReason_END_CRASHED}}})
+	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_CRASHED}}})
 	other := newView("10.0.0.2:7001")
 	other.heard.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{Worker: "i-2", Service: "verbale", Ready: true, FreeMilliCpu: 1000, FreeMemoryMb: 4000}})
-	if !better(task, newCandidate(other), newCandidate(made.view)) {
+	if !isBetter(task, newCandidate(other), newCandidate(made.agent)) {
 		t.Error("it goes where it met the crash")
 	}
 }
 
-// TestLikelyCauseGoesWhereTheLeastRuns: a task that has brought two workers down goes where the
+// TestRepeatCrasherGoesToLeastLoadedWorker: a task that has brought two workers down goes where the
 // most is free, one that has met one crash where it does best.
-func TestLikelyCauseGoesWhereTheLeastRuns(t *testing.T) {
+func TestRepeatCrasherGoesToLeastLoadedWorker(t *testing.T) {
 	tests := map[string]struct {
 		crashes int32
 		want    bool // the emptier worker is better
@@ -95,11 +95,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			of := made.submitChanged(func(handed *job.Submission) { handed.Steps[0].Affinity = "r-1" })
+			made := newHarness(t)
+			of := made.submitWith(func(handed *job.Submission) { handed.Steps[0].Affinity = "r-1" })
 			task := of.Tasks()[0]
 			for attempt := int32(1); attempt <= test.crashes; attempt++ {
-				of.StartRun(task, job.Place{Incarnation: incarnation.New(life, 0), AgentAddress: agentAt}, made.clock.Now())
+				of.StartRun(task, job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, made.clock.Now())
 				of.EndRun(task, attempt, job.EndCrashed, "", made.clock.Now())
 			}
 			worker := func(number int, free int64, rack string) *candidate {
@@ -109,7 +109,7 @@
 				}})
 				return newCandidate(view)
 			}
-			if got := better(task, worker(2, 4000, "r-2"), worker(1, 2000, "r-1")); got != test.want {
+			if got := isBetter(task, worker(2, 4000, "r-2"), worker(1, 2000, "r-1")); got != test.want {
 				t.Errorf("the emptier one is better: %v", got)
 			}
 		})
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -11,31 +11,31 @@
 // meanwhile, and those that take its shards over count on it that it grants nothing for longer
 // than without the store. It grants again once the store has said that it still owns them.
 func TestSuspendedOwnerGrantsNothing(t *testing.T) {
-	grants := func(made *bench) bool {
+	grants := func(made *harness) bool {
 		made.clock.Advance(grantEvery)
 		made.step()
-		for _, message := range made.sent() {
+		for _, message := range made.takeSent() {
 			if message.GetGrantUntilNanos() > 0 {
 				return true
 			}
 		}
 		return false
 	}
-	made := newBench(t)
+	made := newHarness(t)
 	made.submit()
 	made.attachAndStart()
 	if !grants(made) {
 		t.Fatal("grants nothing")
 	}
-	made.owner.noteSuspended(grantAlone-time.Second, made.clock.Now())
+	made.owner.handleSuspension(grantAlone-time.Second, made.clock.Now())
 	if !grants(made) {
 		t.Error("grants nothing after a short suspension")
 	}
-	made.owner.noteSuspended(time.Second, made.clock.Now())
+	made.owner.handleSuspension(time.Second, made.clock.Now())
 	if grants(made) {
 		t.Error("grants after a long one")
 	}
-	made.owner.noteDeal(platform.Deal{Generation: 3, Parts: []int{made.held.number}}, made.clock.Now(), made.clock.Now())
+	made.owner.noteDeal(platform.Deal{Generation: 3, Parts: []int{made.shard.number}}, made.clock.Now(), made.clock.Now())
 	if !grants(made) {
 		t.Error("grants nothing after word from the store")
 	}
--- a/owner/tell.go
+++ b/owner/tell.go
@@ -19,13 +19,13 @@
 	if !view.claimed {
 		owner.claim(view)
 	}
-	owner.tellEvacuations(view)
+	owner.addEvacuations(view)
 	grantDue := now.Sub(view.sentAt) >= owner.speakEvery()
 	if !grantDue && !message.Owned && message.Evacuations == nil && len(message.Starts)+len(message.Stops)+len(message.Seen)+len(message.Runs)+len(message.Preempts) == 0 {
 		return
 	}
 	owner.grant(view, now)
-	owner.share(view, now)
+	owner.addLearned(view, now)
 	view.sequence++
 	message.Sequence = view.sequence
 	view.message = &wire.OwnerMessage{}
