--- a/agent/agent.go
+++ b/agent/agent.go
@@ -74,36 +74,36 @@
 )
 
 const (
-	// stepEvery is how often what is due is looked for without an event.
-	stepEvery = 100 * time.Millisecond
-	// leaseLength is how long the worker runs on without its agent: long
+	// tickInterval is how often what is due is looked for without an event.
+	tickInterval = 100 * time.Millisecond
+	// leaseDuration is how long the worker runs on without its agent: long
 	// enough for an agent that was killed to come back and hear of the worker
 	// (1 s to start, 1.1 s to the next heartbeat), short enough that work on a
 	// lost machine moves within its objective.
-	leaseLength = 4 * time.Second
-	// clockSlack is what two clocks differ by at most over a lease: the
+	leaseDuration = 4 * time.Second
+	// maxClockDrift is what two clocks differ by at most over a lease: the
 	// worker's may run 2% slow, and so may ours.
-	clockSlack = 2 * lease.ClockRateBound
+	maxClockDrift = 2 * lease.ClockRateBound
 	// callTimeout bounds an order to the worker, which is on the same machine
 	// and answers within milliseconds.
 	callTimeout = 800 * time.Millisecond
-	// holdWait is how long a look at the worker waits for an end. Leases are
+	// defaultPollWait is how long a look at the worker waits for an end. Leases are
 	// renewed once in each.
-	holdWait = time.Second
-	// pacedHoldWait is the same where the tails of serving tasks are watched.
-	pacedHoldWait = 400 * time.Millisecond
-	// unseenPause keeps looks apart while ends wait to be made durable: a
+	defaultPollWait = time.Second
+	// pacingPollWait is the same where the tails of serving tasks are watched.
+	pacingPollWait = 400 * time.Millisecond
+	// pendingEndsDelay keeps looks apart while ends wait to be made durable: a
 	// worker that has ends to tell answers at once.
-	unseenPause = 40 * time.Millisecond
-	// failedPause keeps looks at a worker that does not answer apart.
-	failedPause = 150 * time.Millisecond
-	// stopBefore is how long before the end of an owner's grant its runs are
+	pendingEndsDelay = 40 * time.Millisecond
+	// failedPollDelay keeps looks at a worker that does not answer apart.
+	failedPollDelay = 150 * time.Millisecond
+	// stopMargin is how long before the end of an owner's grant its runs are
 	// stopped: a stop takes up to half a second, and one may have to be sent
 	// twice.
-	stopBefore = 1200 * time.Millisecond
-	// unclaimedMost is how long an agent that has just started waits for the
+	stopMargin = 1200 * time.Millisecond
+	// claimTimeout is how long an agent that has just started waits for the
 	// owner of a run that it found.
-	unclaimedMost = 2500 * time.Millisecond
+	claimTimeout = 2500 * time.Millisecond
 	// tokenStep goes above the token of an earlier agent whose clock was ahead.
 	tokenStep = int64(time.Hour / time.Millisecond)
 )
@@ -119,20 +119,20 @@
 	// FirstToken is the first fencing token: the wall clock in milliseconds,
 	// so that it is above those of earlier agents on this machine.
 	FirstToken int64
-	// HarmAfter is how long a serving task may miss its target on end.
-	HarmAfter time.Duration
-	// RestoreTakes is what a run takes to go on from a checkpoint, SaveEvery how much work
+	// MaxTargetMiss is how long a serving task may miss its target on end.
+	MaxTargetMiss time.Duration
+	// RestoreTime is what a run takes to go on from a checkpoint, SaveEvery how much work
 	// lies between two of them.
-	RestoreTakes time.Duration
-	SaveEvery    time.Duration
-	// EvacuateWithin is how long after an operator has asked for it nothing may be
+	RestoreTime        time.Duration
+	CheckpointInterval time.Duration
+	// EvacuationDeadline is how long after an operator has asked for it nothing may be
 	// started any more in an evacuated failure domain.
-	EvacuateWithin time.Duration
+	EvacuationDeadline time.Duration
 	// Connect returns a client of one incarnation of the worker.
 	Connect func(address string, of incarnation.ID) *platform.Worker
-	// LeaseMost is the longest lease that the worker takes; a longer one is cut down to it.
-	LeaseMost time.Duration
-	Clock     clockwork.Clock
+	// MaxLease is the longest lease that the worker takes; a longer one is cut down to it.
+	MaxLease time.Duration
+	Clock    clockwork.Clock
 	// Suspended tells for how long the machine has been suspended, which Clock does not
 	// count; nil for never.
 	Suspended func() time.Duration
@@ -144,53 +144,53 @@
 // Agent takes care of the worker on its machine.
 type Agent struct {
 	options   Options
-	id        string
-	decisions *loop.Loop
-	started   time.Time
-
-	worker *workerState // nil until one has sent a heartbeat
-	next   *successor   // nil while no other incarnation has sent one
-	gone   map[incarnation.ID]bool
-	former former           // what is left of the incarnations before
-	lost   []*wire.RunEnd   // ends of runs whose incarnation is over
-	ended  []incarnation.ID // incarnations that have ended for certain
-	// endedNews wakes the registration.
-	endedNews chan struct{}
-	owners    map[*session]bool
-	// connections counts the streams that owners have spoken on.
-	connections int64
-	claims      map[int32]*claim
-	paced       pacing
-	// knowledge is what is known of evacuations; operatorWanted has it read here.
-	knowledge      operator.Knowledge
-	operatorWanted chan struct{}
-	sent           *traffic.Sent
-	meters         meters
-	// gaugedAt is when the gauges were last set.
-	gaugedAt time.Time
-	ctx      context.Context // ends the calls to the worker with the agent
+	agentID   string
+	eventLoop *loop.Loop
+	startedAt time.Time
+
+	worker            *workerState // nil until one has sent a heartbeat
+	successor         *successor   // nil while no other incarnation has sent one
+	endedIncarnations map[incarnation.ID]bool
+	predecessor       predecessor      // what is left of the incarnations before
+	lostEnds          []*wire.RunEnd   // ends of runs whose incarnation is over
+	endedToRegister   []incarnation.ID // incarnations that have ended for certain
+	// endedChanged wakes the registration.
+	endedChanged chan struct{}
+	sessions     map[*session]bool
+	// sessionCount counts the streams that owners have spoken on.
+	sessionCount int64
+	claims       map[int32]*claim
+	pacer        pacer
+	// evacuationState is what is known of evacuations; operatorWanted has it read here.
+	evacuationState   operator.Knowledge
+	evacuationsWanted chan struct{}
+	traffic           *traffic.Sent
+	metrics           metrics
+	// gaugesRecordedAt is when the gauges were last set.
+	gaugesRecordedAt time.Time
+	ctx              context.Context // ends the calls to the worker with the agent
 }
 
 // New returns an agent that does nothing until Run.
 func New(options Options) *Agent {
 	made := &Agent{
-		options:   options,
-		id:        uuid.NewString(),
-		decisions: loop.New(options.Clock),
-		started:   options.Clock.Now(),
-		gone:      map[incarnation.ID]bool{},
-		former:    former{token: options.FirstToken, told: firstTold(options.FirstToken)},
-		endedNews: make(chan struct{}, 1),
-
-		operatorWanted: make(chan struct{}, 1),
-		owners:         map[*session]bool{},
-		claims:         map[int32]*claim{},
-		sent:           traffic.New(options.Meters),
-		meters:         newMeters(options.Meters),
-		paced:          newPacing(options.HarmAfter),
+		options:           options,
+		agentID:           uuid.NewString(),
+		eventLoop:         loop.New(options.Clock),
+		startedAt:         options.Clock.Now(),
+		endedIncarnations: map[incarnation.ID]bool{},
+		predecessor:       predecessor{token: options.FirstToken, lastEndNumber: initialEndNumberOffset(options.FirstToken)},
+		endedChanged:      make(chan struct{}, 1),
+
+		evacuationsWanted: make(chan struct{}, 1),
+		sessions:          map[*session]bool{},
+		claims:            map[int32]*claim{},
+		traffic:           traffic.New(options.Meters),
+		metrics:           newMetrics(options.Meters),
+		pacer:             newPacer(options.MaxTargetMiss),
 	}
 	if options.Suspended != nil {
-		made.decisions.WatchSuspension(options.Suspended, made.noteSuspended)
+		made.eventLoop.WatchSuspension(options.Suspended, made.handleSuspension)
 	}
 	return made
 }
@@ -198,24 +198,24 @@
 // Run takes care of the worker until ctx ends.
 func (agent *Agent) Run(ctx context.Context) {
 	agent.ctx = ctx
-	agent.decisions.Run(ctx, stepEvery, agent.step)
+	agent.eventLoop.Run(ctx, tickInterval, agent.tick)
 }
 
-// step does what is due.
-func (agent *Agent) step(now time.Time) {
-	agent.askAgain(now)
+// tick does what is due.
+func (agent *Agent) tick(now time.Time) {
+	agent.probeAgain(now)
 	if agent.worker != nil {
-		agent.stopUnowned(now)
-		agent.giveUpLost(now)
+		agent.stopUnownedRuns(now)
+		agent.giveUpExpiredRuns(now)
 		agent.voidEnds(now)
-		agent.moveAhead(now)
-		agent.logWaiting(now)
-		agent.look(now)
+		agent.stopBeforeLeave(now)
+		agent.logDelayedEnds(now)
+		agent.poll(now)
 	}
-	agent.paced.shareAgain(now)
-	agent.tellOwners(now)
-	agent.gauge(now)
-	agent.sent.Log(agent.ctx, agent.options.Events, now)
+	agent.pacer.mergeLearnedByAll(now)
+	agent.sendUpdates(now)
+	agent.recordGauges(now)
+	agent.traffic.Log(agent.ctx, agent.options.Events, now)
 }
 
 func (agent *Agent) log(code event.Code, attributes ...slog.Attr) {
@@ -229,17 +229,17 @@
 }
 
 // uptime is the clock that grants are given in.
-func (agent *Agent) uptime(now time.Time) time.Duration { return now.Sub(agent.started) }
+func (agent *Agent) uptime(now time.Time) time.Duration { return now.Sub(agent.startedAt) }
 
-// noShard stands for the shard of a task whose name is none.
-const noShard = -1
+// unknownShard stands for the shard of a task whose name is none.
+const unknownShard = -1
 
-// shardOf returns the shard of a task's job, or noShard for a name that is none.
+// shardOf returns the shard of a task's job, or unknownShard for a name that is none.
 func (agent *Agent) shardOf(task string) int32 {
 	ref, err := job.ParseTaskRef(task)
 	if err != nil {
 		agent.log(event.RecordUnreadable, slog.String("task", task), slog.Any("error", err))
-		return noShard
+		return unknownShard
 	}
 	return int32(job.ShardOf(ref.Job, agent.options.Shards))
 }
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	shards = 8
-	task   = "0123456789abcdef.0.0.0"
-	worker = "i-1"
-	grant  = 6 * time.Second
-	domain = "milano-a"
-	// evacuateWithin is how soon an evacuation holds.
-	evacuateWithin = 5 * time.Second
+	shardCount    = 8
+	testTask      = "0123456789abcdef.0.0.0"
+	workerID      = "i-1"
+	grantDuration = 6 * time.Second
+	testDomain    = "milano-a"
+	// evacuationDeadline is how soon an evacuation holds.
+	evacuationDeadline = 5 * time.Second
 )
 
-var shard = int32(job.ShardOf("0123456789abcdef", shards))
+var testShard = int32(job.ShardOf("0123456789abcdef", shardCount))
 
-// stream is an owner's end of the connection.
-type stream struct {
+// ownerStream is an owner's end of the connection.
+type ownerStream struct {
 	drpc.Stream
 	in  chan *wire.OwnerMessage
 	ctx context.Context
@@ -49,14 +49,14 @@
 	sequence int64
 }
 
-func (owner *stream) Send(message *wire.AgentMessage) error {
+func (owner *ownerStream) Send(message *wire.AgentMessage) error {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
 	owner.received = append(owner.received, message)
 	return nil
 }
 
-func (owner *stream) Recv() (*wire.OwnerMessage, error) {
+func (owner *ownerStream) Recv() (*wire.OwnerMessage, error) {
 	select {
 	case message := <-owner.in:
 		return message, nil
@@ -65,7 +65,7 @@
 	}
 }
 
-func (owner *stream) tell(message *wire.OwnerMessage) {
+func (owner *ownerStream) send(message *wire.OwnerMessage) {
 	owner.sequence++
 	message.Sequence = owner.sequence
 	if owner.uptime != nil && len(message.GetStarts()) > 0 && message.GetEvacuations() == nil {
@@ -74,8 +74,8 @@
 	owner.in <- message
 }
 
-// last returns the newest message that matches.
-func (owner *stream) last(matches func(message *wire.AgentMessage) bool) *wire.AgentMessage {
+// lastMatching returns the newest message that matches.
+func (owner *ownerStream) lastMatching(matches func(message *wire.AgentMessage) bool) *wire.AgentMessage {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
 	for index := len(owner.received) - 1; index >= 0; index-- {
@@ -86,12 +86,12 @@
 	return nil
 }
 
-func (owner *stream) outcome() wire.StartOutcome {
+func (owner *ownerStream) startOutcome() wire.StartOutcome {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
 	for _, message := range owner.received {
 		for _, result := range message.GetResults() {
-			if result.GetTask() == task {
+			if result.GetTask() == testTask {
 				return result.GetOutcome()
 			}
 		}
@@ -99,19 +99,19 @@
 	return wire.StartOutcome_START_UNSPECIFIED
 }
 
-// forget drops what the owner was told.
-func (owner *stream) forget() {
+// clearReceived drops what the owner was told.
+func (owner *ownerStream) clearReceived() {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
 	owner.received = nil
 }
 
-func (owner *stream) end() *wire.RunEnd {
+func (owner *ownerStream) firstEnd() *wire.RunEnd {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
 	for _, message := range owner.received {
 		for _, end := range message.GetEnds() {
-			if end.GetTask() == task {
+			if end.GetTask() == testTask {
 				return end
 			}
 		}
@@ -119,30 +119,30 @@
 	return nil
 }
 
-// bench holds an agent, its worker and an owner.
-type bench struct {
+// harness holds an agent, its worker and an owner.
+type harness struct {
 	t      *testing.T
 	clock  *clockwork.FakeClock
-	beside *agent.Agent
+	agent  *agent.Agent
 	worker *wireworker.Worker
-	// present is the worker that stands at the address.
-	present atomic.Pointer[wireworker.Worker]
-	// began is when the present agent was made.
-	began time.Time
-	ctx   context.Context
-	// kill ends the present agent.
-	kill context.CancelFunc
-	// slept is for how long the machine has been suspended.
-	slept  atomic.Int64
-	server *httptest.Server
+	// servedWorker is the worker that stands at the address.
+	servedWorker atomic.Pointer[wireworker.Worker]
+	// agentStartedAt is when the present agent was made.
+	agentStartedAt time.Time
+	ctx            context.Context
+	// stopAgent ends the present agent.
+	stopAgent context.CancelFunc
+	// suspendedFor is for how long the machine has been suspended.
+	suspendedFor atomic.Int64
+	server       *httptest.Server
 }
 
-func newBench(t *testing.T) *bench {
+func newHarness(t *testing.T) *harness {
 	clock := clockwork.NewFakeClock()
-	made := &bench{t: t, clock: clock, worker: wireworker.New(worker, clock)}
-	made.present.Store(made.worker)
+	made := &harness{t: t, clock: clock, worker: wireworker.New(workerID, clock)}
+	made.servedWorker.Store(made.worker)
 	made.server = httptest.NewServer(http.HandlerFunc(func(answer http.ResponseWriter, request *http.Request) {
-		made.present.Load().ServeHTTP(answer, request)
+		made.servedWorker.Load().ServeHTTP(answer, request)
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
 	made.ctx = ctx
@@ -151,112 +151,112 @@
 		made.server.CloseClientConnections()
 		made.server.Close()
 	})
-	made.begin()
+	made.startAgent()
 	return made
 }
 
-// begin starts an agent, as after a restart.
-func (made *bench) begin() {
-	made.beside = agent.New(agent.Options{
-		Name: "side-1", Shards: shards, FirstToken: made.clock.Now().UnixMilli(), Clock: made.clock, Events: event.Discard(),
-		EvacuateWithin: evacuateWithin, Suspended: func() time.Duration { return time.Duration(made.slept.Load()) },
+// startAgent starts an agent, as after a restart.
+func (made *harness) startAgent() {
+	made.agent = agent.New(agent.Options{
+		Name: "side-1", Shards: shardCount, FirstToken: made.clock.Now().UnixMilli(), Clock: made.clock, Events: event.Discard(),
+		EvacuationDeadline: evacuationDeadline, Suspended: func() time.Duration { return time.Duration(made.suspendedFor.Load()) },
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
 			return platform.NewWorker(address, of, platform.Transport())
 		},
 	})
-	made.began = made.clock.Now()
+	made.agentStartedAt = made.clock.Now()
 	ctx, kill := context.WithCancel(made.ctx)
-	made.kill = kill
-	go made.beside.Run(ctx)
+	made.stopAgent = kill
+	go made.agent.Run(ctx)
 }
 
 // uptime is the clock that the agent reckons in towards owners.
-func (made *bench) uptime() time.Duration { return made.clock.Now().Sub(made.began) }
+func (made *harness) uptime() time.Duration { return made.clock.Now().Sub(made.agentStartedAt) }
 
-// heartbeat is what the worker says of itself first.
-func (made *bench) heartbeat() platform.Heartbeat {
+// firstHeartbeat is what the worker says of itself first.
+func (made *harness) firstHeartbeat() platform.Heartbeat {
 	return platform.Heartbeat{
-		Incarnation: incarnation.New(worker, 0), Service: "verbale", Address: strings.TrimPrefix(made.server.URL, "http://"),
-		MilliCPU: 4000, MemoryMB: 8000, Sequence: 1, FailureDomain: domain,
+		Incarnation: incarnation.New(workerID, 0), Service: "verbale", Address: strings.TrimPrefix(made.server.URL, "http://"),
+		MilliCPU: 4000, MemoryMB: 8000, Sequence: 1, FailureDomain: testDomain,
 	}
 }
 
-// beat has the worker say that it is there.
-func (made *bench) beat() {
-	made.beside.Beat(made.heartbeat())
+// sendHeartbeat has the worker say that it is there.
+func (made *harness) sendHeartbeat() {
+	made.agent.Beat(made.firstHeartbeat())
 }
 
-// beatLeaving has the worker say that it drains and stays for a while at least.
-func (made *bench) beatLeaving(remaining time.Duration) {
-	beat := made.heartbeat()
+// sendDrainNotice has the worker say that it drains and stays for a while at least.
+func (made *harness) sendDrainNotice(remaining time.Duration) {
+	beat := made.firstHeartbeat()
 	beat.Sequence, beat.Draining, beat.Remaining = 2, true, remaining
-	made.beside.Beat(beat)
+	made.agent.Beat(beat)
 }
 
-// attach connects an owner that claims the shard and grants it time.
-func (made *bench) attach(epoch int64) *stream {
-	return made.connect(&wire.OwnerMessage{
-		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: shard, Epoch: epoch}},
-		GrantUntilNanos: int64(grant),
+// attachOwner connects an owner that claims the shard and grants it time.
+func (made *harness) attachOwner(epoch int64) *ownerStream {
+	return made.connectOwner(&wire.OwnerMessage{
+		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard, Epoch: epoch}},
+		GrantUntilNanos: int64(grantDuration),
 	})
 }
 
-// connect opens an owner's stream with a first message and waits until it is handled.
-func (made *bench) connect(first *wire.OwnerMessage) *stream {
-	owner := &stream{in: make(chan *wire.OwnerMessage, 64), ctx: made.ctx, uptime: made.uptime}
-	go func() { _ = made.beside.Attach(owner) }()
-	owner.tell(first)
-	made.until(func() bool {
-		return owner.last(func(message *wire.AgentMessage) bool { return message.GetHandled() >= 1 }) != nil
+// connectOwner opens an owner's stream with a first message and waits until it is handled.
+func (made *harness) connectOwner(first *wire.OwnerMessage) *ownerStream {
+	owner := &ownerStream{in: make(chan *wire.OwnerMessage, 64), ctx: made.ctx, uptime: made.uptime}
+	go func() { _ = made.agent.Attach(owner) }()
+	owner.send(first)
+	made.waitFor(func() bool {
+		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetHandled() >= 1 }) != nil
 	})
 	return owner
 }
 
-// attachReady connects an owner to the agent of a worker that is ready.
-func (made *bench) attachReady(epoch int64) *stream {
-	made.beat()
-	owner := made.attach(epoch)
-	made.until(func() bool {
-		return owner.last(func(message *wire.AgentMessage) bool { return message.GetStatus().GetReady() }) != nil
+// attachReadyOwner connects an owner to the agent of a worker that is ready.
+func (made *harness) attachReadyOwner(epoch int64) *ownerStream {
+	made.sendHeartbeat()
+	owner := made.attachOwner(epoch)
+	made.waitFor(func() bool {
+		return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus().GetReady() }) != nil
 	})
 	return owner
 }
 
-// starts has the owner order a start and waits until it is told what became of it.
-func (made *bench) starts(owner *stream, order *wire.StartOrder) wire.StartOutcome {
+// orderStart has the owner order a start and waits until it is told what became of it.
+func (made *harness) orderStart(owner *ownerStream, order *wire.StartOrder) wire.StartOutcome {
 	made.t.Helper()
-	owner.tell(&wire.OwnerMessage{Starts: []*wire.StartOrder{order}})
-	made.until(func() bool { return owner.outcome() != wire.StartOutcome_START_UNSPECIFIED })
-	return owner.outcome()
+	owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{order}})
+	made.waitFor(func() bool { return owner.startOutcome() != wire.StartOutcome_START_UNSPECIFIED })
+	return owner.startOutcome()
 }
 
-// startsRun is starts for an order that has to be carried out.
-func (made *bench) startsRun(owner *stream, order *wire.StartOrder) {
+// mustStart is starts for an order that has to be carried out.
+func (made *harness) mustStart(owner *ownerStream, order *wire.StartOrder) {
 	made.t.Helper()
-	if got := made.starts(owner, order); got != wire.StartOutcome_START_STARTED {
+	if got := made.orderStart(owner, order); got != wire.StartOutcome_START_STARTED {
 		made.t.Fatalf("the start was answered %v", got)
 	}
 }
 
-// attachRunning connects an owner that grants a minute and has the task run with a demand.
-func (made *bench) attachRunning(demand *wire.Demand) *stream {
+// attachOwnerWithRun connects an owner that grants a minute and has the task run with a demand.
+func (made *harness) attachOwnerWithRun(demand *wire.Demand) *ownerStream {
 	made.t.Helper()
-	owner := made.attachReady(1)
-	owner.tell(&wire.OwnerMessage{GrantUntilNanos: int64(time.Minute)})
-	order := start(1)
+	owner := made.attachReadyOwner(1)
+	owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Minute)})
+	order := newStartOrder(1)
 	order.Demand = demand
-	made.startsRun(owner, order)
+	made.mustStart(owner, order)
 	return owner
 }
 
-// runs reports whether the task runs at the worker.
-func (made *bench) runs() bool {
-	_, found := made.worker.Running(task)
+// isRunning reports whether the task runs at the worker.
+func (made *harness) isRunning() bool {
+	_, found := made.worker.Running(testTask)
 	return found
 }
 
-// until lets short steps of the clock pass until what is waited for holds.
-func (made *bench) until(holds func() bool) {
+// waitFor lets short steps of the clock pass until what is waited for holds.
+func (made *harness) waitFor(holds func() bool) {
 	made.t.Helper()
 	for range 2000 {
 		if holds() {
@@ -269,17 +269,17 @@
 }
 
 const (
-	// unlookedMost is how much time passes at most without a look at the worker, which
+	// maxUnpolled is how much time passes at most without a look at the worker, which
 	// comes each second: its lease of 4 s must not run out because the processes of the
 	// test have no processor while the clock runs on.
-	unlookedMost = 1500 * time.Millisecond
-	// lookTries bounds the wait for a look, in milliseconds, where the worker is silent on
+	maxUnpolled = 1500 * time.Millisecond
+	// maxPollTries bounds the wait for a look, in milliseconds, where the worker is silent on
 	// purpose.
-	lookTries = 200
+	maxPollTries = 200
 )
 
-// pass lets time go by in steps that the agent sees.
-func (made *bench) pass(length time.Duration) {
+// advance lets time go by in steps that the agent sees.
+func (made *harness) advance(length time.Duration) {
 	looks, lookedAt := 0, made.clock.Now()
 	looked := func() bool {
 		count, _ := made.worker.Looks()
@@ -292,24 +292,24 @@
 	for begin := made.clock.Now(); made.clock.Now().Sub(begin) < length; {
 		made.clock.Advance(50 * time.Millisecond)
 		time.Sleep(time.Millisecond)
-		for try := 0; try < lookTries && !looked() && made.clock.Now().Sub(lookedAt) >= unlookedMost; try++ {
+		for try := 0; try < maxPollTries && !looked() && made.clock.Now().Sub(lookedAt) >= maxUnpolled; try++ {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// passSilently is pass for a worker that answers no look.
-func (made *bench) passSilently(length time.Duration) {
+// advanceUnpolled is pass for a worker that answers no look.
+func (made *harness) advanceUnpolled(length time.Duration) {
 	for begin := made.clock.Now(); made.clock.Now().Sub(begin) < length; {
 		made.clock.Advance(20 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// start orders a small run of the task, with a demand of its own for the test to change.
-func start(epoch int64) *wire.StartOrder {
+// newStartOrder orders a small run of the task, with a demand of its own for the test to change.
+func newStartOrder(epoch int64) *wire.StartOrder {
 	return &wire.StartOrder{
-		Shard: shard, Epoch: epoch, Task: task, Attempt: 1, Worker: worker,
+		Shard: testShard, Epoch: epoch, Task: testTask, Attempt: 1, Worker: workerID,
 		Demand: &wire.Demand{MilliCpu: 1000, MemoryMb: 1000},
 	}
 }
--- a/agent/claims.go
+++ b/agent/claims.go
@@ -11,68 +11,68 @@
 
 // claim is what the agent knows of the owner of one shard.
 type claim struct {
-	epoch int64
-	owner *session
-	// until is when the owner's last grant ends.
-	until time.Time
+	epoch   int64
+	session *session
+	// grantedUntil is when the owner's last grant ends.
+	grantedUntil time.Time
 }
 
-// noteClaims takes note of the shards that an owner owns. A claim of an epoch
+// handleClaims takes note of the shards that an owner owns. A claim of an epoch
 // below the highest one heard comes from an owner that has been replaced.
 //
 // An epoch belongs to one process. Where two of its connections claim a shard under it, the newer
 // one holds it, in whatever order their messages are read, and the older one is ended: its owner has
 // given it up, and decides by what it is told on the newer one. What was on its way there must
 // have no effect any more.
-func (agent *Agent) noteClaims(owner *session, message *wire.OwnerMessage) {
+func (agent *Agent) handleClaims(owner *session, message *wire.OwnerMessage) {
 	for _, shard := range message.GetShards() {
 		held, found := agent.claims[shard.GetShard()]
 		if found && held.epoch > shard.GetEpoch() {
 			continue
 		}
-		if found && held.epoch == shard.GetEpoch() && held.owner != owner {
-			if held.owner.number > owner.number {
-				agent.dropOlder(owner, held.owner)
+		if found && held.epoch == shard.GetEpoch() && held.session != owner {
+			if held.session.connectionNumber > owner.connectionNumber {
+				agent.closeReplaced(owner, held.session)
 				return
 			}
-			agent.dropOlder(held.owner, owner)
+			agent.closeReplaced(held.session, owner)
 		}
 		if !found {
-			held = &claim{until: agent.started}
+			held = &claim{grantedUntil: agent.startedAt}
 			agent.claims[shard.GetShard()] = held
 		}
-		if held.epoch != shard.GetEpoch() || held.owner != owner {
-			agent.logOwner(event.ShardClaimed, owner,
+		if held.epoch != shard.GetEpoch() || held.session != owner {
+			agent.logSession(event.ShardClaimed, owner,
 				slog.Int("shard", int(shard.GetShard())), slog.Int64("epoch", shard.GetEpoch()))
 			agent.resendEnds(owner, shard.GetShard())
 			if shard.GetShard() == job.InterferenceShard {
 				// What an earlier owner put together is not this one's.
-				owner.toldLearned = nil
+				owner.sentEstimates = nil
 			}
 		}
 		held.epoch = shard.GetEpoch()
-		held.owner = owner
+		held.session = owner
 	}
-	owner.wholeDue = true
+	owner.fullUpdateDue = true
 }
 
-// dropOlder ends a connection whose owner has made a newer one. What comes on it has no effect.
-func (agent *Agent) dropOlder(older, newer *session) {
-	if !agent.owners[older] {
+// closeReplaced ends a connection whose owner has made a newer one. What comes on it has no effect.
+func (agent *Agent) closeReplaced(older, newer *session) {
+	if !agent.sessions[older] {
 		return
 	}
-	agent.logOwner(event.ConnectionReplaced, older, slog.Int64("by", newer.connection))
-	agent.drop(older)
+	agent.logSession(event.ConnectionReplaced, older, slog.Int64("by", newer.id))
+	agent.closeSession(older)
 }
 
-func (agent *Agent) noteGrant(owner *session, message *wire.OwnerMessage) {
+func (agent *Agent) handleGrant(owner *session, message *wire.OwnerMessage) {
 	if message.GetGrantUntilNanos() == 0 {
 		return
 	}
-	until := agent.started.Add(time.Duration(message.GetGrantUntilNanos()))
+	until := agent.startedAt.Add(time.Duration(message.GetGrantUntilNanos()))
 	for _, held := range agent.claims {
-		if held.owner == owner && until.After(held.until) {
-			held.until = until
+		if held.session == owner && until.After(held.grantedUntil) {
+			held.grantedUntil = until
 		}
 	}
 }
--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -17,78 +17,78 @@
 	otherTask = otherJob + ".0.0.0"
 )
 
-// TestEndIsBoundByItsGrant has an owner go silent that was not told yet that a run of it is done,
+// TestPendingEndLimitsLease has an owner go silent that was not told yet that a run of it is done,
 // while another owner has a run on the same worker. Once the grant is over the silent one takes
 // the run for over and starts its task elsewhere; the end must not count any more by then, whoever
 // says later that it is in the store. (The story is told at owner.TestPartitionedTaskCompletesOnce.)
-func TestEndIsBoundByItsGrant(t *testing.T) {
-	otherShard := int32(job.ShardOf(otherJob, shards))
-	if otherShard == shard {
+func TestPendingEndLimitsLease(t *testing.T) {
+	otherShard := int32(job.ShardOf(otherJob, shardCount))
+	if otherShard == testShard {
 		t.Fatal("both jobs are of one shard")
 	}
-	made := newBench(t)
+	made := newHarness(t)
 	noted := make(chan wireworker.Change, 8)
 	made.worker.Watch(func(change wireworker.Change) {
 		if change.Kind == wireworker.Noted {
 			noted <- change
 		}
 	})
-	owner := made.attachReady(1)
-	other := made.connect(&wire.OwnerMessage{
+	owner := made.attachReadyOwner(1)
+	other := made.connectOwner(&wire.OwnerMessage{
 		Owner: "edge-2", Owned: true, Shards: []*wire.ShardEpoch{{Shard: otherShard, Epoch: 1}}, GrantUntilNanos: int64(time.Hour),
 	})
-	made.startsRun(owner, start(1))
-	beside := start(1)
+	made.mustStart(owner, newStartOrder(1))
+	beside := newStartOrder(1)
 	beside.Task, beside.Shard = otherTask, otherShard
-	other.tell(&wire.OwnerMessage{Starts: []*wire.StartOrder{beside}})
-	made.until(func() bool { _, runs := made.worker.Running(otherTask); return runs })
+	other.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{beside}})
+	made.waitFor(func() bool { _, runs := made.worker.Running(otherTask); return runs })
 
-	made.worker.End(task, "done")
-	made.until(func() bool { return owner.end() != nil })
+	made.worker.End(testTask, "done")
+	made.waitFor(func() bool { return owner.firstEnd() != nil })
 	for range 5 {
-		made.pass(2 * time.Second)
-		other.tell(&wire.OwnerMessage{})
+		made.advance(2 * time.Second)
+		other.send(&wire.OwnerMessage{})
 	}
-	again := made.attach(2)
-	made.until(func() bool { return again.end() != nil })
-	again.tell(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: worker, Number: again.end().GetNumber()}}})
-	made.until(func() bool { _, seen := made.worker.Looks(); return seen >= 1 })
+	again := made.attachOwner(2)
+	made.waitFor(func() bool { return again.firstEnd() != nil })
+	again.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: again.firstEnd().GetNumber()}}})
+	made.waitFor(func() bool { _, seen := made.worker.Looks(); return seen >= 1 })
 	select {
 	case change := <-noted:
-		if change.Task == task {
+		if change.Task == testTask {
 			t.Fatalf("run %d of %s was noted as %s after its owner's grant", change.Attempt, change.Task, change.How)
 		}
 	default:
 	}
 }
 
-// TestManyEndsAreNotLost has more runs end at once than a worker lists: those that are neither listed as
+// TestRunsBeyondEndListLimitAreNotLost has more runs end at once than a worker lists: those that are neither listed as
 // running nor among the ends are not lost, their ends come once the first are in the store.
-func TestManyEndsAreNotLost(t *testing.T) {
+func TestRunsBeyondEndListLimitAreNotLost(t *testing.T) {
 	const many = platform.EndsListedMost + 20
-	made := newBench(t)
+	made := newHarness(t)
 	name := func(index int) string { return fmt.Sprintf("%s.0.0.%d", otherJob, index) }
 	for index := range many {
 		made.worker.Put(name(index), 1, time.Hour)
 	}
-	made.beat()
-	owner := made.connect(&wire.OwnerMessage{
-		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: int32(job.ShardOf(otherJob, shards)), Epoch: 1}}, GrantUntilNanos: int64(time.Hour),
+	made.sendHeartbeat()
+	owner := made.connectOwner(&wire.OwnerMessage{
+		Owner: "edge-1", Owned: true, Shards: []*wire.ShardEpoch{{Shard: int32(job.ShardOf(otherJob, shardCount)), Epoch: 1}}, GrantUntilNanos: int64(time.Hour),
 	})
 	lists := func(message *wire.AgentMessage) bool { return len(message.GetRuns()) == many }
-	made.until(func() bool { return owner.last(lists) != nil })
+	made.waitFor(func() bool { return owner.lastMatching(lists) != nil })
 	for index := range many {
 		made.worker.End(name(index), "done")
 	}
-	made.pass(3 * time.Second)
-	lost, done := owner.count(wire.EndReason_END_LOST), owner.count(wire.EndReason_END_DONE)
+	made.advance(3 * time.Second)
+	lost, done := owner.countEnds(wire.EndReason_END_LOST), owner.countEnds(wire.EndReason_END_DONE)
 	if lost > 0 || done == 0 {
 		t.Errorf("%d runs told as lost, %d as done", lost, done)
 	}
 }
 
-// count counts the ends that were told with a reason.
-func (owner *stream) count(reason wire.EndReason) int {
+// countEnds counts the ends that were told with a reason.
+func (owner *ownerStream) countEnds(reason wire.EndReason) int {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
 	count := 0
--- a/agent/evacuated.go
+++ b/agent/evacuated.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// startTakes is how long an order takes at most from its agent's decision until the
+	// maxStartTime is how long an order takes at most from its agent's decision until the
 	// worker has begun with it: as long as the call may take, and the wake-ups before it.
-	startTakes = callTimeout + 200*time.Millisecond
-	// operatorPause keeps reads of the operators' records apart that failed.
-	operatorPause = 200 * time.Millisecond
+	maxStartTime = callTimeout + 200*time.Millisecond
+	// evacuationsRetryDelay keeps reads of the operators' records apart that failed.
+	evacuationsRetryDelay = 200 * time.Millisecond
 )
 
-// noteEvacuations takes in what an owner knows of evacuations.
-func (agent *Agent) noteEvacuations(told *wire.Evacuations, now time.Time) {
+// handleEvacuations takes in what an owner knows of evacuations.
+func (agent *Agent) handleEvacuations(told *wire.Evacuations, now time.Time) {
 	if told == nil {
 		return
 	}
-	asOf := agent.started.Add(time.Duration(told.GetAsOfNanos()))
+	asOf := agent.startedAt.Add(time.Duration(told.GetAsOfNanos()))
 	if asOf.After(now) {
 		asOf = now // The clocks differ by more than owners reckon with.
 	}
-	agent.learnEvacuations(operator.NewEvacuations(told.GetVersion(), told.GetFailureDomains()), asOf)
+	agent.applyEvacuations(operator.NewEvacuations(told.GetVersion(), told.GetFailureDomains()), asOf)
 }
 
-func (agent *Agent) learnEvacuations(told operator.Evacuations, asOf time.Time) {
-	before := agent.knowledge.Evacuations()
-	agent.knowledge.Note(told, asOf)
-	after := agent.knowledge.Evacuations()
+func (agent *Agent) applyEvacuations(told operator.Evacuations, asOf time.Time) {
+	before := agent.evacuationState.Evacuations()
+	agent.evacuationState.Note(told, asOf)
+	after := agent.evacuationState.Evacuations()
 	own := agent.failureDomain()
 	if before.Has(own) == after.Has(own) {
 		return
@@ -48,23 +48,23 @@
 
 // failureDomain returns where the worker stands.
 func (agent *Agent) failureDomain() string {
-	if agent.worker != nil && agent.worker.beat.FailureDomain != "" {
-		return agent.worker.beat.FailureDomain
+	if agent.worker != nil && agent.worker.heartbeat.FailureDomain != "" {
+		return agent.worker.heartbeat.FailureDomain
 	}
 	return agent.options.FailureDomain
 }
 
-// judgeDomain says whether a task may be started in the worker's failure domain. What is
+// checkFailureDomain says whether a task may be started in the worker's failure domain. What is
 // known must be so fresh that the start takes effect before an evacuation holds that was
 // asked for right after.
-func (agent *Agent) judgeDomain(now time.Time) operator.Verdict {
-	return agent.knowledge.Judge(agent.failureDomain(), now, agent.options.EvacuateWithin-startTakes)
+func (agent *Agent) checkFailureDomain(now time.Time) operator.Verdict {
+	return agent.evacuationState.Judge(agent.failureDomain(), now, agent.options.EvacuationDeadline-maxStartTime)
 }
 
-// wantEvacuations has FollowOperator read what operators wrote.
-func (agent *Agent) wantEvacuations() {
+// requestEvacuations has FollowOperator read what operators wrote.
+func (agent *Agent) requestEvacuations() {
 	select {
-	case agent.operatorWanted <- struct{}{}:
+	case agent.evacuationsWanted <- struct{}{}:
 	default:
 	}
 }
@@ -76,14 +76,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-agent.operatorWanted:
+		case <-agent.evacuationsWanted:
 		}
 		news, err := operator.NewReader(store, agent.options.Clock).Read(ctx)
 		if err != nil {
 			agent.options.Events.Log(ctx, event.StoreLost, slog.Any("error", err))
-			agent.sleep(ctx, operatorPause)
+			agent.sleep(ctx, evacuationsRetryDelay)
 			continue
 		}
-		agent.decisions.Post(func(time.Time) { agent.learnEvacuations(news.Evacuations, news.AsOf) })
+		agent.eventLoop.Post(func(time.Time) { agent.applyEvacuations(news.Evacuations, news.AsOf) })
 	}
 }
--- a/agent/evict.go
+++ b/agent/evict.go
@@ -9,62 +9,62 @@
 )
 
 const (
-	// evictEvery keeps evictions from a worker apart, so that what one brought
+	// evictionInterval keeps evictions from a worker apart, so that what one brought
 	// shows before the next.
-	evictEvery = 300 * time.Millisecond
-	// evictAfter is how long a run is left where it is at least: it has begun
+	evictionInterval = 300 * time.Millisecond
+	// minRunTimeBeforeEviction is how long a run is left where it is at least: it has begun
 	// to save its progress by then.
-	evictAfter = 600 * time.Millisecond
-	// restartedMost is up to which progress, in percent, a run that saves none is
+	minRunTimeBeforeEviction = 600 * time.Millisecond
+	// maxRestartPercent is up to which progress, in percent, a run that saves none is
 	// moved at once where it disturbs: it begins again from the start.
-	restartedMost = 25
-	// slowedMost is how long a run stays slowed before it is moved whatever it
+	maxRestartPercent = 25
+	// maxSlowedTime is how long a run stays slowed before it is moved whatever it
 	// disturbs, and slowedPercent the pace that counts as such. Runs that saved nothing
 	// would stay at a twentieth of their pace for up to 40 s, and their jobs would wait.
 	// Either of these moves makes up for the other.
-	slowedMost    = 1500 * time.Millisecond
+	maxSlowedTime = 1500 * time.Millisecond
 	slowedPercent = 60
-	// slowedRestartedMost is up to which progress such a run is moved that saves none.
-	slowedRestartedMost = 70
+	// maxSlowedRestartPercent is up to which progress such a run is moved that saves none.
+	maxSlowedRestartPercent = 70
 )
 
-// evictWorst stops the run that disturbs most, so that its owner finds a worker that
+// evictOne stops the run that disturbs most, so that its owner finds a worker that
 // bears it, or else the one that has been slowed for the longest. Without any moves batch work is late.
-func (agent *Agent) evictWorst(state *workerState, servings []interference.ServingTask, fills []interference.FillTask, paces map[string]float64, now time.Time) {
-	if now.Sub(agent.paced.evictedAt) < evictEvery {
+func (agent *Agent) evictOne(state *workerState, servings []interference.ServingTask, fills []interference.FillTask, paces map[string]float64, now time.Time) {
+	if now.Sub(agent.pacer.lastEvictionAt) < evictionInterval {
 		return
 	}
 	for index := range fills {
 		run := state.runs[fills[index].Task]
-		fills[index].Movable = run.evictable(now) && run.losesLittle(restartedMost) && agent.gainsByMove(run, paces[run.task])
+		fills[index].Movable = run.isEvictable(now) && run.losesLittleProgress(maxRestartPercent) && agent.benefitsFromMove(run, paces[run.task])
 	}
-	if worst, found := agent.paced.model.EvictionCandidate(servings, fills, paces); found {
+	if worst, found := agent.pacer.model.EvictionCandidate(servings, fills, paces); found {
 		agent.evict(state, state.runs[worst], now)
 		return
 	}
-	if stuck := state.slowedLongest(now); stuck != nil && agent.gainsByMove(stuck, paces[stuck.task]) {
+	if stuck := state.longestSlowed(now); stuck != nil && agent.benefitsFromMove(stuck, paces[stuck.task]) {
 		agent.evict(state, stuck, now)
 	}
 }
 
-// evictable reports whether a run may be moved for the sake of serving ones, or of its
+// isEvictable reports whether a run may be moved for the sake of serving ones, or of its
 // own.
-func (run *runState) evictable(now time.Time) bool {
-	return run.demand.GetMovable() && run.phase == phaseRunning && now.Sub(run.confirmedAt) >= evictAfter
+func (run *runState) isEvictable(now time.Time) bool {
+	return run.demand.GetMovable() && run.phase == phaseRunning && now.Sub(run.confirmedAt) >= minRunTimeBeforeEviction
 }
 
-// losesLittle reports whether a run goes on from a checkpoint when it is stopped, or has
+// losesLittleProgress reports whether a run goes on from a checkpoint when it is stopped, or has
 // not got beyond a progress in percent.
-func (run *runState) losesLittle(most int32) bool {
-	return run.demand.GetSaves() || run.percent <= most
+func (run *runState) losesLittleProgress(most int32) bool {
+	return run.demand.GetSaves() || run.progressPercent <= most
 }
 
-// slowedLongest returns the run that has been slowed for the longest, and for too long;
+// longestSlowed returns the run that has been slowed for the longest, and for too long;
 // nil if there is none.
-func (state *workerState) slowedLongest(now time.Time) *runState {
+func (state *workerState) longestSlowed(now time.Time) *runState {
 	var longest *runState
 	for _, run := range state.runs {
-		if run.slowedSince.IsZero() || now.Sub(run.slowedSince) < slowedMost || !run.evictable(now) || !run.losesLittle(slowedRestartedMost) {
+		if run.slowedSince.IsZero() || now.Sub(run.slowedSince) < maxSlowedTime || !run.isEvictable(now) || !run.losesLittleProgress(maxSlowedRestartPercent) {
 			continue
 		}
 		if longest == nil || run.slowedSince.Before(longest.slowedSince) {
@@ -75,8 +75,8 @@
 }
 
 func (agent *Agent) evict(state *workerState, run *runState, now time.Time) {
-	agent.paced.evictedAt = now
-	agent.meters.evicted.Add(agent.ctx, 1)
-	agent.logRun(event.RunEvicted, run, slog.String("image", run.demand.GetImage()), slog.Int("percent_done", int(run.percent)))
+	agent.pacer.lastEvictionAt = now
+	agent.metrics.evictions.Add(agent.ctx, 1)
+	agent.logRun(event.RunEvicted, run, slog.String("image", run.demand.GetImage()), slog.Int("percent_done", int(run.progressPercent)))
 	agent.stopRun(state, run, now)
 }
--- a/agent/evict_test.go
+++ b/agent/evict_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestSlowedLongest: a run that has been slowed for long is moved, also one that begins
+// TestLongestSlowed: a run that has been slowed for long is moved, also one that begins
 // again from the start, unless it is nearly done or has been moved too often.
-func TestSlowedLongest(t *testing.T) {
+func TestLongestSlowed(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	tests := map[string]struct {
 		slowed  time.Duration // 0: not slowed
@@ -28,21 +28,21 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			run := &runState{task: "t", demand: test.demand, phase: phaseRunning, percent: test.percent, confirmedAt: now.Add(-test.ran)}
+			run := &runState{task: "t", demand: test.demand, phase: phaseRunning, progressPercent: test.percent, confirmedAt: now.Add(-test.ran)}
 			if test.slowed > 0 {
 				run.slowedSince = now.Add(-test.slowed)
 			}
 			state := &workerState{runs: map[string]*runState{"t": run}}
-			if got := state.slowedLongest(now); (got == run) != test.moved {
+			if got := state.longestSlowed(now); (got == run) != test.moved {
 				t.Errorf("chosen: %v", got)
 			}
 		})
 	}
 }
 
-// TestLosesLittle: what saves its progress loses little at any time, what does not only
+// TestLosesLittleProgress: what saves its progress loses little at any time, what does not only
 // at its beginning.
-func TestLosesLittle(t *testing.T) {
+func TestLosesLittleProgress(t *testing.T) {
 	tests := map[string]struct {
 		saves   bool
 		percent int32
@@ -54,8 +54,8 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			run := &runState{demand: &wire.Demand{Saves: test.saves}, percent: test.percent}
-			if got := run.losesLittle(restartedMost); got != test.little {
+			run := &runState{demand: &wire.Demand{Saves: test.saves}, progressPercent: test.percent}
+			if got := run.losesLittleProgress(maxRestartPercent); got != test.little {
 				t.Errorf("got %v", got)
 			}
 		})
--- a/agent/learned.go
+++ b/agent/learned.go
@@ -10,33 +10,33 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// unboundedTolerance stands for a worker whose serving tasks bear any amount,
+// unlimitedTolerance stands for a worker whose serving tasks bear any amount,
 // in thousandths of a core.
-const unboundedTolerance = int64(math.MaxInt32)
+const unlimitedTolerance = int64(math.MaxInt32)
 
-// tolerances tells how many more cores of each image the serving runs bear.
-func (agent *Agent) tolerances(state *workerState, status *wire.WorkerStatus, now time.Time) {
-	servings, fills := state.sharing(now)
+// addTolerances tells how many more cores of each image the serving runs bear.
+func (agent *Agent) addTolerances(state *workerState, status *wire.WorkerStatus, now time.Time) {
+	servings, fills := state.interferenceTasks(now)
 	for _, serving := range servings {
 		status.ServingImages = append(status.ServingImages, serving.Image)
 	}
 	slices.Sort(status.ServingImages)
-	borne := agent.paced.model.SpareHeadroom(servings, fills)
+	borne := agent.pacer.model.SpareHeadroom(servings, fills)
 	tolerated := func(image string) int64 {
 		cores := borne.Tolerance(image)
 		if math.IsInf(cores, 1) {
-			return unboundedTolerance
+			return unlimitedTolerance
 		}
-		return int64(cores / state.modelScale())
+		return int64(cores / state.modelCoresPerMilliCPU())
 	}
 	status.ToleratedMilliCpu = tolerated("")
-	for _, image := range agent.paced.model.FillImages() {
+	for _, image := range agent.pacer.model.FillImages() {
 		status.Tolerances = append(status.Tolerances, &wire.Tolerance{Image: image, MilliCpu: tolerated(image)})
 	}
 }
 
-// learned lists what this worker's readings have taught.
-func (paced *pacing) learned() []*job.Interference {
+// localEstimates lists what this worker's readings have taught.
+func (paced *pacer) localEstimates() []*job.Interference {
 	var told []*job.Interference
 	for pair, known := range paced.model.LocalEstimates() {
 		if known.Readings > 0 {
@@ -46,63 +46,63 @@
 	return told
 }
 
-// weightStep and readingsStep are by how much a weight, and the share by which what it
+// learnedWeightDelta and learnedReadingsRatio are by how much a weight, and the share by which what it
 // rests on, has to differ to be told anew. A weight of 0.02 is a sixth of what readings of
 // pairs that don't disturb teach.
 const (
-	weightStep   = 0.02
-	readingsStep = 0.2
+	learnedWeightDelta   = 0.02
+	learnedReadingsRatio = 0.2
 )
 
-// learnedAnew returns the pairs of which the owner has not been told what the readings
+// changedEstimates returns the pairs of which the owner has not been told what the readings
 // have taught by now, and notes them as told. An owner that takes no changes is told all.
-func (owner *session) learnedAnew(learned []*job.Interference) []*job.Interference {
-	if !owner.takesChanges {
+func (owner *session) changedEstimates(learned []*job.Interference) []*job.Interference {
+	if !owner.acceptsChanges {
 		return learned
 	}
-	if owner.toldLearned == nil {
-		owner.toldLearned = map[interference.Pair]interference.Estimate{}
+	if owner.sentEstimates == nil {
+		owner.sentEstimates = map[interference.Pair]interference.Estimate{}
 	}
 	var anew []*job.Interference
 	for _, known := range learned {
 		pair, now := known.Pair(), known.Estimate()
-		if before, found := owner.toldLearned[pair]; found && !now.Differs(before, weightStep, readingsStep) {
+		if before, found := owner.sentEstimates[pair]; found && !now.Differs(before, learnedWeightDelta, learnedReadingsRatio) {
 			continue
 		}
-		owner.toldLearned[pair] = now
+		owner.sentEstimates[pair] = now
 		anew = append(anew, known)
 	}
 	return anew
 }
 
-// shareEvery is how often what was kept of others is taken in again, so that the weights
+// mergeInterval is how often what was kept of others is taken in again, so that the weights
 // that other workers read pull on those read here as steadily as their readings come.
-const shareEvery = 1500 * time.Millisecond
+const mergeInterval = 1500 * time.Millisecond
 
-// keep takes in what the readings of all workers together have taught of some pairs, and
+// setLearnedByAll takes in what the readings of all workers together have taught of some pairs, and
 // keeps it.
-func (paced *pacing) keep(told []*job.Interference, now time.Time) {
+func (paced *pacer) setLearnedByAll(told []*job.Interference, now time.Time) {
 	for _, known := range told {
 		pair := known.Pair()
-		paced.byAll[pair] = known.Estimate()
-		paced.shareKept(pair, paced.model.LocalEstimate(pair), now)
+		paced.learnedByAll[pair] = known.Estimate()
+		paced.mergePair(pair, paced.model.LocalEstimate(pair), now)
 	}
 }
 
-// shareAgain takes what was kept in once more, if that is due.
-func (paced *pacing) shareAgain(now time.Time) {
-	if now.Sub(paced.sharedAt) < shareEvery {
+// mergeLearnedByAll takes what was kept in once more, if that is due.
+func (paced *pacer) mergeLearnedByAll(now time.Time) {
+	if now.Sub(paced.mergedAt) < mergeInterval {
 		return
 	}
-	paced.sharedAt = now
-	for pair := range paced.byAll {
-		paced.shareKept(pair, paced.model.LocalEstimate(pair), now)
+	paced.mergedAt = now
+	for pair := range paced.learnedByAll {
+		paced.mergePair(pair, paced.model.LocalEstimate(pair), now)
 	}
 }
 
-// shareKept takes in what all workers but this one have taught of a pair.
-func (paced *pacing) shareKept(pair interference.Pair, own interference.Estimate, now time.Time) {
-	all := paced.byAll[pair]
+// mergePair takes in what all workers but this one have taught of a pair.
+func (paced *pacer) mergePair(pair interference.Pair, own interference.Estimate, now time.Time) {
+	all := paced.learnedByAll[pair]
 	others := all.Readings - own.Readings
 	if others <= 0 {
 		return
@@ -111,11 +111,11 @@
 	paced.model.MergeRemoteEstimate(pair, interference.Estimate{Weight: weight, Readings: others}, now)
 }
 
-// share takes in what other workers' readings have taught, by the word of an owner that tells
+// mergeLearned takes in what other workers' readings have taught, by the word of an owner that tells
 // all of it each time: what was kept of one that tells changes holds no longer.
-func (paced *pacing) share(told []*job.Interference, now time.Time) {
+func (paced *pacer) mergeLearned(told []*job.Interference, now time.Time) {
 	if len(told) > 0 {
-		clear(paced.byAll)
+		clear(paced.learnedByAll)
 	}
 	for _, known := range told {
 		paced.model.MergeRemoteEstimate(known.Pair(), known.Estimate(), now)
--- a/agent/leave_test.go
+++ b/agent/leave_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestRunsLeaveBeforeTheirWorker: a run that would not end before its worker is gone
+// TestRunsStopBeforeWorkerLeaves: a run that would not end before its worker is gone
 // is stopped in time to go on elsewhere, and not before.
-func TestRunsLeaveBeforeTheirWorker(t *testing.T) {
+func TestRunsStopBeforeWorkerLeaves(t *testing.T) {
 	tests := map[string]struct {
 		remaining time.Duration
 		percent   int32
@@ -27,32 +27,32 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			made.attachRunning(test.demand)
-			made.worker.Progress(task, test.percent)
-			made.beatLeaving(test.remaining)
-			made.pass(test.after)
-			if runs := made.runs(); runs != test.runs {
+			made := newHarness(t)
+			made.attachOwnerWithRun(test.demand)
+			made.worker.Progress(testTask, test.percent)
+			made.sendDrainNotice(test.remaining)
+			made.advance(test.after)
+			if runs := made.isRunning(); runs != test.runs {
 				t.Errorf("it runs: %v", runs)
 			}
 		})
 	}
 }
 
-// TestWorkerThatStaysAfterAll: a notice that was taken back counts no more, also when
+// TestCancelledDrain: a notice that was taken back counts no more, also when
 // the worker drains again without saying for how long it stays.
-func TestWorkerThatStaysAfterAll(t *testing.T) {
-	made := newBench(t)
-	made.attachRunning(start(1).GetDemand())
-	made.beatLeaving(5 * time.Second)
-	stays := made.heartbeat()
+func TestCancelledDrain(t *testing.T) {
+	made := newHarness(t)
+	made.attachOwnerWithRun(newStartOrder(1).GetDemand())
+	made.sendDrainNotice(5 * time.Second)
+	stays := made.firstHeartbeat()
 	stays.Sequence = 3
-	made.beside.Beat(stays)
-	drains := made.heartbeat()
+	made.agent.Beat(stays)
+	drains := made.firstHeartbeat()
 	drains.Sequence, drains.Draining = 4, true
-	made.beside.Beat(drains)
-	made.pass(6 * time.Second)
-	if !made.runs() {
+	made.agent.Beat(drains)
+	made.advance(6 * time.Second)
+	if !made.isRunning() {
 		t.Error("it was stopped for the first notice")
 	}
 }
--- a/agent/life_test.go
+++ b/agent/life_test.go
@@ -26,28 +26,28 @@
 		new, outlived bool
 	}{
 		"no sign":          {func(*workerState) {}, false, true, false},
-		"answered at once": {func(state *workerState) { state.noteAnswer(began, began.Add(soon)) }, false, true, false},
-		"answered late":    {func(state *workerState) { state.noteAnswer(began, began.Add(long)) }, false, false, false},
+		"answered at once": {func(state *workerState) { state.recordAnswer(began, began.Add(soon)) }, false, true, false},
+		"answered late":    {func(state *workerState) { state.recordAnswer(began, began.Add(long)) }, false, false, false},
 		"asked and answered late": {
-			func(state *workerState) { state.noteAnswer(began.Add(long), began.Add(2*long)) }, false, false, true},
-		"ended its connections at once": {func(state *workerState) { state.noteBroken(errors.New("reset"), began.Add(soon)) }, false, true, false},
-		"ended its connections later":   {func(state *workerState) { state.noteBroken(errors.New("reset"), began.Add(long)) }, false, false, false},
+			func(state *workerState) { state.recordAnswer(began.Add(long), began.Add(2*long)) }, false, false, true},
+		"ended its connections at once": {func(state *workerState) { state.recordCallError(errors.New("reset"), began.Add(soon)) }, false, true, false},
+		"ended its connections later":   {func(state *workerState) { state.recordCallError(errors.New("reset"), began.Add(long)) }, false, false, false},
 		"fell silent": {
 			func(state *workerState) {
-				state.noteBroken(errors.Wrap(context.DeadlineExceeded, "call"), began.Add(long))
+				state.recordCallError(errors.Wrap(context.DeadlineExceeded, "call"), began.Add(long))
 			}, false, true, false},
 		"found on the worker": {func(*workerState) {}, true, false, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			state := newWorkerState(platform.Heartbeat{}, nil, former{token: 1}, began.Add(-long))
-			run := &runState{task: "task", sentAt: began, found: test.found}
+			state := newWorkerState(platform.Heartbeat{}, nil, predecessor{token: 1}, began.Add(-long))
+			run := &runState{task: "task", startSentAt: began, adopted: test.found}
 			state.runs[run.task] = run
 			test.note(state)
 			if got := len(state.newRuns()) == 1; got != test.new {
 				t.Errorf("has just begun: %v", got)
 			}
-			if got := state.outlived(run); got != test.outlived {
+			if got := state.survivedStart(run); got != test.outlived {
 				t.Errorf("outlived its start: %v", got)
 			}
 		})
@@ -58,16 +58,16 @@
 // while the worker was silent. Beside one that was suspected before the others are told apart.
 func TestSuspects(t *testing.T) {
 	began := time.UnixMilli(1_800_000_000_000)
-	state := newWorkerState(platform.Heartbeat{}, nil, former{token: 1}, began)
-	plain := &runState{task: "plain", sentAt: began}
-	old := &runState{task: "old", sentAt: began.Add(-time.Second), suspect: true}
+	state := newWorkerState(platform.Heartbeat{}, nil, predecessor{token: 1}, began)
+	plain := &runState{task: "plain", startSentAt: began}
+	old := &runState{task: "old", startSentAt: began.Add(-time.Second), isSuspect: true}
 	state.runs[plain.task], state.runs[old.task] = plain, old
-	if got := state.suspects(); len(got) != 1 || got[plain] != wire.EndReason_END_CRASHED {
+	if got := state.crashSuspects(); len(got) != 1 || got[plain] != wire.EndReason_END_CRASHED {
 		t.Errorf("%d suspects without one from before", len(got))
 	}
-	again := &runState{task: "again", sentAt: began, suspect: true}
-	state.givenUp = []*runState{again}
-	got := state.suspects()
+	again := &runState{task: "again", startSentAt: began, isSuspect: true}
+	state.givenUpRuns = []*runState{again}
+	got := state.crashSuspects()
 	if len(got) != 2 || got[again] != wire.EndReason_END_CRASHED || got[plain] != wire.EndReason_END_CRASHED_BESIDE {
 		t.Errorf("with one from before the suspects are told as %v", got)
 	}
--- a/agent/look.go
+++ b/agent/look.go
@@ -11,100 +11,100 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// look asks the worker what runs and what has ended, and renews its lease.
-func (agent *Agent) look(now time.Time) {
+// poll asks the worker what runs and what has ended, and renews its lease.
+func (agent *Agent) poll(now time.Time) {
 	state := agent.worker
-	if state.looking || state.overtaken || now.Before(state.lookAt) {
+	if state.isPolling || state.isSuperseded || now.Before(state.pollAt) {
 		return
 	}
-	wait := agent.lookWait(state)
+	wait := agent.pollWait(state)
 	leaseEnd := time.Duration(0)
-	if state.failures == 0 {
+	if state.pollFailures == 0 {
 		// A worker that does not answer is not renewed: its runs are over
 		// once the lease that it may have is.
-		leaseEnd = state.leaseEnd(now, agent.leaseUntil(now))
+		leaseEnd = state.leaseEnd(now, agent.leaseLimit(now))
 	}
 	if leaseEnd > 0 {
-		state.extended(leaseEnd)
+		state.recordLease(leaseEnd)
 	}
-	asked := look{at: now, seen: state.seen, token: state.token, settles: state.unsettled}
-	if state.failures > 0 {
+	asked := pollRequest{sentAt: now, storedEnd: state.storedEnd, token: state.token, unsettledStarts: state.unsettledStarts}
+	if state.pollFailures > 0 {
 		// It may have started again, and would forget ends of its next life.
-		asked.seen = 0
+		asked.storedEnd = 0
 	}
-	state.looking = true
+	state.isPolling = true
 	go func() {
 		ctx, cancel := context.WithTimeout(agent.ctx, wait+callTimeout)
 		defer cancel()
-		held, err := state.calls.Hold(ctx, leaseEnd, asked.seen, asked.token, wait)
-		agent.decisions.Post(func(now time.Time) {
-			state.looking = false
+		held, err := state.client.Hold(ctx, leaseEnd, asked.storedEnd, asked.token, wait)
+		agent.eventLoop.Post(func(now time.Time) {
+			state.isPolling = false
 			if agent.worker == state {
-				agent.noteLook(state, asked, held, err, now)
+				agent.handlePollAnswer(state, asked, held, err, now)
 			}
 		})
 	}()
 }
 
-// lookWait returns how long a look waits for an end: not at all while the agent
+// pollWait returns how long a look waits for an end: not at all while the agent
 // does not know what runs.
-func (agent *Agent) lookWait(state *workerState) time.Duration {
-	if !state.known || state.unsettled > 0 || state.failures > 0 {
+func (agent *Agent) pollWait(state *workerState) time.Duration {
+	if !state.runsKnown || state.unsettledStarts > 0 || state.pollFailures > 0 {
 		return 0
 	}
-	if agent.paced.watching(state) {
-		return pacedHoldWait
+	if agent.pacer.isNeeded(state) {
+		return pacingPollWait
 	}
-	return holdWait
+	return defaultPollWait
 }
 
-// look is one question to the worker.
-type look struct {
-	at      time.Time
-	seen    int64
-	token   int64
-	settles int
+// pollRequest is one question to the worker.
+type pollRequest struct {
+	sentAt          time.Time
+	storedEnd       int64
+	token           int64
+	unsettledStarts int
 }
 
-func (agent *Agent) noteLook(state *workerState, asked look, held platform.Held, err error, now time.Time) {
-	if state.overtaken {
+func (agent *Agent) handlePollAnswer(state *workerState, asked pollRequest, held platform.Held, err error, now time.Time) {
+	if state.isSuperseded {
 		return // The answer is of before, or none.
 	}
 	if err != nil {
-		agent.noteFailedLook(state, err, now)
+		agent.handlePollError(state, err, now)
 		return
 	}
-	if state.failures > 0 {
-		agent.log(event.WorkerBack, slog.String("worker", state.life.WorkerID()), slog.Int("failures", state.failures))
-		state.failures = 0
-		state.givenUp = nil // It did not crash.
-		agent.statusChanged()
+	if state.pollFailures > 0 {
+		agent.log(event.WorkerBack, slog.String("worker", state.incarnation.WorkerID()), slog.Int("failures", state.pollFailures))
+		state.pollFailures = 0
+		state.givenUpRuns = nil // It did not crash.
+		agent.markStatusChanged()
 	}
-	agent.noteDate(state, held.Incarnation)
-	state.noteClock(held.Clock, now)
-	state.noteAnswer(asked.at, now)
-	state.lookAt = now
+	agent.recordStartTime(state, held.Incarnation)
+	state.updateClock(held.Clock, now)
+	state.recordAnswer(asked.sentAt, now)
+	state.pollAt = now
 	for _, end := range held.Ended {
-		agent.noteEnd(state, end, now)
+		agent.handleRunEnd(state, end, now)
 	}
-	if len(state.ends) > 0 || state.seen > asked.seen && len(held.Ended) > 0 {
-		state.lookAt = now.Add(unseenPause)
+	if len(state.pendingEnds) > 0 || state.storedEnd > asked.storedEnd && len(held.Ended) > 0 {
+		state.pollAt = now.Add(pendingEndsDelay)
 	}
-	agent.noteRunning(state, asked, held, now)
-	if !state.known {
-		state.known, state.listedAll = true, true
-		agent.statusChanged()
+	agent.reconcileRuns(state, asked, held, now)
+	if !state.runsKnown {
+		state.runsKnown, state.runsListedOnce = true, true
+		agent.markStatusChanged()
 	}
-	agent.pace(state, true, now)
+	agent.adjustPaces(state, true, now)
 }
 
-func (agent *Agent) noteFailedLook(state *workerState, err error, now time.Time) {
-	if agent.notesOtherLife(state, err, now) {
+func (agent *Agent) handlePollError(state *workerState, err error, now time.Time) {
+	if agent.detectRestart(state, err, now) {
 		return
 	}
 	if platform.IsOtherIncarnation(err) {
 		// One worker stands on a machine, and it is another one now.
-		agent.endIncarnation(state.life, endReplaced, now)
+		agent.endIncarnation(state.incarnation, causeReplaced, now)
 		return
 	}
 	var refused *platform.StartError
@@ -112,13 +112,13 @@
 		state.token += tokenStep
 		return
 	}
-	if state.failures == 0 {
-		state.noteBroken(err, now)
+	if state.pollFailures == 0 {
+		state.recordCallError(err, now)
 	}
-	state.failures++
-	state.lookAt = now.Add(failedPause)
-	if state.failures == 1 {
-		agent.log(event.WorkerSilent, slog.String("worker", state.life.WorkerID()), slog.Any("error", err))
-		agent.statusChanged()
+	state.pollFailures++
+	state.pollAt = now.Add(failedPollDelay)
+	if state.pollFailures == 1 {
+		agent.log(event.WorkerSilent, slog.String("worker", state.incarnation.WorkerID()), slog.Any("error", err))
+		agent.markStatusChanged()
 	}
 }
--- a/agent/look_test.go
+++ b/agent/look_test.go
@@ -7,19 +7,19 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestRestartedAgentFindsEndsOfLongAgo: the worker counts on from ends that it
+// TestEndNumbersAfterAgentRestart: the worker counts on from ends that it
 // was told to forget by the agent before.
-func TestRestartedAgentFindsEndsOfLongAgo(t *testing.T) {
-	made := newBench(t)
+func TestEndNumbersAfterAgentRestart(t *testing.T) {
+	made := newHarness(t)
 	made.worker.Number(200)
-	made.worker.Put(task, 3, 4*time.Second)
-	made.beat()
-	owner := made.attach(1)
-	made.until(func() bool {
-		return owner.last(func(message *wire.AgentMessage) bool { return len(message.GetRuns()) == 1 }) != nil
+	made.worker.Put(testTask, 3, 4*time.Second)
+	made.sendHeartbeat()
+	owner := made.attachOwner(1)
+	made.waitFor(func() bool {
+		return owner.lastMatching(func(message *wire.AgentMessage) bool { return len(message.GetRuns()) == 1 }) != nil
 	})
-	made.worker.End(task, "done")
-	made.until(func() bool { return owner.end() != nil })
-	owner.tell(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: worker, Number: owner.end().GetNumber()}}})
-	made.until(func() bool { _, seen := made.worker.Looks(); return seen == 201 })
+	made.worker.End(testTask, "done")
+	made.waitFor(func() bool { return owner.firstEnd() != nil })
+	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: owner.firstEnd().GetNumber()}}})
+	made.waitFor(func() bool { _, seen := made.worker.Looks(); return seen == 201 })
 }
--- a/agent/order_test.go
+++ b/agent/order_test.go
@@ -7,20 +7,20 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-func TestStartUntilItsEndIsDurable(t *testing.T) {
-	made := newBench(t)
-	owner := made.attachReady(1)
-	made.startsRun(owner, start(1))
-	made.worker.End(task, "done")
-	made.until(func() bool { return owner.end() != nil })
+func TestEndIsKeptUntilStored(t *testing.T) {
+	made := newHarness(t)
+	owner := made.attachReadyOwner(1)
+	made.mustStart(owner, newStartOrder(1))
+	made.worker.End(testTask, "done")
+	made.waitFor(func() bool { return owner.firstEnd() != nil })
 	if _, seen := made.worker.Looks(); seen != 0 {
 		t.Errorf("the worker was told to forget end %d before it was durable", seen)
 	}
-	owner.tell(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: worker, Number: owner.end().GetNumber()}}})
-	made.until(func() bool { _, seen := made.worker.Looks(); return seen == 1 })
+	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: owner.firstEnd().GetNumber()}}})
+	made.waitFor(func() bool { _, seen := made.worker.Looks(); return seen == 1 })
 }
 
-func TestRefusals(t *testing.T) {
+func TestStartOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		change func(order *wire.StartOrder)
 		want   wire.StartOutcome
@@ -34,20 +34,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			owner := made.attachReady(7)
-			order := start(7)
+			made := newHarness(t)
+			owner := made.attachReadyOwner(7)
+			order := newStartOrder(7)
 			test.change(order)
-			if got := made.starts(owner, order); got != test.want {
+			if got := made.orderStart(owner, order); got != test.want {
 				t.Errorf("got %v", got)
 			}
 		})
 	}
 }
 
-// TestStartWithoutAnswer: whatever became of the order, what the owner is told
+// TestUnansweredStart: whatever became of the order, what the owner is told
 // holds for good.
-func TestStartWithoutAnswer(t *testing.T) {
+func TestUnansweredStart(t *testing.T) {
 	tests := map[string]struct {
 		fault wireworker.Fault
 		want  wire.StartOutcome
@@ -59,19 +59,19 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			owner := made.attachReady(1)
+			made := newHarness(t)
+			owner := made.attachReadyOwner(1)
 			made.worker.Fail(func(path string) wireworker.Fault {
 				if path == "/v1/run-start" {
 					return test.fault
 				}
 				return wireworker.FaultNone
 			})
-			if got := made.starts(owner, start(1)); got != test.want {
+			if got := made.orderStart(owner, newStartOrder(1)); got != test.want {
 				t.Errorf("told %v", got)
 			}
 			made.worker.CarryOut()
-			if runs := made.runs(); runs != test.runs {
+			if runs := made.isRunning(); runs != test.runs {
 				t.Errorf("runs: %v", runs)
 			}
 		})
--- a/agent/pace.go
+++ b/agent/pace.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// fasterStep is the most by which a pace rises from one look to the next.
+	// maxPaceRaise is the most by which a pace rises from one look to the next.
 	// A reading is taken over half a second, so a larger step would not be
 	// seen before the next one.
-	fasterStep = 30
-	// fasterEvery keeps such steps apart where looks follow each other closely,
+	maxPaceRaise = 30
+	// paceRaiseInterval keeps such steps apart where looks follow each other closely,
 	// because ends wait to be made durable.
-	fasterEvery = 300 * time.Millisecond
-	// adoptedPause is how long a run that was found is not let go faster: until then
+	paceRaiseInterval = 300 * time.Millisecond
+	// adoptedPaceDelay is how long a run that was found is not let go faster: until then
 	// little is known of the serving runs beside it, and what others have learned is
 	// told within 1.5 s.
-	adoptedPause = 2 * time.Second
-	// paceChange is the least change that is sent.
-	paceChange = 4
+	adoptedPaceDelay = 2 * time.Second
+	// minPaceChange is the least change that is sent.
+	minPaceChange = 4
 	// fullPercent is the pace of a run that is not slowed, and the progress of one
 	// that is done.
 	fullPercent = 100
-	// milli is the number of thousandths in a core.
-	milli = 1000
-	// modelCores is the size of worker in whose cores interference is reckoned:
+	// millisPerCore is the number of thousandths in a core.
+	millisPerCore = 1000
+	// modelWorkerCores is the size of worker in whose cores interference is reckoned:
 	// on a worker with twice as many, a core of a fill disturbs half as much.
-	modelCores = 16
+	modelWorkerCores = 16
 )
 
-// pacing slows the tasks that fill a worker while they disturb those that serve.
-type pacing struct {
-	model     *interference.Model
-	evictedAt time.Time // when a run was last evicted
-	// byAll is what the readings of all workers, this one's included, have taught by
+// pacer slows the tasks that fill a worker while they disturb those that serve.
+type pacer struct {
+	model          *interference.Model
+	lastEvictionAt time.Time // when a run was last evicted
+	// learnedByAll is what the readings of all workers, this one's included, have taught by
 	// the word of an owner that tells only what changes; sharedAt is when it was last
 	// taken in.
-	byAll    map[interference.Pair]interference.Estimate
-	sharedAt time.Time
+	learnedByAll map[interference.Pair]interference.Estimate
+	mergedAt     time.Time
 }
 
-// newPacing returns a pacing that has learned nothing; a target may be missed for
+// newPacer returns a pacing that has learned nothing; a target may be missed for
 // harmAfter on end.
-func newPacing(harmAfter time.Duration) pacing {
-	return pacing{model: interference.New(harmAfter), byAll: map[interference.Pair]interference.Estimate{}}
+func newPacer(harmAfter time.Duration) pacer {
+	return pacer{model: interference.New(harmAfter), learnedByAll: map[interference.Pair]interference.Estimate{}}
 }
 
-// watching reports whether tails of serving tasks are to be looked at closely.
-func (paced *pacing) watching(state *workerState) bool {
+// isNeeded reports whether tails of serving tasks are to be looked at closely.
+func (paced *pacer) isNeeded(state *workerState) bool {
 	serving, filling := false, false
 	for _, run := range state.runs {
 		serving = serving || run.demand.GetTargetMs() > 0
@@ -61,78 +61,78 @@
 	return serving && filling
 }
 
-// modelScale is what a thousandth of this worker's cores counts for in the model's
+// modelCoresPerMilliCPU is what a thousandth of this worker's cores counts for in the model's
 // cores.
-func (state *workerState) modelScale() float64 {
-	return modelCores / float64(max(state.beat.MilliCPU, milli))
+func (state *workerState) modelCoresPerMilliCPU() float64 {
+	return modelWorkerCores / float64(max(state.heartbeat.MilliCPU, millisPerCore))
 }
 
-// sharing returns the runs that serve and those that fill.
-func (state *workerState) sharing(now time.Time) ([]interference.ServingTask, []interference.FillTask) {
-	scale := state.modelScale()
+// interferenceTasks returns the runs that serve and those that fill.
+func (state *workerState) interferenceTasks(now time.Time) ([]interference.ServingTask, []interference.FillTask) {
+	scale := state.modelCoresPerMilliCPU()
 	var servings []interference.ServingTask
 	var fills []interference.FillTask
 	for _, run := range state.runs {
 		demand := run.demand
 		if demand.GetTargetMs() > 0 {
 			servings = append(servings, interference.ServingTask{
-				Task: run.task, Image: demand.GetImage(), TailMs: float64(run.figure), TargetMs: float64(demand.GetTargetMs()),
+				Task: run.task, Image: demand.GetImage(), TailMs: float64(run.reading), TargetMs: float64(demand.GetTargetMs()),
 			})
 		}
 		if demand.GetFills() {
 			fills = append(fills, interference.FillTask{
-				Task: run.task, Image: demand.GetImage(), Cores: float64(demand.GetMilliCpu()) * scale, UsedCores: float64(run.figure) * scale,
-				HasSlack: run.relaxed(now),
+				Task: run.task, Image: demand.GetImage(), Cores: float64(demand.GetMilliCpu()) * scale, UsedCores: float64(run.reading) * scale,
+				HasSlack: run.hasSlack(now),
 			})
 		}
 	}
 	return servings, fills
 }
 
-// pace adapts the pace of the filling runs to the tails of the serving ones. Without it
+// adjustPaces adapts the pace of the filling runs to the tails of the serving ones. Without it
 // serving tasks are over their targets for longer than is allowed.
-func (agent *Agent) pace(state *workerState, looked bool, now time.Time) {
-	servings, fills := state.sharing(now)
+func (agent *Agent) adjustPaces(state *workerState, looked bool, now time.Time) {
+	servings, fills := state.interferenceTasks(now)
 	if looked {
-		agent.noteTargets(state, now)
-		agent.paced.model.Observe(servings, fills, now)
+		agent.logTargetChanges(state, now)
+		agent.pacer.model.Observe(servings, fills, now)
 	}
-	paces := agent.paced.model.Paces(servings, fills)
+	paces := agent.pacer.model.Paces(servings, fills)
 	if looked {
-		agent.evictWorst(state, servings, fills, paces, now)
+		agent.evictOne(state, servings, fills, paces, now)
 	}
 	for _, run := range state.runs {
 		if run.demand.GetFills() && run.phase == phaseRunning {
-			agent.paceRun(state, run, int32(math.Round(paces[run.task]*fullPercent)), looked, now)
+			agent.setPace(state, run, int32(math.Round(paces[run.task]*fullPercent)), looked, now)
 		}
 	}
 }
 
-// paceRun brings a run to a pace: at once to a lower one, in steps to a higher one,
+// setPace brings a run to a pace: at once to a lower one, in steps to a higher one,
 // since what a step does shows only in the next reading.
-func (agent *Agent) paceRun(state *workerState, run *runState, percent int32, looked bool, now time.Time) {
-	before := run.pace
+func (agent *Agent) setPace(state *workerState, run *runState, percent int32, looked bool, now time.Time) {
+	before := run.pacePercent
 	if run.paceUnknown {
 		before = run.usedPercent()
 	}
 	if percent > before {
-		if !looked || now.Sub(run.fasterAt) < fasterEvery {
+		if !looked || now.Sub(run.paceRaisedAt) < paceRaiseInterval {
 			return
 		}
-		run.fasterAt = now
-		percent = min(percent, before+fasterStep)
+		run.paceRaisedAt = now
+		percent = min(percent, before+maxPaceRaise)
 	}
-	if !run.paceUnknown && !worthSending(before, percent) {
+	if !run.paceUnknown && !isPaceChangeRelevant(before, percent) {
 		return
 	}
-	run.pace, run.paceUnknown = percent, false
+	run.pacePercent, run.paceUnknown = percent, false
 	switch {
 	case percent >= slowedPercent:
 		run.slowedSince = time.Time{}
 	case run.slowedSince.IsZero():
 		run.slowedSince = now
 	}
-	agent.meters.paced.Add(agent.ctx, 1)
+	agent.metrics.paceChanges.Add(agent.ctx, 1)
 	agent.log(event.FillsPaced, slog.String("task", run.task), slog.Int("percent", int(percent)), slog.Int("before", int(before)))
 	go agent.sendPace(state, run, percent, before, state.token)
 }
@@ -143,16 +143,16 @@
 	if asked <= 0 {
 		return fullPercent
 	}
-	return int32(min(max(run.figure*fullPercent/asked, 0), fullPercent))
+	return int32(min(max(run.reading*fullPercent/asked, 0), fullPercent))
 }
 
-// worthSending reports whether a pace differs enough from the one before. Any step to
+// isPaceChangeRelevant reports whether a pace differs enough from the one before. Any step to
 // full pace does, so that no run is left a little slowed.
-func worthSending(before, percent int32) bool {
+func isPaceChangeRelevant(before, percent int32) bool {
 	if percent == fullPercent {
 		return percent != before
 	}
-	return percent-before <= -paceChange || percent-before >= paceChange
+	return percent-before <= -minPaceChange || percent-before >= minPaceChange
 }
 
 // sendPace tells the worker a pace. One that did not arrive is sent again with the
@@ -160,15 +160,15 @@
 func (agent *Agent) sendPace(state *workerState, run *runState, percent, before int32, token int64) {
 	ctx, cancel := context.WithTimeout(agent.ctx, callTimeout)
 	defer cancel()
-	_, err := state.calls.Pace(ctx, run.task, run.attempt, percent, token)
+	_, err := state.client.Pace(ctx, run.task, run.attempt, percent, token)
 	if err == nil {
 		return
 	}
-	agent.decisions.Post(func(now time.Time) {
+	agent.eventLoop.Post(func(now time.Time) {
 		agent.log(event.OrderUnsettled, slog.String("task", run.task), slog.String("order", "pace"), slog.Any("error", err))
-		run.pace = before
+		run.pacePercent = before
 		if agent.worker == state {
-			agent.notesOtherLife(state, err, now)
+			agent.detectRestart(state, err, now)
 		}
 	})
 }
--- a/agent/preempt.go
+++ b/agent/preempt.go
@@ -13,27 +13,27 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// preemptible reports whether a run may be stopped for a more urgent one: it does not
+// isPreemptible reports whether a run may be stopped for a more urgent one: it does not
 // last and goes on elsewhere from its checkpoint.
-func (run *runState) preemptible() bool {
+func (run *runState) isPreemptible() bool {
 	return run.phase == phaseRunning && run.demand.GetMovable() && run.demand.GetSaves() && !run.demand.GetLasting()
 }
 
-// notePreempt stops runs of less urgent tasks until a demand has room. If it would
+// handlePreemptOrder stops runs of less urgent tasks until a demand has room. If it would
 // not have, also without all of them, nothing is stopped.
-func (agent *Agent) notePreempt(order *wire.PreemptOrder, now time.Time) {
+func (agent *Agent) handlePreemptOrder(order *wire.PreemptOrder, now time.Time) {
 	state := agent.worker
-	if state == nil || !state.life.MayEqual(order.Incarnation()) || !state.ready() || state.beat.Draining {
+	if state == nil || !state.incarnation.MayEqual(order.Incarnation()) || !state.isReady() || state.heartbeat.Draining {
 		return
 	}
-	if agent.judgeDomain(now) == operator.Evacuated {
+	if agent.checkFailureDomain(now) == operator.Evacuated {
 		return // What would be stopped makes room that nothing may take.
 	}
 	if held, claimed := agent.claims[order.GetShard()]; !claimed || order.GetEpoch() < held.epoch {
 		return
 	}
 	wanted := order.GetDemand()
-	chosen, enough := state.chooseFor(wanted)
+	chosen, enough := state.selectPreempted(wanted)
 	if !enough {
 		return
 	}
@@ -45,11 +45,11 @@
 	}
 }
 
-// chooseFor returns the runs to stop so that a demand has room, none if it has
+// selectPreempted returns the runs to stop so that a demand has room, none if it has
 // already, and whether it then has.
-func (state *workerState) chooseFor(wanted *wire.Demand) (chosen []*runState, enough bool) {
-	free := state.roomOnceStopped()
-	for _, run := range state.lessUrgent(wanted.GetPriority()) {
+func (state *workerState) selectPreempted(wanted *wire.Demand) (chosen []*runState, enough bool) {
+	free := state.freeOnceStopped()
+	for _, run := range state.preemptibleRuns(wanted.GetPriority()) {
 		if free.fits(wanted) {
 			break
 		}
@@ -59,12 +59,12 @@
 	return chosen, free.fits(wanted)
 }
 
-// lessUrgent returns the runs that may be stopped for a priority: the least urgent
+// preemptibleRuns returns the runs that may be stopped for a priority: the least urgent
 // first, and of these the one that has got on the least.
-func (state *workerState) lessUrgent(priority int32) []*runState {
+func (state *workerState) preemptibleRuns(priority int32) []*runState {
 	var runs []*runState
 	for _, run := range state.runs {
-		if run.preemptible() && run.demand.GetPriority() > priority {
+		if run.isPreemptible() && run.demand.GetPriority() > priority {
 			runs = append(runs, run)
 		}
 	}
@@ -72,7 +72,7 @@
 		if byPriority := b.demand.GetPriority() - a.demand.GetPriority(); byPriority != 0 {
 			return int(byPriority)
 		}
-		if byProgress := a.percent - b.percent; byProgress != 0 {
+		if byProgress := a.progressPercent - b.progressPercent; byProgress != 0 {
 			return int(byProgress)
 		}
 		return strings.Compare(a.task, b.task)
@@ -84,7 +84,7 @@
 func (state *workerState) reclaimable() []*wire.Reclaimable {
 	held := map[int32]*admission.Resources{}
 	for _, run := range state.runs {
-		if !run.preemptible() {
+		if !run.isPreemptible() {
 			continue
 		}
 		priority := run.demand.GetPriority()
--- a/agent/preempt_test.go
+++ b/agent/preempt_test.go
@@ -37,11 +37,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			owner := made.attachRunning(test.there)
-			owner.tell(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{Shard: shard, Epoch: 1, Worker: worker, Demand: test.wanted}}})
-			made.pass(time.Second)
-			if runs := made.runs(); runs != test.runs {
+			made := newHarness(t)
+			owner := made.attachOwnerWithRun(test.there)
+			owner.send(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{Shard: testShard, Epoch: 1, Worker: workerID, Demand: test.wanted}}})
+			made.advance(time.Second)
+			if runs := made.isRunning(); runs != test.runs {
 				t.Errorf("it runs: %v", runs)
 			}
 		})
@@ -51,16 +51,16 @@
 // TestReplacedOwnerDoesNotPreempt: an owner whose shard has passed on has nothing
 // stopped.
 func TestReplacedOwnerDoesNotPreempt(t *testing.T) {
-	made := newBench(t)
-	before := made.attachReady(6)
-	owner := made.attach(7)
-	owner.tell(&wire.OwnerMessage{GrantUntilNanos: int64(time.Minute)})
-	order := start(7)
+	made := newHarness(t)
+	before := made.attachReadyOwner(6)
+	owner := made.attachOwner(7)
+	owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Minute)})
+	order := newStartOrder(7)
 	order.Demand = &wire.Demand{MilliCpu: 1000, MemoryMb: 6000, Priority: 2, Movable: true, Saves: true}
-	made.startsRun(owner, order)
-	before.tell(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{Shard: shard, Epoch: 6, Worker: worker, Demand: &wire.Demand{MemoryMb: 4000}}}})
-	made.pass(time.Second)
-	if !made.runs() {
+	made.mustStart(owner, order)
+	before.send(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{Shard: testShard, Epoch: 6, Worker: workerID, Demand: &wire.Demand{MemoryMb: 4000}}}})
+	made.advance(time.Second)
+	if !made.isRunning() {
 		t.Error("a run was stopped at its word")
 	}
 }
--- a/agent/register.go
+++ b/agent/register.go
@@ -21,13 +21,13 @@
 	// registerTimeout bounds a try. A partition that has more than 2 s of appends waiting
 	// refuses another one, so what is not answered by then was lost and doesn't wait in line.
 	registerTimeout = 4 * time.Second
-	// registerPause and registerSlower bound the pause before the next try, which doubles
+	// minRegisterDelay and maxRegisterDelay bound the pause before the next try, which doubles
 	// with each. It is spread, so that agents that were refused together don't come again together.
-	registerPause  = 250 * time.Millisecond
-	registerSlower = 4 * time.Second
-	// endedKept bounds the incarnations of one machine that the store is told
+	minRegisterDelay = 250 * time.Millisecond
+	maxRegisterDelay = 4 * time.Second
+	// maxEndedToRegister bounds the incarnations of one machine that the store is told
 	// of; runs of earlier ones have long been given up.
-	endedKept = 8
+	maxEndedToRegister = 8
 )
 
 // Register puts the agent's address into the store, where owners find it, and
@@ -38,15 +38,15 @@
 // register at once, and tries that are given up while they wait would make the line longer for all.
 func (agent *Agent) Register(ctx context.Context, store *platform.Store, address string) {
 	var taken *job.AgentRecord // by the store
-	retry := newRegisterBackOff()
+	retry := newRegisterBackoff()
 	for tries := 1; ctx.Err() == nil; tries++ {
-		record, asked := agent.record(ctx, address)
+		record, asked := agent.newRecord(ctx, address)
 		if !asked {
 			return
 		}
 		if taken == nil || !proto.Equal(record, taken) {
 			if err := agent.registerOnce(ctx, store, record); err != nil {
-				agent.noteRegisterFailed(ctx, tries, err)
+				agent.logRegisterFailure(ctx, tries, err)
 				agent.sleep(ctx, retry.NextBackOff())
 				continue
 			}
@@ -58,23 +58,23 @@
 		tries = 0
 		select {
 		case <-ctx.Done():
-		case <-agent.endedNews:
+		case <-agent.endedChanged:
 		}
 	}
 }
 
-func newRegisterBackOff() *backoff.ExponentialBackOff {
+func newRegisterBackoff() *backoff.ExponentialBackOff {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = registerPause
+	retry.InitialInterval = minRegisterDelay
 	retry.Multiplier = 2
-	retry.MaxInterval = registerSlower
+	retry.MaxInterval = maxRegisterDelay
 	return retry
 }
 
-// record returns what the store is to know of the agent; false once the agent has ended.
-func (agent *Agent) record(ctx context.Context, address string) (*job.AgentRecord, bool) {
+// newRecord returns what the store is to know of the agent; false once the agent has ended.
+func (agent *Agent) newRecord(ctx context.Context, address string) (*job.AgentRecord, bool) {
 	var ended []incarnation.ID
-	if !agent.decisions.Ask(ctx, func(time.Time) { ended = slices.Clone(agent.ended) }) {
+	if !agent.eventLoop.Ask(ctx, func(time.Time) { ended = slices.Clone(agent.endedToRegister) }) {
 		return nil, false
 	}
 	return job.NewAgentRecord(agent.options.Name, address, ended), true
@@ -95,8 +95,8 @@
 	return err
 }
 
-// noteRegisterFailed logs the first of the tries that fail in a row.
-func (agent *Agent) noteRegisterFailed(ctx context.Context, tries int, err error) {
+// logRegisterFailure logs the first of the tries that fail in a row.
+func (agent *Agent) logRegisterFailure(ctx context.Context, tries int, err error) {
 	if tries == 1 {
 		agent.options.Events.Log(ctx, event.StoreLost, slog.Any("error", err))
 	}
@@ -109,14 +109,14 @@
 	}
 }
 
-// noteEnded has the store told that an incarnation has ended for certain.
-func (agent *Agent) noteEnded(over incarnation.ID) {
-	agent.ended = append(agent.ended, over)
-	if len(agent.ended) > endedKept {
-		agent.ended = agent.ended[1:]
+// registerEnded has the store told that an incarnation has ended for certain.
+func (agent *Agent) registerEnded(over incarnation.ID) {
+	agent.endedToRegister = append(agent.endedToRegister, over)
+	if len(agent.endedToRegister) > maxEndedToRegister {
+		agent.endedToRegister = agent.endedToRegister[1:]
 	}
 	select {
-	case agent.endedNews <- struct{}{}:
+	case agent.endedChanged <- struct{}{}:
 	default:
 	}
 }
--- a/agent/room.go
+++ b/agent/room.go
@@ -5,8 +5,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// room is what is free on a worker.
-type room struct {
+// freeResources is what is free on a worker.
+type freeResources struct {
 	admission.Resources
 	// fillMilliCPU is what runs that fill use at their pace, and servingMilliCPU what
 	// runs that serve hold.
@@ -14,14 +14,14 @@
 	servingMilliCPU int64
 }
 
-// room returns what the worker's runs leave free.
-func (state *workerState) room() room {
-	free := room{Resources: admission.NewResources(state.beat.MilliCPU, state.beat.MemoryMB, state.beat.Accelerators)}
+// freeResources returns what the worker's runs leave free.
+func (state *workerState) freeResources() freeResources {
+	free := freeResources{Resources: admission.NewResources(state.heartbeat.MilliCPU, state.heartbeat.MemoryMB, state.heartbeat.Accelerators)}
 	for _, run := range state.runs {
 		demand := run.demand
 		free.Subtract(admission.ReservedBy(demand))
 		if demand.GetFills() {
-			free.fillMilliCPU += demand.GetMilliCpu() * int64(run.pace) / fullPercent
+			free.fillMilliCPU += demand.GetMilliCpu() * int64(run.pacePercent) / fullPercent
 		}
 		if demand.GetTargetMs() > 0 {
 			free.servingMilliCPU += demand.GetMilliCpu()
@@ -30,9 +30,9 @@
 	return free
 }
 
-// roomOnceStopped returns what is free once the runs that are being stopped are over.
-func (state *workerState) roomOnceStopped() room {
-	free := state.room()
+// freeOnceStopped returns what is free once the runs that are being stopped are over.
+func (state *workerState) freeOnceStopped() freeResources {
+	free := state.freeResources()
 	for _, run := range state.runs {
 		if run.phase == phaseStopping {
 			free.Add(admission.ReservedBy(run.demand))
@@ -42,6 +42,6 @@
 }
 
 // fits reports whether there is room for a demand.
-func (free room) fits(demand *wire.Demand) bool {
+func (free freeResources) fits(demand *wire.Demand) bool {
 	return free.Shortage(admission.ReservedBy(demand)) == ""
 }
--- a/agent/room_test.go
+++ b/agent/room_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestRoomFollowsTheWorker: what a worker has may shrink below what runs there and grow
+// TestFreeResourcesFollowHeartbeat: what a worker has may shrink below what runs there and grow
 // again. Its owner is told, and nothing is started beyond what it has now.
-func TestRoomFollowsTheWorker(t *testing.T) {
+func TestFreeResourcesFollowHeartbeat(t *testing.T) {
 	tests := map[string]struct {
 		change func(beat *platform.Heartbeat)
 		want   wire.StartOutcome
@@ -22,21 +22,21 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t)
-			owner := made.attachReady(1)
-			first := start(1)
+			made := newHarness(t)
+			owner := made.attachReadyOwner(1)
+			first := newStartOrder(1)
 			first.Task = "0123456789abcdef.0.0.1"
-			owner.tell(&wire.OwnerMessage{Starts: []*wire.StartOrder{first}})
-			made.until(func() bool { _, runs := made.worker.Running(first.Task); return runs })
-			beat := made.heartbeat()
+			owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{first}})
+			made.waitFor(func() bool { _, runs := made.worker.Running(first.Task); return runs })
+			beat := made.firstHeartbeat()
 			beat.Sequence = 2
 			test.change(&beat)
-			made.beside.Beat(beat)
-			if got := made.starts(owner, start(1)); got != test.want {
+			made.agent.Beat(beat)
+			if got := made.orderStart(owner, newStartOrder(1)); got != test.want {
 				t.Errorf("told %v", got)
 			}
-			made.until(func() bool {
-				status := owner.last(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil }).GetStatus()
+			made.waitFor(func() bool {
+				status := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil }).GetStatus()
 				return status.GetMilliCpu() == beat.MilliCPU && status.GetMemoryMb() == beat.MemoryMB
 			})
 		})
--- a/agent/running.go
+++ b/agent/running.go
@@ -9,12 +9,12 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// noteRunning compares what the worker lists with what the agent believes.
-func (agent *Agent) noteRunning(state *workerState, asked look, held platform.Held, now time.Time) {
+// reconcileRuns compares what the worker lists with what the agent believes.
+func (agent *Agent) reconcileRuns(state *workerState, asked pollRequest, held platform.Held, now time.Time) {
 	listed := map[string]bool{}
 	for _, run := range held.Running {
 		listed[run.Task] = true
-		agent.noteRun(state, run, now)
+		agent.updateRun(state, run, now)
 	}
 	if len(held.Ended) >= platform.EndsListedMost {
 		// The end of a run that is not listed may wait behind those that are.
@@ -22,70 +22,70 @@
 	}
 	for _, run := range state.runs {
 		if listed[run.task] {
-			run.missed = 0
+			run.missedPolls = 0
 			continue
 		}
-		agent.noteUnlisted(state, run, asked)
+		agent.handleUnlistedRun(state, run, asked)
 	}
-	if asked.settles > 0 && asked.token == state.token {
-		state.unsettled = 0
+	if asked.unsettledStarts > 0 && asked.token == state.token {
+		state.unsettledStarts = 0
 	}
 }
 
-func (agent *Agent) noteRun(state *workerState, listed platform.Run, now time.Time) {
+func (agent *Agent) updateRun(state *workerState, listed platform.Run, now time.Time) {
 	run, found := state.runs[listed.Task]
 	if !found {
 		run = &runState{
-			task: listed.Task, attempt: listed.Attempt, shard: agent.shardOf(listed.Task), phase: phaseRunning, confirmedAt: now, sentAt: now,
-			pace: fullPercent, paceUnknown: true, found: true, fasterAt: now.Add(adoptedPause),
+			task: listed.Task, attempt: listed.Attempt, shard: agent.shardOf(listed.Task), phase: phaseRunning, confirmedAt: now, startSentAt: now,
+			pacePercent: fullPercent, paceUnknown: true, adopted: true, paceRaisedAt: now.Add(adoptedPaceDelay),
 		}
 		state.runs[listed.Task] = run
 		agent.log(event.RunAdopted, slog.String("task", listed.Task), slog.Int("attempt", int(listed.Attempt)))
-		agent.statusChanged()
+		agent.markStatusChanged()
 	}
 	if run.attempt != listed.Attempt {
 		return
 	}
 	if run.phase == phaseUnsettled {
-		agent.settled(state, run, true)
+		agent.settleStart(state, run, true)
 		run.confirmedAt = now
 	}
-	run.work(now)
+	run.updateWork(now)
 	run.checkpoint = listed.Checkpoint
-	run.percent = listed.Percent
-	run.figure = listed.Figure
+	run.progressPercent = listed.Percent
+	run.reading = listed.Figure
 }
 
-// noteUnlisted looks at a run that the worker's answer lacks.
-func (agent *Agent) noteUnlisted(state *workerState, run *runState, asked look) {
+// handleUnlistedRun looks at a run that the worker's answer lacks.
+func (agent *Agent) handleUnlistedRun(state *workerState, run *runState, asked pollRequest) {
 	switch run.phase {
 	case phaseStarting:
 		// Its answer is still to come.
 	case phaseUnsettled:
-		if asked.token == state.token && asked.settles > 0 {
+		if asked.token == state.token && asked.unsettledStarts > 0 {
 			// The worker now obeys no token that the start was sent with.
 			delete(state.runs, run.task)
-			agent.settled(state, run, false)
+			agent.settleStart(state, run, false)
 		}
 	case phaseRunning, phaseStopping:
-		if !run.confirmedAt.Before(asked.at) {
+		if !run.confirmedAt.Before(asked.sentAt) {
 			return
 		}
-		run.missed++
-		if run.missed > 1 {
+		run.missedPolls++
+		if run.missedPolls > 1 {
 			delete(state.runs, run.task)
-			agent.tellLost(state, run)
-			agent.statusChanged()
+			agent.reportLostRun(state, run)
+			agent.markStatusChanged()
 		}
 	}
 }
 
-func (agent *Agent) settled(state *workerState, run *runState, runs bool) {
+func (agent *Agent) settleStart(state *workerState, run *runState, runs bool) {
 	agent.logRun(event.OrderSettled, run, slog.Bool("runs", runs))
 	outcome := wire.StartOutcome_START_WORKER_FAILED
 	if runs {
 		run.phase = phaseRunning
 		outcome = wire.StartOutcome_START_STARTED
 	}
-	agent.sendResult(state, run, outcome)
+	agent.queueResult(state, run, outcome)
 }
--- a/agent/session.go
+++ b/agent/session.go
@@ -11,49 +11,49 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// outboxLength is how many messages may wait to be sent; an owner that lets
+// outboxSize is how many messages may wait to be sent; an owner that lets
 // more wait is taken for gone.
-const outboxLength = 64
+const outboxSize = 64
 
 // session is one owner's stream.
 type session struct {
-	name string
-	// connection counts the streams that owners have spoken on, for logs; number is the owner's
+	ownerName string
+	// id counts the streams that owners have spoken on, for logs; number is the owner's
 	// own count of its connections to this agent, 0 for one of an earlier build.
-	connection int64
-	number     int64
-	// near is set for an owner in the same failure domain.
-	near    bool
-	heardAt time.Time
-	outbox  chan *wire.AgentMessage
-	closed  chan struct{}
-	// ended is set once the stream has: a message of it may still wait its turn.
-	ended bool
-	// handled is the number of the owner's last message, answered that of the last one
+	id               int64
+	connectionNumber int64
+	// isSameDomain is set for an owner in the same failure domain.
+	isSameDomain  bool
+	lastMessageAt time.Time
+	outbox        chan *wire.AgentMessage
+	closed        chan struct{}
+	// isClosed is set once the stream has: a message of it may still wait its turn.
+	isClosed bool
+	// handledSequence is the number of the owner's last message, answered that of the last one
 	// that it was told to be handled.
-	handled  int64
-	answered int64
-	// takesChanges is set for an owner that needs no more than what has changed.
-	takesChanges bool
-	// told is what the owner has been told of the worker, toldLearned what readings have
+	handledSequence      int64
+	acknowledgedSequence int64
+	// acceptsChanges is set for an owner that needs no more than what has changed.
+	acceptsChanges bool
+	// statusEncoder is what the owner has been told of the worker, toldLearned what readings have
 	// taught.
-	told        status.Encoder
-	toldLearned map[interference.Pair]interference.Estimate
+	statusEncoder status.Encoder
+	sentEstimates map[interference.Pair]interference.Estimate
 
-	results  []*wire.StartResult
-	ends     []*wire.RunEnd
-	changed  bool
-	wholeDue bool
-	sentAt   time.Time
-	runsSent time.Time
+	results       []*wire.StartResult
+	ends          []*wire.RunEnd
+	statusChanged bool
+	fullUpdateDue bool
+	lastSentAt    time.Time
+	runsSentAt    time.Time
 }
 
 // Attach implements wire.DRPCAgentServer.
 func (agent *Agent) Attach(stream wire.DRPCAgent_AttachStream) error {
-	owner := &session{outbox: make(chan *wire.AgentMessage, outboxLength), closed: make(chan struct{}), changed: true, wholeDue: true}
+	owner := &session{outbox: make(chan *wire.AgentMessage, outboxSize), closed: make(chan struct{}), statusChanged: true, fullUpdateDue: true}
 	failed := make(chan error, 1)
 	go func() { failed <- agent.receive(stream, owner) }()
-	defer agent.decisions.Post(func(now time.Time) { agent.detach(owner) })
+	defer agent.eventLoop.Post(func(now time.Time) { agent.detach(owner) })
 	for {
 		select {
 		case message := <-owner.outbox:
@@ -74,88 +74,88 @@
 		if err != nil {
 			return err
 		}
-		agent.decisions.Post(func(now time.Time) { agent.noteOwner(owner, message, now) })
+		agent.eventLoop.Post(func(now time.Time) { agent.handleOwnerMessage(owner, message, now) })
 	}
 }
 
-// logOwner logs what becomes of an owner's connection.
-func (agent *Agent) logOwner(code event.Code, owner *session, attributes ...slog.Attr) {
-	about := []slog.Attr{slog.String("owner", owner.name), slog.Int64("connection", owner.connection)}
+// logSession logs what becomes of an owner's connection.
+func (agent *Agent) logSession(code event.Code, owner *session, attributes ...slog.Attr) {
+	about := []slog.Attr{slog.String("owner", owner.ownerName), slog.Int64("connection", owner.id)}
 	agent.log(code, append(about, attributes...)...)
 }
 
 func (agent *Agent) detach(owner *session) {
-	owner.ended = true
-	if !agent.owners[owner] {
+	owner.isClosed = true
+	if !agent.sessions[owner] {
 		return
 	}
-	delete(agent.owners, owner)
-	agent.logOwner(event.OwnerLost, owner)
+	delete(agent.sessions, owner)
+	agent.logSession(event.OwnerLost, owner)
 }
 
-func (agent *Agent) noteOwner(owner *session, message *wire.OwnerMessage, now time.Time) {
-	if owner.ended {
+func (agent *Agent) handleOwnerMessage(owner *session, message *wire.OwnerMessage, now time.Time) {
+	if owner.isClosed {
 		return
 	}
-	if !agent.owners[owner] {
-		agent.owners[owner] = true
-		owner.name = message.GetOwner()
-		owner.near = message.GetFailureDomain() == agent.options.FailureDomain
-		owner.takesChanges = message.GetTakesChanges()
-		owner.number = message.GetConnection()
-		agent.connections++
-		owner.connection = agent.connections
-		agent.logOwner(event.OwnerAttached, owner)
+	if !agent.sessions[owner] {
+		agent.sessions[owner] = true
+		owner.ownerName = message.GetOwner()
+		owner.isSameDomain = message.GetFailureDomain() == agent.options.FailureDomain
+		owner.acceptsChanges = message.GetTakesChanges()
+		owner.connectionNumber = message.GetConnection()
+		agent.sessionCount++
+		owner.id = agent.sessionCount
+		agent.logSession(event.OwnerAttached, owner)
 	}
 	if message.GetOwned() {
-		agent.noteClaims(owner, message)
+		agent.handleClaims(owner, message)
 	}
-	if owner.ended {
+	if owner.isClosed {
 		return
 	}
-	agent.noteGrant(owner, message)
-	agent.noteEvacuations(message.GetEvacuations(), now)
+	agent.handleGrant(owner, message)
+	agent.handleEvacuations(message.GetEvacuations(), now)
 	for _, description := range message.GetRuns() {
-		agent.noteDescription(description)
+		agent.handleRunDescription(description)
 	}
-	agent.paced.share(message.GetLearned(), now)
-	agent.paced.keep(message.GetLearnedByAll(), now)
+	agent.pacer.mergeLearned(message.GetLearned(), now)
+	agent.pacer.setLearnedByAll(message.GetLearnedByAll(), now)
 	for _, order := range message.GetStops() {
-		agent.noteStop(order, now)
+		agent.handleStopOrder(order, now)
 	}
 	for _, order := range message.GetPreempts() {
-		agent.notePreempt(order, now)
+		agent.handlePreemptOrder(order, now)
 	}
 	for _, order := range message.GetStarts() {
-		agent.noteStart(owner, order, now)
+		agent.handleStartOrder(owner, order, now)
 	}
-	if len(message.GetStarts()) > 0 && message.GetEvacuations() == nil && agent.judgeDomain(now) == operator.Outdated {
-		agent.wantEvacuations()
+	if len(message.GetStarts()) > 0 && message.GetEvacuations() == nil && agent.checkFailureDomain(now) == operator.Outdated {
+		agent.requestEvacuations()
 	}
 	for _, seen := range message.GetSeen() {
-		agent.noteSeen(seen, now)
+		agent.handleEndSeen(seen, now)
 	}
-	owner.heardAt = now
-	owner.handled = message.GetSequence()
+	owner.lastMessageAt = now
+	owner.handledSequence = message.GetSequence()
 }
 
-func (agent *Agent) noteDescription(description *wire.RunDescription) {
+func (agent *Agent) handleRunDescription(description *wire.RunDescription) {
 	if agent.worker == nil {
 		return
 	}
 	run, found := agent.worker.runs[description.GetTask()]
 	if found && run.attempt == description.GetAttempt() && run.demand == nil {
 		run.demand = description.GetDemand()
-		agent.statusChanged()
+		agent.markStatusChanged()
 	}
 }
 
-func (agent *Agent) sendResult(state *workerState, run *runState, outcome wire.StartOutcome) {
+func (agent *Agent) queueResult(state *workerState, run *runState, outcome wire.StartOutcome) {
 	held, claimed := agent.claims[run.shard]
-	if !claimed || !agent.owners[held.owner] {
+	if !claimed || !agent.sessions[held.session] {
 		return
 	}
-	held.owner.results = append(held.owner.results, &wire.StartResult{
-		Task: run.task, Attempt: run.attempt, Worker: state.life.WorkerID(), Born: state.life.StartedMs(), Outcome: outcome,
+	held.session.results = append(held.session.results, &wire.StartResult{
+		Task: run.task, Attempt: run.attempt, Worker: state.incarnation.WorkerID(), Born: state.incarnation.StartedMs(), Outcome: outcome,
 	})
 }
--- a/agent/silent_test.go
+++ b/agent/silent_test.go
@@ -7,21 +7,21 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestSilentOwnerIsDropped: the stream of an owner that has not spoken for long ends, and
+// TestSilentOwnerIsDisconnected: the stream of an owner that has not spoken for long ends, and
 // a message of it that comes late does not bring it back. The case that forced the second
 // part is a stream that was dropped twice, which ended the process.
-func TestSilentOwnerIsDropped(t *testing.T) {
-	made := newBench(t)
-	owner := made.attachReady(1)
+func TestSilentOwnerIsDisconnected(t *testing.T) {
+	made := newHarness(t)
+	owner := made.attachReadyOwner(1)
 	ended := make(chan error, 1)
-	second := &stream{in: make(chan *wire.OwnerMessage, 64), ctx: made.ctx}
-	go func() { ended <- made.beside.Attach(second) }()
-	second.tell(&wire.OwnerMessage{Owner: "edge-2"})
-	made.until(func() bool {
-		return second.last(func(*wire.AgentMessage) bool { return true }) != nil
+	second := &ownerStream{in: make(chan *wire.OwnerMessage, 64), ctx: made.ctx}
+	go func() { ended <- made.agent.Attach(second) }()
+	second.send(&wire.OwnerMessage{Owner: "edge-2"})
+	made.waitFor(func() bool {
+		return second.lastMatching(func(*wire.AgentMessage) bool { return true }) != nil
 	})
-	made.until(func() bool {
-		owner.tell(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
+	made.waitFor(func() bool {
+		owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 		select {
 		case err := <-ended:
 			if err != nil {
@@ -32,26 +32,26 @@
 			return false
 		}
 	})
-	second.tell(&wire.OwnerMessage{Owned: true, Shards: []*wire.ShardEpoch{{Shard: shard + 1, Epoch: 9}}})
+	second.send(&wire.OwnerMessage{Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard + 1, Epoch: 9}}})
 	// Long enough for the outbox of a stream that nobody reads to fill.
 	for range 60 {
-		made.pass(time.Second)
-		owner.tell(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
+		made.advance(time.Second)
+		owner.send(&wire.OwnerMessage{GrantUntilNanos: int64(time.Hour)})
 	}
-	made.startsRun(owner, start(1))
+	made.mustStart(owner, newStartOrder(1))
 }
 
-// TestEveryOwnerIsAnswered: also one that owns nothing is told soon that its message was
+// TestEveryOwnerIsAcknowledged: also one that owns nothing is told soon that its message was
 // handled; by that it knows that its connection is sound.
-func TestEveryOwnerIsAnswered(t *testing.T) {
-	made := newBench(t)
-	owner := made.connect(&wire.OwnerMessage{Owner: "edge-2"})
+func TestEveryOwnerIsAcknowledged(t *testing.T) {
+	made := newHarness(t)
+	owner := made.connectOwner(&wire.OwnerMessage{Owner: "edge-2"})
 	for range 4 {
-		made.pass(time.Second)
-		owner.tell(&wire.OwnerMessage{})
+		made.advance(time.Second)
+		owner.send(&wire.OwnerMessage{})
 		told := made.clock.Now()
-		made.until(func() bool {
-			return owner.last(func(message *wire.AgentMessage) bool { return message.GetHandled() >= owner.sequence }) != nil
+		made.waitFor(func() bool {
+			return owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetHandled() >= owner.sequence }) != nil
 		})
 		if took := made.clock.Now().Sub(told); took > time.Second {
 			t.Errorf("answered after %v", took)
--- a/agent/spare_test.go
+++ b/agent/spare_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestRelaxed: a run yields early while its job has time to spare, not once it has lost
+// TestHasSlack: a run yields early while its job has time to spare, not once it has lost
 // that time, and again once the job is late all the same.
-func TestRelaxed(t *testing.T) {
+func TestHasSlack(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	tests := map[string]struct {
 		spare   time.Duration // told with the order
@@ -27,11 +27,11 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			run := &runState{
-				demand:  &wire.Demand{SpareMs: test.spare.Milliseconds(), EstimateMs: 2000},
-				percent: test.percent, confirmedAt: now.Add(-test.ran),
+				demand:          &wire.Demand{SpareMs: test.spare.Milliseconds(), EstimateMs: 2000},
+				progressPercent: test.percent, confirmedAt: now.Add(-test.ran),
 			}
-			if got := run.relaxed(now); got != test.relaxed {
-				t.Errorf("relaxed: %v, spare %s", got, run.spare(now))
+			if got := run.hasSlack(now); got != test.relaxed {
+				t.Errorf("relaxed: %v, spare %s", got, run.slack(now))
 			}
 		})
 	}
--- a/agent/suspended.go
+++ b/agent/suspended.go
@@ -7,18 +7,18 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// noteSuspended makes older by the time that the machine was suspended what owners reckon
+// handleSuspension makes older by the time that the machine was suspended what owners reckon
 // with on this process's clock: they took runs for over meanwhile, at the end of the last
 // grant that they gave. Where that is over by now, an order that was on its way is refused and
 // what still runs is stopped.
 //
 // What is reckoned on the worker's clock stays: it has gone on, so its leases end earlier
 // than they are taken to.
-func (agent *Agent) noteSuspended(slept time.Duration, _ time.Time) {
+func (agent *Agent) handleSuspension(slept time.Duration, _ time.Time) {
 	agent.log(event.MachineWasSuspended, slog.Duration("slept", slept))
-	agent.started = agent.started.Add(-slept)
+	agent.startedAt = agent.startedAt.Add(-slept)
 	for _, held := range agent.claims {
-		held.until = held.until.Add(-slept)
+		held.grantedUntil = held.grantedUntil.Add(-slept)
 	}
-	agent.knowledge.Age(slept)
+	agent.evacuationState.Age(slept)
 }
--- a/agent/target.go
+++ b/agent/target.go
@@ -9,23 +9,23 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// noteTargets logs which serving runs begin to miss their targets, beside what, and
+// logTargetChanges logs which serving runs begin to miss their targets, beside what, and
 // which keep them again.
-func (agent *Agent) noteTargets(state *workerState, now time.Time) {
+func (agent *Agent) logTargetChanges(state *workerState, now time.Time) {
 	for _, run := range state.runs {
 		target := run.demand.GetTargetMs()
-		if target <= 0 || run.figure <= 0 {
+		if target <= 0 || run.reading <= 0 {
 			continue
 		}
-		missed := run.figure >= target
+		missed := run.reading >= target
 		switch {
-		case missed && run.overSince.IsZero():
-			run.overSince = now
+		case missed && run.targetMissedSince.IsZero():
+			run.targetMissedSince = now
 			agent.logRun(event.TargetMissed, run, slog.String("image", run.demand.GetImage()),
-				slog.Int64("tail_ms", run.figure), slog.Int64("target_ms", target), slog.String("beside", state.fillingImages()))
-		case !missed && !run.overSince.IsZero():
-			agent.logRun(event.TargetKept, run, slog.String("image", run.demand.GetImage()), slog.Duration("after", now.Sub(run.overSince)))
-			run.overSince = time.Time{}
+				slog.Int64("tail_ms", run.reading), slog.Int64("target_ms", target), slog.String("beside", state.fillingImages()))
+		case !missed && !run.targetMissedSince.IsZero():
+			agent.logRun(event.TargetKept, run, slog.String("image", run.demand.GetImage()), slog.Duration("after", now.Sub(run.targetMissedSince)))
+			run.targetMissedSince = time.Time{}
 		}
 	}
 }
--- a/agent/tell.go
+++ b/agent/tell.go
@@ -10,146 +10,146 @@
 )
 
 const (
-	// statusEvery is how often an owner hears from the agent at least, and how soon each
+	// statusInterval is how often an owner hears from the agent at least, and how soon each
 	// message of any owner is answered.
-	statusEvery = 500 * time.Millisecond
-	// runsEvery is how often the owner is told all runs, with checkpoints.
-	runsEvery = time.Second
-	// quietEvery is the same for an owner without shards.
-	quietEvery = 3 * time.Second
-	// statusSettle gathers changes of the room into one message.
-	statusSettle = 15 * time.Millisecond
-	// silentAfter is how long an owner may be silent, which speaks twice a second, or
+	statusInterval = 500 * time.Millisecond
+	// runsInterval is how often the owner is told all runs, with checkpoints.
+	runsInterval = time.Second
+	// idleSendInterval is the same for an owner without shards.
+	idleSendInterval = 3 * time.Second
+	// statusBatchDelay gathers changes of the room into one message.
+	statusBatchDelay = 15 * time.Millisecond
+	// ownerTimeout is how long an owner may be silent, which speaks twice a second, or
 	// each 3 s while it owns nothing: a connection may go silent for good without an
 	// end, and the owner's next one is a stream of its own.
-	silentAfter = 5 * time.Second
+	ownerTimeout = 5 * time.Second
 )
 
-// statusChanged has all owners told what is free.
-func (agent *Agent) statusChanged() {
-	for owner := range agent.owners {
-		owner.changed = true
+// markStatusChanged has all owners told what is free.
+func (agent *Agent) markStatusChanged() {
+	for owner := range agent.sessions {
+		owner.statusChanged = true
 	}
 }
 
-// tellOwners sends each owner what it has not been told.
-func (agent *Agent) tellOwners(now time.Time) {
+// sendUpdates sends each owner what it has not been told.
+func (agent *Agent) sendUpdates(now time.Time) {
 	var status *wire.WorkerStatus
-	for owner := range agent.owners {
-		if now.Sub(owner.heardAt) >= silentAfter {
-			agent.log(event.ConnectionSilent, slog.String("peer", owner.name), slog.Duration("unanswered", now.Sub(owner.heardAt)))
-			agent.drop(owner)
+	for owner := range agent.sessions {
+		if now.Sub(owner.lastMessageAt) >= ownerTimeout {
+			agent.log(event.ConnectionSilent, slog.String("peer", owner.ownerName), slog.Duration("unanswered", now.Sub(owner.lastMessageAt)))
+			agent.closeSession(owner)
 			continue
 		}
-		if !agent.due(owner, now) {
+		if !agent.isUpdateDue(owner, now) {
 			continue
 		}
 		if status == nil {
 			// Performance: it is the same for all owners, and its tolerances
 			// go over all pairs of images.
-			status = agent.status(now)
+			status = agent.workerStatus(now)
 		}
-		message := agent.message(owner, status, now)
+		message := agent.nextMessage(owner, status, now)
 		select {
 		case owner.outbox <- message:
-			agent.sent.NoteAgent(agent.ctx, message, owner.near)
+			agent.traffic.NoteAgent(agent.ctx, message, owner.isSameDomain)
 		default:
 			// The owner does not read: it is as good as gone. It attaches
 			// anew and is told everything.
-			agent.drop(owner)
+			agent.closeSession(owner)
 		}
 	}
 }
 
-// drop ends an owner's stream.
-func (agent *Agent) drop(owner *session) {
-	owner.ended = true
-	delete(agent.owners, owner)
+// closeSession ends an owner's stream.
+func (agent *Agent) closeSession(owner *session) {
+	owner.isClosed = true
+	delete(agent.sessions, owner)
 	close(owner.closed)
 }
 
-func (agent *Agent) due(owner *session, now time.Time) bool {
-	if len(owner.results) > 0 || len(owner.ends) > 0 || owner.wholeDue {
+func (agent *Agent) isUpdateDue(owner *session, now time.Time) bool {
+	if len(owner.results) > 0 || len(owner.ends) > 0 || owner.fullUpdateDue {
 		return true
 	}
-	since := now.Sub(owner.sentAt)
-	if owner.handled > owner.answered && since >= statusEvery {
+	since := now.Sub(owner.lastSentAt)
+	if owner.handledSequence > owner.acknowledgedSequence && since >= statusInterval {
 		return true // Only an answer proves to it that the connection is sound.
 	}
-	if !agent.ownsAny(owner) {
-		return since >= quietEvery
+	if !agent.ownsShard(owner) {
+		return since >= idleSendInterval
 	}
-	return since >= statusEvery || owner.changed && since >= statusSettle
+	return since >= statusInterval || owner.statusChanged && since >= statusBatchDelay
 }
 
-// ownsAny reports whether an owner has claimed a shard.
-func (agent *Agent) ownsAny(owner *session) bool {
+// ownsShard reports whether an owner has claimed a shard.
+func (agent *Agent) ownsShard(owner *session) bool {
 	for _, held := range agent.claims {
-		if held.owner == owner {
+		if held.session == owner {
 			return true
 		}
 	}
 	return false
 }
 
-func (agent *Agent) message(owner *session, of *wire.WorkerStatus, now time.Time) *wire.AgentMessage {
+func (agent *Agent) nextMessage(owner *session, of *wire.WorkerStatus, now time.Time) *wire.AgentMessage {
 	message := &wire.AgentMessage{
-		UptimeNanos: int64(agent.uptime(now)), Results: owner.results, Ends: owner.ends, Handled: owner.handled,
+		UptimeNanos: int64(agent.uptime(now)), Results: owner.results, Ends: owner.ends, Handled: owner.handledSequence,
 	}
-	if owner.sentAt.IsZero() || !owner.takesChanges {
-		message.Agent, message.KeepsLearned = agent.id, true
+	if owner.lastSentAt.IsZero() || !owner.acceptsChanges {
+		message.Agent, message.KeepsLearned = agent.agentID, true
 	}
-	if owner.takesChanges {
-		owner.told.Encode(message, of)
+	if owner.acceptsChanges {
+		owner.statusEncoder.Encode(message, of)
 	} else {
 		message.Status = of
 	}
-	if owner.wholeDue || now.Sub(owner.runsSent) >= runsEvery {
+	if owner.fullUpdateDue || now.Sub(owner.runsSentAt) >= runsInterval {
 		message.Complete = true
-		message.Runs = agent.runStatus(owner)
-		if held, found := agent.claims[job.InterferenceShard]; found && held.owner == owner {
-			message.Learned = owner.learnedAnew(agent.paced.learned())
+		message.Runs = agent.runStatuses(owner)
+		if held, found := agent.claims[job.InterferenceShard]; found && held.session == owner {
+			message.Learned = owner.changedEstimates(agent.pacer.localEstimates())
 		}
-		owner.runsSent = now
+		owner.runsSentAt = now
 	}
 	owner.results, owner.ends = nil, nil
-	owner.changed, owner.wholeDue = false, false
-	owner.sentAt, owner.answered = now, owner.handled
+	owner.statusChanged, owner.fullUpdateDue = false, false
+	owner.lastSentAt, owner.acknowledgedSequence = now, owner.handledSequence
 	return message
 }
 
-// runStatus lists the runs of the owner's shards, and those that nobody owns.
-func (agent *Agent) runStatus(owner *session) []*wire.RunStatus {
+// runStatuses lists the runs of the owner's shards, and those that nobody owns.
+func (agent *Agent) runStatuses(owner *session) []*wire.RunStatus {
 	var listed []*wire.RunStatus
 	if agent.worker == nil {
 		return nil
 	}
 	for _, run := range agent.worker.runs {
-		if held, claimed := agent.claims[run.shard]; claimed && held.owner != owner {
+		if held, claimed := agent.claims[run.shard]; claimed && held.session != owner {
 			continue
 		}
 		listed = append(listed, &wire.RunStatus{
-			Task: run.task, Attempt: run.attempt, Checkpoint: run.checkpoint, Percent: run.percent, Figure: run.figure,
+			Task: run.task, Attempt: run.attempt, Checkpoint: run.checkpoint, Percent: run.progressPercent, Figure: run.reading,
 		})
 	}
 	return listed
 }
 
-func (agent *Agent) status(now time.Time) *wire.WorkerStatus {
+func (agent *Agent) workerStatus(now time.Time) *wire.WorkerStatus {
 	state := agent.worker
 	if state == nil {
-		return &wire.WorkerStatus{Accounted: agent.uptime(now) >= agent.longestLease()}
+		return &wire.WorkerStatus{Accounted: agent.uptime(now) >= agent.maxLease()}
 	}
-	free := state.room()
+	free := state.freeResources()
 	status := &wire.WorkerStatus{
-		Worker: state.life.WorkerID(), Born: state.life.StartedMs(), Service: state.beat.Service, FailureDomain: state.beat.FailureDomain,
-		Labels: state.beat.Labels, Machine: state.beat.Machine,
-		MilliCpu: state.beat.MilliCPU, MemoryMb: state.beat.MemoryMB, Accelerators: state.beat.Accelerators,
-		Draining: state.beat.Draining, RemainingMs: state.beat.Remaining.Milliseconds(),
+		Worker: state.incarnation.WorkerID(), Born: state.incarnation.StartedMs(), Service: state.heartbeat.Service, FailureDomain: state.heartbeat.FailureDomain,
+		Labels: state.heartbeat.Labels, Machine: state.heartbeat.Machine,
+		MilliCpu: state.heartbeat.MilliCPU, MemoryMb: state.heartbeat.MemoryMB, Accelerators: state.heartbeat.Accelerators,
+		Draining: state.heartbeat.Draining, RemainingMs: state.heartbeat.Remaining.Milliseconds(),
 		FreeMilliCpu: free.MilliCPU, FreeMemoryMb: free.MemoryMB(), FreeAccelerators: free.Accelerators,
-		FillMilliCpu: free.fillMilliCPU, ServingMilliCpu: free.servingMilliCPU, Ready: state.ready(), Accounted: state.accounted(now),
+		FillMilliCpu: free.fillMilliCPU, ServingMilliCpu: free.servingMilliCPU, Ready: state.isReady(), Accounted: state.knowsAllRuns(now),
 		Reclaimable: state.reclaimable(),
 	}
-	agent.tolerances(state, status, now)
+	agent.addTolerances(state, status, now)
 	return status
 }
--- a/agent/told_test.go
+++ b/agent/told_test.go
@@ -7,13 +7,13 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestOwnerIsToldWhatChanges: an owner that takes changes is told the whole state once,
+// TestOwnerReceivesStatusChanges: an owner that takes changes is told the whole state once,
 // and knows the room by what has changed since.
-func TestOwnerIsToldWhatChanges(t *testing.T) {
-	made := newBench(t)
-	made.beat()
-	owner := made.connect(&wire.OwnerMessage{
-		Owner: "edge-1", TakesChanges: true, Owned: true, Shards: []*wire.ShardEpoch{{Shard: shard, Epoch: 1}}, GrantUntilNanos: int64(grant),
+func TestOwnerReceivesStatusChanges(t *testing.T) {
+	made := newHarness(t)
+	made.sendHeartbeat()
+	owner := made.connectOwner(&wire.OwnerMessage{
+		Owner: "edge-1", TakesChanges: true, Owned: true, Shards: []*wire.ShardEpoch{{Shard: testShard, Epoch: 1}}, GrantUntilNanos: int64(grantDuration),
 	})
 	heard := status.NewDecoder()
 	next := 0
@@ -25,7 +25,7 @@
 		}
 		return heard.Status()
 	}
-	made.until(func() bool { return follow().GetReady() })
+	made.waitFor(func() bool { return follow().GetReady() })
 	wholes := func() int {
 		owner.mu.Lock()
 		defer owner.mu.Unlock()
@@ -38,14 +38,14 @@
 		return count
 	}
 	before := wholes()
-	made.startsRun(owner, start(1))
-	made.until(func() bool { return follow().GetFreeMilliCpu() == 3000 })
-	made.worker.End(task, "done")
-	made.until(func() bool { return follow().GetFreeMilliCpu() == 4000 })
+	made.mustStart(owner, newStartOrder(1))
+	made.waitFor(func() bool { return follow().GetFreeMilliCpu() == 3000 })
+	made.worker.End(testTask, "done")
+	made.waitFor(func() bool { return follow().GetFreeMilliCpu() == 4000 })
 	if after := wholes(); after != before {
 		t.Errorf("%d whole states were told where the room changed", after-before)
 	}
-	if owner.last(func(message *wire.AgentMessage) bool { return message.GetAgent() != "" && message.GetKeepsLearned() }) == nil {
+	if owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetAgent() != "" && message.GetKeepsLearned() }) == nil {
 		t.Error("the agent did not say who it is and what it keeps")
 	}
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -167,9 +167,9 @@
 	transport := platform.Transport()
 	address := settings.InternalAddress(agentPort)
 	beside := agent.New(agent.Options{
-		Name: settings.Name(), FailureDomain: settings.FailureDomain(), Shards: settings.Parts(), FirstToken: made.clock.Now().UnixMilli(), HarmAfter: settings.HarmAfter(),
-		EvacuateWithin: settings.EvacuateWithin(), RestoreTakes: settings.RestoreTakes(), SaveEvery: settings.SaveEvery(),
-		LeaseMost: settings.LeaseMost(),
+		Name: settings.Name(), FailureDomain: settings.FailureDomain(), Shards: settings.Parts(), FirstToken: made.clock.Now().UnixMilli(), MaxTargetMiss: settings.HarmAfter(),
+		EvacuationDeadline: settings.EvacuateWithin(), RestoreTime: settings.RestoreTakes(), CheckpointInterval: settings.SaveEvery(),
+		MaxLease: settings.LeaseMost(),
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
 			return platform.NewWorker(address, of, transport)
 		},
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -119,7 +119,7 @@
 	})
 	begun.agent = agent.New(agent.Options{
 		Name: begun.name, Shards: fleetShards, FirstToken: made.clock.Now().UnixMilli(), Clock: made.clock, Events: event.Discard(),
-		EvacuateWithin: 5 * time.Second,
+		EvacuationDeadline: 5 * time.Second,
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
 			return platform.NewWorker(address, of, platform.Transport())
 		},
