--- a/owner/advice.go
+++ b/owner/advice.go
@@ -13,125 +13,128 @@
 )
 
 const (
-	// maxAdviceWorkers bounds the workers of one question: each takes time, and a
-	// step needs only some.
+	// maxAdviceWorkers bounds the workers named in one request: each worker adds to the
+	// response time, and a step needs only a few.
 	maxAdviceWorkers = 30
-	// adviceTimeoutMargin is added to the time that the service says it takes.
+	// adviceTimeoutMargin is added to the response time that the service announces.
 	adviceTimeoutMargin = 2 * time.Second
-	// ticketExpiryMargin is left of a ticket's time for the order's way.
+	// ticketExpiryMargin is the validity that a ticket must have left when a start is
+	// decided, so that it is still valid when the start order arrives.
 	ticketExpiryMargin = 300 * time.Millisecond
-	// adviceRetryInterval keeps questions for a step apart whose answer named no
-	// worker with room.
+	// adviceRetryInterval is the minimum time between two requests for the same step, for
+	// the case that none of the workers in the previous answer had room.
 	adviceRetryInterval = 500 * time.Millisecond
-	// adviceRetention is how long a step is remembered that no question was asked for: well
-	// beyond any ticket's time.
+	// adviceRetention is how long a step is kept after its last request. It is far longer
+	// than any ticket is valid.
 	adviceRetention = 5 * time.Minute
 )
 
-// stepAdvice is what is known of the workers that may run a step.
+// stepAdvice holds the tickets obtained for a step, one for each worker that may run it.
 type stepAdvice struct {
 	timing    *job.Advice
 	service   string
-	tickets   map[incarnation.ID]ticket // of the workers that may run it: each holds for one life
-	queried   map[incarnation.ID]bool   // the workers that the tickets' answers were about
-	expiresAt time.Time                 // when the last of the tickets ends
+	tickets   map[incarnation.ID]ticket // by worker incarnation; a ticket is not valid for a later one
+	queried   map[incarnation.ID]bool   // workers that the answers so far were about
+	expiresAt time.Time                 // when the last of the tickets expires
 	queriedAt time.Time
-	pending   bool // a question is queued or on its way
+	pending   bool // a request is queued or in flight
 }
 
-// ticket lets tasks of a step start at one life of a worker until it ends.
+// ticket permits tasks of a step to start on one incarnation of a worker until it expires.
 type ticket struct {
 	token     string
 	expiresAt time.Time
 }
 
-// adviceQueue asks for advice, one question at a time, as the service takes them.
+// adviceQueue requests advice one step at a time, because the service handles one call at a
+// time from each machine.
 type adviceQueue struct {
 	steps    map[string]*stepAdvice
-	queue    []string // names of steps
-	inFlight bool     // a question is on its way
+	queue    []string // names of the steps to request advice for
+	inFlight bool     // a request has been sent and not been answered yet
 }
 
-// stepName names the step of a task in questions.
+// stepName returns the name by which the service knows the step of a task.
 func stepName(task *job.Task) string {
 	return fmt.Sprintf("%s.%d.%d", task.Job().ID(), task.Round(), task.Step())
 }
 
-// ticketFor returns the ticket for a start at a worker, and whether it may run the
-// task at all. Without advice every worker may.
+// ticketFor returns the ticket for starting a task on a worker, and whether the worker may run
+// the task. A job that does not use advice may run on every worker, without a ticket.
 func (owner *Owner) ticketFor(task *job.Task, worker incarnation.ID, now time.Time) (string, bool) {
 	if task.Job().Submission().GetAdvice() == nil {
 		return "", true
 	}
-	known, found := owner.advice.steps[stepName(task)]
+	step, found := owner.advice.steps[stepName(task)]
 	if !found {
 		return "", false
 	}
-	held, good := known.tickets[worker]
-	if !good || now.After(held.expiresAt.Add(-ticketExpiryMargin)) {
+	issued, ok := step.tickets[worker]
+	if !ok || now.After(issued.expiresAt.Add(-ticketExpiryMargin)) {
 		return "", false
 	}
-	return held.token, true
+	return issued.token, true
 }
 
-// enqueueAdvice queues a question for the step of a task that found no place.
+// enqueueAdvice queues a request for the step of a task that could not be placed.
 func (owner *Owner) enqueueAdvice(task *job.Task, now time.Time) {
 	if task.Job().Submission().GetAdvice() == nil || owner.options.Advisor == nil {
 		return
 	}
 	name := stepName(task)
-	known, found := owner.advice.steps[name]
+	step, found := owner.advice.steps[name]
 	if !found {
-		known = &stepAdvice{timing: task.Job().Submission().GetAdvice(), service: task.Job().Submission().GetService()}
-		owner.advice.steps[name] = known
+		step = &stepAdvice{timing: task.Job().Submission().GetAdvice(), service: task.Job().Submission().GetService()}
+		owner.advice.steps[name] = step
 	}
-	if known.pending || now.Sub(known.queriedAt) < adviceRetryInterval {
+	if step.pending || now.Sub(step.queriedAt) < adviceRetryInterval {
 		return
 	}
-	known.pending = true
+	step.pending = true
 	owner.advice.queue = append(owner.advice.queue, name)
 	owner.requestNextAdvice(now)
 }
 
-// requestNextAdvice asks the next question of the queue that can be asked, if none is on its
-// way.
+// requestNextAdvice sends the next request in the queue, unless one is in flight. Requests that
+// name no worker are skipped.
 func (owner *Owner) requestNextAdvice(now time.Time) {
 	for !owner.advice.inFlight && len(owner.advice.queue) > 0 {
 		name := owner.advice.queue[0]
 		owner.advice.queue = owner.advice.queue[1:]
-		// A step whose ticket a worker refused while the question waited is
-		// forgotten; it is queued anew when one of its tasks finds no place.
-		if known, wanted := owner.advice.steps[name]; wanted {
-			owner.requestAdvice(name, known, now)
+		// The step is gone if a worker refused its ticket while the request waited. It
+		// is queued again when one of its tasks cannot be placed.
+		if step, found := owner.advice.steps[name]; found {
+			owner.requestAdvice(name, step, now)
 		}
 	}
 }
 
-// requestAdvice asks which workers may run a step, unless all have been asked about.
-func (owner *Owner) requestAdvice(name string, known *stepAdvice, now time.Time) {
-	workers := owner.workersToQuery(known)
-	known.queriedAt = now
+// requestAdvice asks the service which workers may run a step. If all workers have been asked
+// about, it sends nothing and lets the next request begin with all of them again.
+func (owner *Owner) requestAdvice(name string, step *stepAdvice, now time.Time) {
+	workers := owner.workersToQuery(step)
+	step.queriedAt = now
 	if len(workers) == 0 {
-		known.pending = false
-		known.queried = nil
+		step.pending = false
+		step.queried = nil
 		return
 	}
 	owner.advice.inFlight = true
-	limit := known.expectedDuration(len(workers)) + adviceTimeoutMargin
+	timeout := step.expectedDuration(len(workers)) + adviceTimeoutMargin
 	go func() {
-		ctx, cancel := context.WithTimeout(owner.ctx, limit)
+		ctx, cancel := context.WithTimeout(owner.ctx, timeout)
 		defer cancel()
 		advice, err := owner.options.Advisor.Advise(ctx, name, workerIDs(workers))
 		owner.eventLoop.Post(func(now time.Time) {
 			owner.advice.inFlight = false
-			known.pending = false
-			owner.handleAdvice(name, known, workers, advice, err, now)
+			step.pending = false
+			owner.handleAdvice(name, step, workers, advice, err, now)
 			owner.requestNextAdvice(now)
 		})
 	}()
 }
 
-// workerIDs returns the ids by which the service knows workers.
+// workerIDs returns the IDs by which the service knows the workers.
 func workerIDs(workers []incarnation.ID) []string {
 	ids := make([]string, 0, len(workers))
 	for _, worker := range workers {
@@ -140,26 +143,27 @@
 	return ids
 }
 
-// expectedDuration is how long the service says that a question about some workers takes.
-func (known *stepAdvice) expectedDuration(workers int) time.Duration {
-	return time.Duration(known.timing.GetDecideMs()+known.timing.GetEachMs()*int64(workers)) * time.Millisecond
+// expectedDuration returns the announced response time of a request about so many workers.
+func (step *stepAdvice) expectedDuration(workers int) time.Duration {
+	return time.Duration(step.timing.GetDecideMs()+step.timing.GetEachMs()*int64(workers)) * time.Millisecond
 }
 
-// expireAdvice drops the steps that were last asked about long ago.
+// expireAdvice removes the steps that advice has not been requested for recently.
 func (owner *Owner) expireAdvice(now time.Time) {
-	for name, known := range owner.advice.steps {
-		if !known.pending && now.Sub(known.queriedAt) > adviceRetention && now.After(known.expiresAt) {
+	for name, step := range owner.advice.steps {
+		if !step.pending && now.Sub(step.queriedAt) > adviceRetention && now.After(step.expiresAt) {
 			delete(owner.advice.steps, name)
 		}
 	}
 }
 
-// workersToQuery returns workers of the service that were not asked about.
-func (owner *Owner) workersToQuery(known *stepAdvice) []incarnation.ID {
+// workersToQuery returns up to maxAdviceWorkers workers of the service that have not been asked
+// about yet.
+func (owner *Owner) workersToQuery(step *stepAdvice) []incarnation.ID {
 	var workers []incarnation.ID
 	for _, view := range owner.agents {
 		status := view.status()
-		if view.conn == nil || !status.GetReady() || status.GetDraining() || status.GetService() != known.service || known.queried[view.incarnation()] {
+		if view.conn == nil || !status.GetReady() || status.GetDraining() || status.GetService() != step.service || step.queried[view.incarnation()] {
 			continue
 		}
 		workers = append(workers, view.incarnation())
@@ -170,20 +174,21 @@
 	return workers
 }
 
-// handleAdvice takes in the answer to a question about some workers.
-func (owner *Owner) handleAdvice(name string, known *stepAdvice, workers []incarnation.ID, advice platform.Advice, err error, now time.Time) {
+// handleAdvice stores the tickets of an answer. It discards the earlier ones once all of them have
+// expired or all workers have been asked about, so that each worker may be asked about again.
+func (owner *Owner) handleAdvice(name string, step *stepAdvice, workers []incarnation.ID, advice platform.Advice, err error, now time.Time) {
 	if err != nil {
 		owner.log(event.AdviceFailed, slog.String("step", name), slog.Any("error", err))
 		return
 	}
-	if known.queried == nil || now.After(known.expiresAt) {
-		known.queried, known.tickets = map[incarnation.ID]bool{}, map[incarnation.ID]ticket{}
+	if step.queried == nil || now.After(step.expiresAt) {
+		step.queried, step.tickets = map[incarnation.ID]bool{}, map[incarnation.ID]ticket{}
 	}
-	known.expiresAt = now.Add(advice.Valid)
+	step.expiresAt = now.Add(advice.Valid)
 	for _, worker := range workers {
-		known.queried[worker] = true
-		if text, good := advice.Tickets[worker.WorkerID()]; good {
-			known.tickets[worker] = ticket{token: text, expiresAt: known.expiresAt}
+		step.queried[worker] = true
+		if token, found := advice.Tickets[worker.WorkerID()]; found {
+			step.tickets[worker] = ticket{token: token, expiresAt: step.expiresAt}
 		}
 	}
 	owner.placementChanges.addAll()
@@ -191,7 +196,7 @@
 		slog.Int("good", len(advice.Tickets)), slog.Duration("valid", advice.Valid))
 }
 
-// dropAdvice forgets the tickets of a step that a worker did not take.
+// dropAdvice removes all tickets of a step after a worker has refused one.
 func (owner *Owner) dropAdvice(task *job.Task) {
 	delete(owner.advice.steps, stepName(task))
 }
