--- a/owner/candidate.go
+++ b/owner/candidate.go
@@ -13,33 +13,42 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// candidate is a worker that may be given starts, with what is free there after
-// those that are on their way.
+// candidate is a worker that tasks may be placed on during one placement pass. It accounts for
+// the resources of the runs that the agent's status does not include yet.
+//
+// Two kinds of tasks share the processors of a worker. A fill task ([job.StepSpec.Fills]) uses
+// processors that other tasks leave idle and reserves none. Every other task reserves the
+// processors that it asks for; it is a serving task if it has a latency target
+// ([job.StepSpec.TargetMs]). Fill tasks may slow serving tasks down, so they are placed only where
+// the serving tasks tolerate them.
 type candidate struct {
 	view            *agentView
 	free            admission.Resources
 	fillMilliCPU    int64
 	servingMilliCPU int64
-	// servingImages lists the images of the tasks that serve there.
+	// servingImages lists the images of the worker's serving tasks.
 	servingImages []string
-	// unreportedFillMilliCPU is what has been placed since the agent's last word.
+	// unreportedFillMilliCPU is the demand of fill tasks that the agent's status does not
+	// include yet.
 	unreportedFillMilliCPU int64
-	// evacuated is set where the worker's failure domain is: nothing is started there.
+	// evacuated is set if the worker's failure domain is evacuated: nothing is started there.
 	evacuated bool
-	// onProbation is set after failures: the worker is given one run until it has shown
-	// that it does. tried is set while it has one.
+	// onProbation is set after repeated failures: the worker is given only one run at a time
+	// until a run succeeds. hasProbationRun is set while it has that run.
 	onProbation, hasTrialRun bool
-	// obstacleSuspect is set where a suspect has just been started: no other one is for a while.
+	// hasSuspect is set if a task suspected of crashing workers has just been started on the
+	// worker: another one has to wait, so that a crash can be attributed to one of them.
 	hasSuspect bool
-	// toleranceRatio is the share that a filling task of the present job should find
-	// tolerated.
+	// toleranceRatio is the share of the processors a fill task asks for that the serving tasks
+	// must tolerate. It is set anew for each job.
 	toleranceRatio float64
 }
 
-// agentViews goes over all agents.
+// agentViews returns an iterator over all known agents.
 func (owner *Owner) agentViews() iter.Seq[*agentView] { return maps.Values(owner.agents) }
 
-// candidates returns those workers that may be given starts now.
+// candidates returns the workers among the agents given that can take tasks now: connected and
+// heard from recently, ready, not draining, and not avoided after a refusal or a failure.
 func (owner *Owner) candidates(views iter.Seq[*agentView], now time.Time) []*candidate {
 	var workers []*candidate
 	for view := range views {
@@ -56,7 +65,8 @@
 	return workers
 }
 
-// newCandidate returns a worker with what is free there, less what is on its way.
+// newCandidate returns the candidate for an agent's worker. What the runs that are not in the
+// agent's status need is subtracted from the free resources that it reports.
 func newCandidate(view *agentView) *candidate {
 	status := view.status()
 	worker := &candidate{
@@ -65,22 +75,22 @@
 		servingImages: slices.Clone(status.GetServingImages()),
 		onProbation:   view.consecutiveFailures >= failuresBeforeProbation,
 	}
-	for _, entry := range view.runs {
-		if !entry.inAgentStatus {
-			worker.reserve(entry.demand)
+	for _, run := range view.runs {
+		if !run.inAgentStatus {
+			worker.reserve(run.demand)
 		}
 	}
 	return worker
 }
 
-// recordStart takes note of a start.
+// recordStart accounts for a task that has just been placed on the worker.
 func (worker *candidate) recordStart(task *job.Task, demand *wire.Demand) {
 	worker.reserve(demand)
 	worker.hasSuspect = worker.hasSuspect || task.IsSuspect()
 	worker.hasTrialRun = true
 }
 
-// reserve takes what a start needs from what is free.
+// reserve subtracts what a task needs from the free resources.
 func (worker *candidate) reserve(demand *wire.Demand) {
 	worker.free.Subtract(admission.ReservedBy(demand))
 	if demand.GetFills() {
@@ -94,13 +104,14 @@
 	}
 }
 
-// idleMilliCPU is what is expected to be unused of the processors: tasks that serve use
-// only part of what they hold.
+// idleMilliCPU returns how much of the processors is expected to be idle. Serving tasks use only
+// part of what they reserve.
 func (worker *candidate) idleMilliCPU() int64 {
 	return worker.free.MilliCPU + int64(servingIdleRatio*float64(worker.servingMilliCPU)) - worker.fillMilliCPU
 }
 
-// violatedConstraint says what forbids a task to run at the worker, if there were room.
+// violatedConstraint returns the constraint other than resources that forbids the task to run on
+// the worker now, or obstacleNone.
 func (worker *candidate) violatedConstraint(task *job.Task) obstacle {
 	spec := task.Spec()
 	status := worker.view.status()
@@ -121,14 +132,14 @@
 	return obstacleNone
 }
 
-// obstacleTo says why a task can't be started at the worker now.
+// obstacleTo returns why the task cannot be started on the worker now, or obstacleNone.
 func (worker *candidate) obstacleTo(task *job.Task) obstacle {
 	spec := task.Spec()
 	if found := worker.violatedConstraint(task); found != obstacleNone {
 		return found
 	}
-	if lacking := worker.free.Shortage(admission.ReservedBy(spec)); lacking != "" {
-		return obstacle(lacking)
+	if missing := worker.free.Shortage(admission.ReservedBy(spec)); missing != "" {
+		return obstacle(missing)
 	}
 	switch {
 	case !spec.GetFills():
@@ -141,26 +152,27 @@
 	return obstacleNone
 }
 
-// fits reports whether a task may run at the worker and has room there.
+// fits reports whether the task may run on the worker and the worker has the resources for it.
 func (worker *candidate) fits(task *job.Task) bool { return worker.obstacleTo(task) == obstacleNone }
 
-// toleratedMilliCPU returns how many more processors of a filling image the worker's
-// serving tasks bear, at most what is idle; below zero, how much they would suffer.
+// toleratedMilliCPU returns how much more processor time fill tasks of an image may use on the
+// worker without its serving tasks missing their targets. It is at most what is idle. A negative
+// value is how far that is exceeded already.
 func (worker *candidate) toleratedMilliCPU(image string) int64 {
 	return min(worker.idleMilliCPU(), worker.view.statusDecoder.Tolerance(image)-worker.unreportedFillMilliCPU)
 }
 
-// fitsTwice reports whether the worker has what a task holds twice over.
+// fitsTwice reports whether the worker has twice the resources that the task reserves.
 func (worker *candidate) fitsTwice(task *job.Task) bool {
-	held := admission.ReservedBy(task.Spec())
-	held.Add(held)
-	return worker.free.Shortage(held) == ""
+	resources := admission.ReservedBy(task.Spec())
+	resources.Add(resources)
+	return worker.free.Shortage(resources) == ""
 }
 
-// rendezvousScore orders workers for an image, or for what else is placed, in the same way at each
-// owner.
-func (worker *candidate) rendezvousScore(what string) uint64 {
-	return xxhash.Sum64String(what + " " + worker.view.address)
+// rendezvousScore returns the worker's score for a key in rendezvous hashing. All owners order the
+// workers for a key in the same way, without communicating.
+func (worker *candidate) rendezvousScore(key string) uint64 {
+	return xxhash.Sum64String(key + " " + worker.view.address)
 }
 
 // servesImage reports whether the worker has a serving task of the image.
@@ -168,19 +180,21 @@
 	return slices.Contains(worker.servingImages, image)
 }
 
-// countOtherImages counts the kinds of the worker's serving tasks of other images.
+// countOtherImages returns the number of distinct images other than the one given among the
+// worker's serving tasks.
 func (worker *candidate) countOtherImages(image string) int {
 	count := 0
-	for index, other := range worker.servingImages {
-		if other != image && !slices.Contains(worker.servingImages[:index], other) {
+	for i, other := range worker.servingImages {
+		if other != image && !slices.Contains(worker.servingImages[:i], other) {
 			count++
 		}
 	}
 	return count
 }
 
-// countStepTasks counts the tasks of the same step and round that the machine has, on whichever life of its worker: one
-// that was ordered of an earlier life may still go on.
+// countStepTasks returns how many tasks of the same step and round have been started on the
+// machine. It counts those of all incarnations of the machine's worker, since a run that was
+// ordered from an earlier incarnation may still be running.
 func (worker *candidate) countStepTasks(task *job.Task) int32 {
 	count := int32(0)
 	for _, member := range task.Job().StepTasks(task) {
@@ -191,7 +205,7 @@
 	return count
 }
 
-// rack returns the worker's rack, which is its second label.
+// rack returns the worker's rack, which is its second label, or the empty string.
 func (worker *candidate) rack() string {
 	if labels := worker.view.status().GetLabels(); len(labels) > rackLabelIndex {
 		return labels[rackLabelIndex]
@@ -199,7 +213,8 @@
 	return ""
 }
 
-// isNearData reports whether the worker stands in the rack that holds the task's data.
+// isNearData reports whether the worker is in the rack that holds the task's data. It is true for
+// a task without such a rack.
 func (worker *candidate) isNearData(task *job.Task) bool {
 	rack := task.Spec().GetAffinity()
 	return rack == "" || slices.Contains(worker.view.status().GetLabels(), rack)
--- a/owner/obstacle.go
+++ b/owner/obstacle.go
@@ -2,8 +2,8 @@
 
 import "ambertiller.example/ambertiller/job"
 
-// obstacle is why a task can't be started at a worker now: a reason of package admission
-// or one of those below. Its text stands in logs.
+// obstacle is the reason why a task cannot be started on a worker now: one of the constants below,
+// or the name of the resource that is short, from package admission. It is written to the log.
 type obstacle string
 
 const (
@@ -20,24 +20,25 @@
 	obstacleNoWorkers      obstacle = "workers"
 )
 
-// mostCommonObstacle returns what keeps a task from most of the workers that run its service.
+// mostCommonObstacle returns the obstacle that a task meets on most of the workers of its service, or
+// obstacleNoWorkers if there are none. Of equally common ones it is the first in alphabetical order.
 func mostCommonObstacle(task *job.Task, workers []*candidate) obstacle {
 	counts := map[obstacle]int{}
 	for _, worker := range workers {
 		found := worker.obstacleTo(task)
 		if found == obstacleNone {
-			// It would fit, so what is missing is the leave to run there.
+			// The task fits, so it lacks a ticket for the worker.
 			found = obstacleTicket
 		}
 		if found != obstacleService {
 			counts[found]++
 		}
 	}
-	main := obstacleNoWorkers
+	mostCommon := obstacleNoWorkers
 	for found, count := range counts {
-		if count > counts[main] || count == counts[main] && found < main {
-			main = found
+		if count > counts[mostCommon] || count == counts[mostCommon] && found < mostCommon {
+			mostCommon = found
 		}
 	}
-	return main
+	return mostCommon
 }
--- a/owner/place.go
+++ b/owner/place.go
@@ -11,66 +11,70 @@
 )
 
 const (
-	// rackLabelIndex is the place of the rack among a worker's labels.
+	// rackLabelIndex is the index of the rack in a worker's labels.
 	rackLabelIndex = 1
-	// minFillIdleRatio is how much of what it asks for a filling task should find
-	// unused, lest it holds memory without getting on.
+	// minFillIdleRatio is the share of the processors a fill task asks for that must be idle on
+	// a worker. With less, the task would hold memory while making hardly any progress.
 	minFillIdleRatio = 0.3
-	// maxToleranceRatio is how much of what it asks for a filling task should be
-	// able to use without harm to serving tasks, while its job has time to wait
-	// for such a place. It sinks with the time that the job has left.
+	// maxToleranceRatio is the share of the processors a fill task asks for that the serving
+	// tasks on a worker must tolerate, as long as its job has time to wait for such a worker.
+	// The required share decreases with the slack that the job has left.
 	maxToleranceRatio = 1.0
-	// fullToleranceSlack is the share of its spare time that a job has left from
-	// which on the whole of maxToleranceRatio is asked for.
+	// fullToleranceSlack is the slack ratio of a job at and above which maxToleranceRatio
+	// applies in full.
 	fullToleranceSlack = 0.2
-	// maxJobIdle is how long a job may have nothing running for want of a place
-	// that bears it; a job must not stand still for 3 s while there is room.
+	// maxJobIdle is how long a job may have no running task before its fill tasks are placed
+	// regardless of tolerance. A job must not be without progress for 3 s while there are free
+	// resources.
 	maxJobIdle = 1500 * time.Millisecond
-	// servingIdleRatio is the part of what serving tasks hold that they leave
-	// unused on average: their load is about two fifths of it.
+	// servingIdleRatio is the share of their reserved processors that serving tasks leave idle
+	// on average: they use about two fifths.
 	servingIdleRatio = 0.6
 )
 
-// placeJobs starts the tasks that may start, the most urgent job first, as far as something has changed for them.
-func (owner *Owner) placeJobs(since placementChanges, now time.Time) {
-	var everywhere, grown []*candidate
-	if since.full || owner.hasReadyTask(since.jobs, now) {
-		everywhere = owner.candidates(owner.agentViews(), now)
-		grown = slices.DeleteFunc(slices.Clone(everywhere), func(worker *candidate) bool { return !since.workers[worker.view] })
+// placeJobs runs one placement pass over the jobs and workers in changes, the most urgent job first.
+func (owner *Owner) placeJobs(changes placementChanges, now time.Time) {
+	var all, grown []*candidate
+	if changes.full || owner.hasReadyTask(changes.jobs, now) {
+		all = owner.candidates(owner.agentViews(), now)
+		grown = slices.DeleteFunc(slices.Clone(all), func(worker *candidate) bool { return !changes.workers[worker.view] })
 	} else {
-		grown = owner.candidates(maps.Keys(since.workers), now)
+		grown = owner.candidates(maps.Keys(changes.workers), now)
 	}
-	if len(everywhere)+len(grown) == 0 {
+	if len(all)+len(grown) == 0 {
 		return
 	}
-	for _, made := range owner.jobsByUrgency(now) {
-		among := candidateSet{workers: grown}
-		if since.full || since.jobs[made] {
-			among = candidateSet{workers: everywhere, complete: true}
+	for _, j := range owner.jobsByUrgency(now) {
+		set := candidateSet{workers: grown}
+		if changes.full || changes.jobs[j] {
+			set = candidateSet{workers: all, complete: true}
 		}
-		owner.placeJob(made, among, now)
+		owner.placeJob(j, set, now)
 	}
 }
 
-// candidateSet is the workers among which places are looked for.
+// candidateSet is the set of workers that a job's tasks may be placed on in one pass.
 type candidateSet struct {
 	workers []*candidate
-	// complete is set unless others were looked at before, and have not changed since.
+	// complete is set if the set has all candidates. Otherwise it has only those that have more
+	// free resources since the last pass.
 	complete bool
 }
 
-// hasReadyTask reports whether a job has a task to start.
+// hasReadyTask reports whether any of the jobs has a task that is ready to start.
 func (owner *Owner) hasReadyTask(jobs map[*job.Job]bool, now time.Time) bool {
-	for made := range jobs {
-		if len(made.ReadyTasks(now)) > 0 {
+	for j := range jobs {
+		if len(j.ReadyTasks(now)) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// toleranceRatioFor returns the share that a filling task of a job should find tolerated.
-// A job that is late all the same gains nothing by harm to others.
+// toleranceRatioFor returns the share of the processors a fill task asks for that the serving tasks on
+// a worker must tolerate, for a job with the slack ratio given. For a job without slack it is
+// maxToleranceRatio again: the job is late in any case, so slowing serving tasks down would gain
+// nothing.
 func toleranceRatioFor(slack float64) float64 {
 	if slack <= 0 {
 		return maxToleranceRatio
@@ -78,30 +82,31 @@
 	return maxToleranceRatio * min(slack/fullToleranceSlack, 1)
 }
 
-// jobsByUrgency returns the jobs with tasks to start: by priority, then those that last,
-// then those that can still meet their objective, then by objective.
+// jobsByUrgency returns the jobs that have not ended, the most urgent first. They are ordered by
+// priority, then long-running jobs before others, then jobs that can still meet their objective before
+// late ones, then by objective.
 func (owner *Owner) jobsByUrgency(now time.Time) []*job.Job {
-	var waiting []*job.Job
-	for _, held := range owner.shards {
-		if !held.loaded {
+	var jobs []*job.Job
+	for _, s := range owner.shards {
+		if !s.loaded {
 			continue
 		}
-		for _, made := range held.live {
-			if !made.HasEnded() {
-				waiting = append(waiting, made)
+		for _, j := range s.live {
+			if !j.HasEnded() {
+				jobs = append(jobs, j)
 			}
 		}
 	}
 	late := map[*job.Job]bool{}
-	for _, made := range waiting {
-		late[made] = made.SlackRatio(now) <= 0
+	for _, j := range jobs {
+		late[j] = j.SlackRatio(now) <= 0
 	}
-	slices.SortFunc(waiting, func(a, b *job.Job) int { return compareUrgency(a, b, late) })
-	return waiting
+	slices.SortFunc(jobs, func(a, b *job.Job) int { return compareUrgency(a, b, late) })
+	return jobs
 }
 
-// compareUrgency compares two jobs of which late tells whether they can still meet
-// their objective.
+// compareUrgency compares two jobs for jobsByUrgency. late holds whether a job can no longer meet its
+// objective.
 func compareUrgency(a, b *job.Job, late map[*job.Job]bool) int {
 	if byPriority := int(a.Submission().GetPriority()) - int(b.Submission().GetPriority()); byPriority != 0 {
 		return byPriority
@@ -124,9 +129,10 @@
 	return strings.Compare(a.ID(), b.ID())
 }
 
-// isBetterForServing keeps serving tasks of one image together, on as few workers as
-// hold them. Which filling images disturb depends on the serving one, so a worker
-// with one kind bears more kinds of filling ones, and one without any bears all.
+// isBetterForServing reports whether a is a better worker than b for a serving task of an image. It
+// packs serving tasks of one image onto as few workers as possible. Which fill images disturb a
+// serving task depends on its image, so a worker with a single serving image tolerates more fill
+// images, and a worker without serving tasks tolerates all.
 func isBetterForServing(image string, a, b *candidate) bool {
 	if a.servesImage(image) != b.servesImage(image) {
 		return a.servesImage(image)
@@ -135,8 +141,8 @@
 		return a.countOtherImages(image) < b.countOtherImages(image)
 	}
 	if len(a.servingImages) == 0 && len(b.servingImages) == 0 {
-		// Owners that place tasks of one image at the same moment choose the
-		// same empty worker without having spoken.
+		// Owners that place tasks of one image at the same time choose the same empty
+		// worker, without communicating.
 		return a.rendezvousScore(image) > b.rendezvousScore(image)
 	}
 	if a.free.MilliCPU != b.free.MilliCPU {
@@ -145,81 +151,85 @@
 	return a.view.address < b.view.address
 }
 
-// refusalsBeforeSpreading is how often in a row a lasting task is refused for room before it looks for
-// more than what just suffices: places that are not the best cost more than a refusal.
+// refusalsBeforeSpreading is the number of consecutive refusals for lack of resources after which a
+// long-running task prefers workers with ample free resources. It is not done at the first refusal,
+// since a worse worker costs more than a refusal.
 const refusalsBeforeSpreading = 2
 
-// isBetterAfterRefusals prefers workers with room for a task twice over, of these a different
-// one for each task and attempt, and else the one with the most room. What is heard of a
-// worker is some of a second old, and other owners take what just suffices: a task that
-// was refused tends to be refused again where it fits best. A task that lasts lost that
-// race for up to 3.6 s in the package's test, with room for it twice over elsewhere.
+// isBetterAfterRefusals reports whether a is a better worker than b for a long-running task that has
+// been refused repeatedly. It prefers workers with twice the resources that the task needs, and
+// spreads tasks and attempts over them by hash. Without such a worker it prefers the one with the most
+// free processors. A worker's status is a fraction of a second old, and other owners take resources
+// that just suffice, so a refused task tends to be refused again on the worker where it fits best.
+// Without this rule such a task lost that race for up to 3.6 s in TestRefusedTaskFindsRoom, while
+// another worker had twice the resources it needed.
 func isBetterAfterRefusals(task *job.Task, a, b *candidate) bool {
 	roomyA, roomyB := a.fitsTwice(task), b.fitsTwice(task)
 	if roomyA != roomyB {
 		return roomyA
 	}
 	if roomyA {
-		trial := fmt.Sprint(task.Name(), " ", task.Attempt())
-		return a.rendezvousScore(trial) > b.rendezvousScore(trial)
+		key := fmt.Sprint(task.Name(), " ", task.Attempt())
+		return a.rendezvousScore(key) > b.rendezvousScore(key)
 	}
 	return a.free.MilliCPU > b.free.MilliCPU
 }
 
-// placeJob starts the tasks of a job that may start.
-func (owner *Owner) placeJob(made *job.Job, among candidateSet, now time.Time) {
-	if len(among.workers) == 0 {
+// placeJob places the ready tasks of a job on the candidates.
+func (owner *Owner) placeJob(j *job.Job, set candidateSet, now time.Time) {
+	if len(set.workers) == 0 {
 		return
 	}
-	ready := made.ReadyTasks(now)
+	ready := j.ReadyTasks(now)
 	if len(ready) == 0 {
 		return
 	}
-	owner.workersExamined += int64(len(among.workers))
-	patience := toleranceRatioFor(made.SlackRatio(now))
-	if made.IdleFor(now) >= maxJobIdle {
-		patience = 0
+	owner.workersExamined += int64(len(set.workers))
+	ratio := toleranceRatioFor(j.SlackRatio(now))
+	if j.IdleFor(now) >= maxJobIdle {
+		ratio = 0
 	}
-	for _, worker := range among.workers {
-		worker.toleranceRatio = patience
+	for _, worker := range set.workers {
+		worker.toleranceRatio = ratio
 	}
-	placeless := map[stepKey]string{}
+	unplaced := map[stepKey]string{}
 	for _, task := range ready {
 		if !task.Spec().GetGang() {
-			owner.placeStepTask(task, placeless, among, now)
+			owner.placeStepTask(task, unplaced, set, now)
 			continue
 		}
-		if members := readyGang(task, ready); among.complete && members != nil && members[0] == task {
-			owner.placeGang(members, among.workers, now)
+		if members := readyGang(task, ready); set.complete && members != nil && members[0] == task {
+			owner.placeGang(members, set.workers, now)
 		}
 	}
 }
 
-// stepKey names a step of a job in one of its rounds, and its suspects apart from the others.
+// stepKey identifies the tasks of a step of a job in one round. Suspects are kept apart from other
+// tasks, because different workers may take them.
 type stepKey struct {
 	round, step int32
 	suspect     bool
 }
 
-// placeStepTask starts a task unless another one of its step has just found no place: all
-// of them ask for the same.
+// placeStepTask places a task, unless another task of its step could not be placed in this pass: all
+// tasks of a step have the same requirements. unplaced holds the obstacles of such steps.
 //
-// Performance: a job may wait with dozens of tasks of a step, and places are looked for
-// each time that any worker's room grows.
-func (owner *Owner) placeStepTask(task *job.Task, placeless map[stepKey]string, among candidateSet, now time.Time) {
-	of := stepKey{round: task.Round(), step: task.Step(), suspect: task.IsSuspect()}
-	if obstacle, found := placeless[of]; found {
+// This saves most of the work, since a job may have dozens of waiting tasks in a step, and there is a
+// placement pass whenever any worker has more free resources.
+func (owner *Owner) placeStepTask(task *job.Task, unplaced map[stepKey]string, set candidateSet, now time.Time) {
+	key := stepKey{round: task.Round(), step: task.Step(), suspect: task.IsSuspect()}
+	if obstacle, found := unplaced[key]; found {
 		if !task.IsUnplaced() {
 			task.MarkUnplaced(obstacle, now)
 		}
 		return
 	}
-	if !owner.placeTask(task, among, now) {
-		_, placeless[of] = task.UnplacedFor(now)
+	if !owner.placeTask(task, set, now) {
+		_, unplaced[key] = task.UnplacedFor(now)
 	}
 }
 
-// bestWorker returns the best worker for a task, or nil.
+// bestWorker returns the best worker that may run a task and has the resources for it, or nil.
 func (owner *Owner) bestWorker(task *job.Task, workers []*candidate, now time.Time) *candidate {
 	var best *candidate
 	for _, worker := range workers {
@@ -233,25 +243,27 @@
 	return best
 }
 
-// placeTask starts a task on the best worker there is, if any. It reports false where
-// another task of the step would not find a place either, nor a worker that can make room.
-func (owner *Owner) placeTask(task *job.Task, among candidateSet, now time.Time) bool {
-	best := owner.bestWorker(task, among.workers, now)
+// placeTask starts a task on the best worker. If there is none, it requests advice for the task's step
+// and may order a preemption. It returns false if another task of the step would neither be placed
+// nor lead to a preemption in this pass.
+func (owner *Owner) placeTask(task *job.Task, set candidateSet, now time.Time) bool {
+	best := owner.bestWorker(task, set.workers, now)
 	if best != nil {
 		owner.startTask(task, best.view, now)
 		best.recordStart(task, best.view.runs[task.Name()].demand)
 		return true
 	}
 	if !task.IsUnplaced() {
-		task.MarkUnplaced(string(mostCommonObstacle(task, among.workers)), now)
+		task.MarkUnplaced(string(mostCommonObstacle(task, set.workers)), now)
 	}
 	owner.enqueueAdvice(task, now)
-	return among.complete && owner.preemptFor(task, among.workers, now)
+	return set.complete && owner.preemptFor(task, set.workers, now)
 }
 
-// isBetter prefers a worker near the data, then the one with the most idle
-// processors, which both keeps tasks that serve apart from those that fill and
-// leaves room everywhere.
+// isBetter reports whether a is a better worker than b for a task. It prefers a worker near the task's
+// data, then the one with the most idle processors. That keeps serving tasks apart from fill tasks and
+// leaves free resources on every worker. Suspects, serving tasks, fill tasks and long-running tasks
+// that have been refused are compared by additional rules.
 func isBetter(task *job.Task, a, b *candidate) bool {
 	if order := compareForSuspect(task, a, b); order != 0 {
 		return order < 0
--- a/owner/placement_changes.go
+++ b/owner/placement_changes.go
@@ -6,16 +6,19 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// placementChanges is what has changed since places were last looked for.
+// placementChanges records what has changed since the last placement pass.
 //
-// A task that has just found no place finds one only where something has changed: at the workers whose room has grown, or
-// for a task that was not ready then. So a look goes over the jobs that changed on all workers, and over all
-// jobs on the workers that grew; all jobs on all workers once in tickInterval, since pauses, doubts and the patience of jobs end
-// without an event. What a look costs follows from what has changed, not from the fleet.
+// A task that could not be placed in the last pass can only be placed now if something has changed: a
+// worker has more free resources, or the task was not ready then. A pass therefore considers all
+// workers for the jobs that have changed, and only the workers with more free resources for all other
+// jobs. Its cost depends on what has changed, not on the size of the fleet. Once per tickInterval a
+// full pass considers all workers for all jobs, because backoffs and probations end, and
+// the tolerance that fill tasks require changes, without an event.
 type placementChanges struct {
 	jobs    map[*job.Job]bool
 	workers map[*agentView]bool
-	// full is set where all jobs are to be looked at on all workers; wholeAt is when they last were.
+	// full is set if the next pass has to consider all workers for all jobs. fullPassAt is the time
+	// of the last full pass.
 	full       bool
 	fullPassAt time.Time
 }
@@ -24,28 +27,29 @@
 	return placementChanges{jobs: map[*job.Job]bool{}, workers: map[*agentView]bool{}}
 }
 
-// addJob has places looked for the tasks of a job.
-func (seen *placementChanges) addJob(made *job.Job) { seen.jobs[made] = true }
+// addJob records that a job may have new tasks to place.
+func (changes *placementChanges) addJob(changed *job.Job) { changes.jobs[changed] = true }
 
-// addWorker has places looked for at a worker.
-func (seen *placementChanges) addWorker(view *agentView) { seen.workers[view] = true }
+// addWorker records that an agent's worker may have more free resources.
+func (changes *placementChanges) addWorker(view *agentView) { changes.workers[view] = true }
 
-// addAll has places looked for all tasks at all workers.
-func (seen *placementChanges) addAll() { seen.full = true }
+// addAll requests a full pass.
+func (changes *placementChanges) addAll() { changes.full = true }
 
-// isDue reports whether places are to be looked for.
-func (seen *placementChanges) isDue(now time.Time) bool {
-	return seen.full || len(seen.jobs)+len(seen.workers) > 0 || now.Sub(seen.fullPassAt) >= tickInterval
+// isDue reports whether a placement pass is due.
+func (changes *placementChanges) isDue(now time.Time) bool {
+	return changes.full || len(changes.jobs)+len(changes.workers) > 0 || now.Sub(changes.fullPassAt) >= tickInterval
 }
 
-// take returns what has changed, and begins anew.
-func (seen *placementChanges) take(now time.Time) placementChanges {
-	taken := *seen
-	*seen = newPlacementChanges()
-	seen.fullPassAt = taken.fullPassAt
+// take returns the changes recorded so far and resets them. The pass is full if one was requested
+// or the last one was at least tickInterval ago.
+func (changes *placementChanges) take(now time.Time) placementChanges {
+	taken := *changes
+	*changes = newPlacementChanges()
+	changes.fullPassAt = taken.fullPassAt
 	taken.full = taken.full || now.Sub(taken.fullPassAt) >= tickInterval
 	if taken.full {
-		seen.fullPassAt = now
+		changes.fullPassAt = now
 	}
 	return taken
 }
--- a/owner/suspect.go
+++ b/owner/suspect.go
@@ -6,15 +6,16 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// crashesBeforeIsolation is after how many crashes a task goes where the least runs: it is likely to
-// bring the worker down, which costs all else there. Before, it is most likely a chance
-// victim and goes where it does best.
+// crashesBeforeIsolation is the number of crashes after which a task is placed on the least loaded
+// worker: the task is likely to crash that worker, and all other runs there are lost with it. A task
+// with fewer crashes most likely just happened to run on a worker that another task crashed, so it is
+// placed where it runs best.
 const crashesBeforeIsolation = 2
 
-// compareForSuspect orders two workers for a task that a worker may have crashed for, the
-// better one first; 0 if it has no preference. It prefers a machine where none of the task's
-// runs met a crash: a worker that goes down again and again by itself would make a cause of
-// whatever is started there, most of all as it is the emptiest each time.
+// compareForSuspect compares two workers for a task that may have crashed a worker. The result is
+// negative if a is better, and 0 if neither is. Machines where none of the task's runs met a crash are
+// better. Otherwise a worker that crashes repeatedly by itself, and is the emptiest one after each
+// restart, would make every task that is started there look like the cause.
 func compareForSuspect(task *job.Task, a, b *candidate) int {
 	if !task.IsSuspect() {
 		return 0
