--- a/owner/gang.go
+++ b/owner/gang.go
@@ -10,14 +10,14 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// placeGang starts all members of a gang or none: a member that waits for others
-// that don't come holds room for nothing.
+// placeGang starts all members of a gang or none. A member that started alone would reserve
+// resources without doing any work until the others start.
 func (owner *Owner) placeGang(members []*job.Task, workers []*candidate, now time.Time) {
-	for _, among := range owner.gangCandidateSets(members[0], workers) {
-		if chosen := owner.assignGang(members, among, now); chosen != nil {
-			for index, member := range members {
-				owner.startTask(member, chosen[index].view, now)
-				chosen[index].recordStart(member, chosen[index].view.runs[member.Name()].demand)
+	for _, set := range owner.gangCandidateSets(members[0], workers) {
+		if assigned := owner.assignGang(members, set, now); assigned != nil {
+			for i, member := range members {
+				owner.startTask(member, assigned[i].view, now)
+				assigned[i].recordStart(member, assigned[i].view.runs[member.Name()].demand)
 			}
 			return
 		}
@@ -30,47 +30,49 @@
 	owner.enqueueAdvice(members[0], now)
 }
 
-// gangCandidateSets returns the sets of workers to try: each rack by itself for a gang
-// that should not be spread, then all of them.
+// gangCandidateSets returns the sets of workers to try in turn. For a gang whose members should run
+// in one rack these are the workers of each rack, then all workers; for any other gang all workers.
 func (owner *Owner) gangCandidateSets(member *job.Task, workers []*candidate) [][]*candidate {
-	var choices [][]*candidate
+	var sets [][]*candidate
 	if member.Spec().GetSameRack() {
 		racks := map[string][]*candidate{}
 		for _, worker := range workers {
 			racks[worker.rack()] = append(racks[worker.rack()], worker)
 		}
 		for _, rack := range slices.Sorted(maps.Keys(racks)) {
-			choices = append(choices, racks[rack])
+			sets = append(sets, racks[rack])
 		}
 	}
-	return append(choices, workers)
+	return append(sets, workers)
 }
 
-// assignGang returns a worker for each member, or nil if they don't all fit.
+// assignGang returns a worker for each member of a gang, or nil if not all members fit. It accounts
+// for the members assigned so far on copies of the candidates.
 func (owner *Owner) assignGang(members []*job.Task, workers []*candidate, now time.Time) []*candidate {
-	trial := make(map[*candidate]*candidate, len(workers))
+	originals := make(map[*candidate]*candidate, len(workers))
 	copies := make([]*candidate, 0, len(workers))
 	for _, worker := range workers {
 		copied := *worker
-		trial[&copied] = worker
+		originals[&copied] = worker
 		copies = append(copies, &copied)
 	}
-	var chosen []*candidate
-	held := map[*candidate]int32{}
+	var assigned []*candidate
+	counts := map[*candidate]int32{}
 	for _, member := range members {
 		best := owner.bestWorker(member, copies, now)
-		most := member.Spec().GetMostPerWorker()
-		if best == nil || most > 0 && held[best] >= most {
+		maxPerWorker := member.Spec().GetMostPerWorker()
+		if best == nil || maxPerWorker > 0 && counts[best] >= maxPerWorker {
 			return nil
 		}
-		held[best]++
+		counts[best]++
 		best.recordStart(member, demandOf(member, now))
-		chosen = append(chosen, trial[best])
+		assigned = append(assigned, originals[best])
 	}
-	return chosen
+	return assigned
 }
 
-// stopGang stops the other members of a gang one of whose members did not start.
+// stopGang stops the other members of a gang after a member failed to start. It does nothing if the
+// task is not in a gang.
 func (owner *Owner) stopGang(task *job.Task) {
 	if !task.Spec().GetGang() {
 		return
@@ -80,16 +82,16 @@
 		if member == task || !found {
 			continue
 		}
-		entry, running := view.runs[member.Name()]
-		if !running || entry.attempt != member.Attempt() {
+		run, running := view.runs[member.Name()]
+		if !running || run.attempt != member.Attempt() {
 			continue
 		}
-		owner.logRun(event.RunStopOrdered, entry, slog.String("reason", "another member of the gang did not start"))
-		view.addStopOrder(entry.shard, entry.taskName, entry.attempt, entry.place.Incarnation)
+		owner.logRun(event.RunStopOrdered, run, slog.String("reason", "another member of the gang did not start"))
+		view.addStopOrder(run.shard, run.taskName, run.attempt, run.place.Incarnation)
 	}
 }
 
-// readyGang returns the members of a ready task's gang if all of them are ready.
+// readyGang returns all members of a ready task's gang, or nil if any of them is not ready.
 func readyGang(task *job.Task, ready []*job.Task) []*job.Task {
 	members := task.Job().StepTasks(task)
 	count := 0
--- a/owner/preempt.go
+++ b/owner/preempt.go
@@ -10,13 +10,13 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// preemptInterval keeps requests to make room at one worker apart: a stop takes up to
-// half a second, and the room that it makes has to be told.
+// preemptInterval is the minimum time between two preemption orders for one worker. Stopping a run
+// takes up to 0.5 s, and the agent then has to report the resources that it freed.
 const preemptInterval = 700 * time.Millisecond
 
-// preemptFor asks the worker that has to stop the least for it to make room for a
-// task that found no place. Tasks that fill wait instead: they take what is left. It reports whether
-// a worker was asked.
+// preemptFor orders a preemption for a task that could not be placed, on the worker that has to free
+// the least. It reports whether it ordered one. There is no preemption for fill tasks, which only use
+// what is left, nor for gangs.
 func (owner *Owner) preemptFor(task *job.Task, workers []*candidate, now time.Time) bool {
 	if task.Spec().GetFills() || task.Spec().GetGang() {
 		return false
@@ -29,12 +29,12 @@
 	return true
 }
 
-// preemptionTarget returns the worker that misses the least of its own room for a task, of
-// those where the task would fit once what is less urgent has been stopped; nil if
-// there is none. Where it fits already, or has no ticket, room is not what it lacks.
+// preemptionTarget returns the worker with the smallest shortage for a task among those where it would
+// fit once runs of lower priority have been stopped, or nil if there is none. It skips workers where
+// the task fits already or has no ticket, since preemption would not help there.
 func (owner *Owner) preemptionTarget(task *job.Task, workers []*candidate, now time.Time) *candidate {
 	var best *candidate
-	least := 0.0
+	minShortage := 0.0
 	for _, worker := range workers {
 		if now.Sub(worker.view.preemptedAt) < preemptInterval || worker.fits(task) || !worker.fitsAfterReclaim(task) {
 			continue
@@ -42,14 +42,14 @@
 		if _, allowed := owner.ticketFor(task, worker.view.incarnation(), now); !allowed {
 			continue
 		}
-		if missing := worker.shortage(task); best == nil || missing < least {
-			best, least = worker, missing
+		if shortage := worker.shortage(task); best == nil || shortage < minShortage {
+			best, minShortage = worker, shortage
 		}
 	}
 	return best
 }
 
-// addPreemptOrder has a worker's agent make room for a task, with the next message.
+// addPreemptOrder adds an order to free resources for a task to the next message to the worker's agent.
 func (owner *Owner) addPreemptOrder(task *job.Task, worker *candidate, now time.Time) {
 	view := worker.view
 	view.preemptedAt = now
@@ -63,8 +63,8 @@
 		slog.Int64("milli_cpu", demand.GetMilliCpu()), slog.Int64("free_milli_cpu", worker.free.MilliCPU))
 }
 
-// shortage returns what a task lacks at the worker, in shares of what the worker has,
-// added up; 0 if there is room.
+// shortage returns how much of each resource is missing on the worker for a task, as a share of what
+// the worker has in total, summed over all resources. It is 0 if the resources suffice.
 func (worker *candidate) shortage(task *job.Task) float64 {
 	spec, status := task.Spec(), worker.view.status()
 	return shortfall(spec.GetMilliCpu(), worker.free.MilliCPU, status.GetMilliCpu()) +
@@ -72,20 +72,19 @@
 		shortfall(spec.GetAccelerators(), worker.free.Accelerators, status.GetAccelerators())
 }
 
-// shortfall returns how much of something is wanted beyond what is free, as a share of
-// the whole.
-func shortfall(wanted, free, whole int64) float64 {
-	return float64(max(wanted-free, 0)) / float64(max(whole, 1))
+// shortfall returns how much of what is wanted exceeds what is free, as a share of the total.
+func shortfall(wanted, free, total int64) float64 {
+	return float64(max(wanted-free, 0)) / float64(max(total, 1))
 }
 
-// fitsAfterReclaim reports whether a task fits once what is less urgent has been
-// stopped.
+// fitsAfterReclaim reports whether a task fits on the worker once all runs of lower priority there
+// have been stopped. A higher number is a lower priority.
 func (worker *candidate) fitsAfterReclaim(task *job.Task) bool {
-	freed := *worker
-	for _, known := range worker.view.status().GetReclaimable() {
-		if known.GetPriority() > task.Job().Submission().GetPriority() {
-			freed.free.Add(admission.NewResources(known.GetMilliCpu(), known.GetMemoryMb(), known.GetAccelerators()))
+	reclaimed := *worker
+	for _, runs := range worker.view.status().GetReclaimable() {
+		if runs.GetPriority() > task.Job().Submission().GetPriority() {
+			reclaimed.free.Add(admission.NewResources(runs.GetMilliCpu(), runs.GetMemoryMb(), runs.GetAccelerators()))
 		}
 	}
-	return freed.fits(task)
+	return reclaimed.fits(task)
 }
