--- a/owner/learned.go
+++ b/owner/learned.go
@@ -6,29 +6,30 @@
 )
 
 const (
-	// publishWeightDelta and publishReadingsRatio are by how much a mean weight, and the share
-	// by which what it rests on, has to differ from what agents were told to be told
-	// anew. The means of many workers hardly move, so that a table of hundreds of pairs
-	// costs next to nothing once it is known.
+	// A pair is published again once its mean weight differs by publishWeightDelta from what
+	// was published, or its number of readings by the share publishReadingsRatio. Means over
+	// many workers change little, so a table of hundreds of pairs causes almost no traffic
+	// once the agents know it.
 	publishWeightDelta   = 0.02
 	publishReadingsRatio = 0.25
 )
 
-// learnedTable puts together what the agents have learned of interference, and what was
-// remembered of earlier ones: for each pair the mean weight by readings. It is kept up by
-// what agents tell anew, and knows what has changed since which version.
+// learnedTable aggregates the interference estimates of all agents and those that earlier owners
+// stored: for each pair of images, the mean weight over all readings. It is updated incrementally
+// as agents report new estimates. Its version increases whenever a published mean changes.
 type learnedTable struct {
 	pairs map[interference.Pair]*learnedPair
-	// byAgent is what each agent has taught, as it is contained in the sums.
+	// byAgent holds the last estimates of each agent, as they are included in pairs.
 	byAgent map[*agentView]map[interference.Pair]interference.Estimate
 	version int64
 }
 
-// learnedPair is what is known of one pair.
+// learnedPair aggregates the estimates of one pair of images.
 type learnedPair struct {
 	weightedSum float64 // sum of weights times readings
 	readings    int
-	// published is what agents are told, and since which version of the table.
+	// published is the estimate that is sent to agents, and version the version of the table
+	// in which it was set; 0 before the first.
 	published interference.Estimate
 	version   int64
 }
@@ -40,109 +41,112 @@
 	}
 }
 
-// add adds an estimate of a pair to its sum, or takes it away with a negative factor.
-func (table *learnedTable) add(pair interference.Pair, known interference.Estimate, factor int) {
-	sum, found := table.pairs[pair]
+// add adds an estimate to the aggregate of its pair. A factor of -1 subtracts it instead.
+func (table *learnedTable) add(pair interference.Pair, estimate interference.Estimate, factor int) {
+	aggregate, found := table.pairs[pair]
 	if !found {
-		sum = &learnedPair{}
-		table.pairs[pair] = sum
+		aggregate = &learnedPair{}
+		table.pairs[pair] = aggregate
 	}
-	sum.weightedSum += float64(factor) * known.Weight * float64(known.Readings)
-	sum.readings += factor * known.Readings
+	aggregate.weightedSum += float64(factor) * estimate.Weight * float64(estimate.Readings)
+	aggregate.readings += factor * estimate.Readings
 }
 
-// addStored takes in what earlier owners wrote.
-func (table *learnedTable) addStored(remembered []*job.Interference) {
-	for _, known := range remembered {
-		table.add(known.Pair(), known.Estimate(), 1)
+// addStored adds the estimates that earlier owners stored.
+func (table *learnedTable) addStored(stored []*job.Interference) {
+	for _, record := range stored {
+		table.add(record.Pair(), record.Estimate(), 1)
 	}
 }
 
-// update takes in what an agent has learned of some pairs, in place of what it told before.
+// update replaces the estimates of an agent for the pairs given.
 func (table *learnedTable) update(view *agentView, learned []*job.Interference) {
-	taught, found := table.byAgent[view]
+	estimates, found := table.byAgent[view]
 	if !found {
-		taught = map[interference.Pair]interference.Estimate{}
-		table.byAgent[view] = taught
+		estimates = map[interference.Pair]interference.Estimate{}
+		table.byAgent[view] = estimates
 	}
-	for _, known := range learned {
-		pair := known.Pair()
-		table.add(pair, taught[pair], -1)
-		taught[pair] = known.Estimate()
-		table.add(pair, taught[pair], 1)
+	for _, reported := range learned {
+		pair := reported.Pair()
+		table.add(pair, estimates[pair], -1)
+		estimates[pair] = reported.Estimate()
+		table.add(pair, estimates[pair], 1)
 	}
 }
 
-// removeAgent takes away what an agent has taught.
+// removeAgent removes the estimates of an agent.
 func (table *learnedTable) removeAgent(view *agentView) {
-	for pair, taught := range table.byAgent[view] {
-		table.add(pair, taught, -1)
+	for pair, estimate := range table.byAgent[view] {
+		table.add(pair, estimate, -1)
 	}
 	delete(table.byAgent, view)
 }
 
-// estimate returns the mean of a sum.
-func (sum *learnedPair) estimate() interference.Estimate {
-	return interference.Estimate{Weight: sum.weightedSum / float64(max(sum.readings, 1)), Readings: sum.readings}
+// estimate returns the mean weight and the number of readings behind it.
+func (aggregate *learnedPair) estimate() interference.Estimate {
+	return interference.Estimate{Weight: aggregate.weightedSum / float64(max(aggregate.readings, 1)), Readings: aggregate.readings}
 }
 
-// publish begins a new version if what agents are told of any pair has changed.
+// publish sets the published estimate of each pair that is new or has changed enough, and begins a
+// new version if there is any.
 func (table *learnedTable) publish() {
 	next := table.version + 1
-	for _, sum := range table.pairs {
-		mean := sum.estimate()
-		if sum.version > 0 && !mean.Differs(sum.published, publishWeightDelta, publishReadingsRatio) {
+	for _, aggregate := range table.pairs {
+		mean := aggregate.estimate()
+		if aggregate.version > 0 && !mean.Differs(aggregate.published, publishWeightDelta, publishReadingsRatio) {
 			continue
 		}
-		sum.published, sum.version = mean, next
+		aggregate.published, aggregate.version = mean, next
 		table.version = next
 	}
 }
 
-// changedSince lists the pairs that have changed after a version, as agents are told them.
+// changedSince returns the published estimates that have changed after a version.
 func (table *learnedTable) changedSince(version int64) []*job.Interference {
 	var changed []*job.Interference
-	for pair, sum := range table.pairs {
-		if sum.version > version {
-			changed = append(changed, job.NewInterference(pair, sum.published))
+	for pair, aggregate := range table.pairs {
+		if aggregate.version > version {
+			changed = append(changed, job.NewInterference(pair, aggregate.published))
 		}
 	}
 	return changed
 }
 
-// meansExcluding lists the means of what all agents but one have taught; nil leaves out none.
+// meansExcluding returns the current means without the estimates of one agent, or of all agents if
+// view is nil.
 func (table *learnedTable) meansExcluding(view *agentView) []*job.Interference {
-	listed := make([]*job.Interference, 0, len(table.pairs))
-	for pair, sum := range table.pairs {
-		others := *sum
-		if own, taught := table.byAgent[view][pair]; taught {
+	means := make([]*job.Interference, 0, len(table.pairs))
+	for pair, aggregate := range table.pairs {
+		others := *aggregate
+		if own, found := table.byAgent[view][pair]; found {
 			others.weightedSum -= own.Weight * float64(own.Readings)
 			others.readings -= own.Readings
 		}
 		if others.readings > 0 {
-			listed = append(listed, job.NewInterference(pair, others.estimate()))
+			means = append(means, job.NewInterference(pair, others.estimate()))
 		}
 	}
-	return listed
+	return means
 }
 
-// learnedTable returns the table of the shared shard, nil if it is not owned.
+// learnedTable returns the table of the shard that keeps interference estimates, or nil if this
+// entry does not own that shard or has not loaded it yet.
 func (owner *Owner) learnedTable() *learnedTable {
-	held, owned := owner.shards[job.InterferenceShard]
-	if !owned || !held.loaded {
+	s, found := owner.shards[job.InterferenceShard]
+	if !found || !s.loaded {
 		return nil
 	}
-	return held.learned
+	return s.learned
 }
 
-// updateLearned takes in what an agent has learned.
+// updateLearned adds the estimates that an agent reports to the table.
 func (owner *Owner) updateLearned(view *agentView, learned []*job.Interference) {
 	if table := owner.learnedTable(); table != nil && len(learned) > 0 {
 		table.update(view, learned)
 	}
 }
 
-// removeLearned drops what the agent before the present one at an address has taught.
+// removeLearned removes the estimates of the agent that was at this address before.
 func (owner *Owner) removeLearned(view *agentView) {
 	if table := owner.learnedTable(); table != nil {
 		table.removeAgent(view)
--- a/owner/learned_send.go
+++ b/owner/learned_send.go
@@ -4,12 +4,14 @@
 	"time"
 )
 
-// learnedSendInterval is how often an agent is told: weights move over seconds.
+// learnedSendInterval is how often interference estimates are sent to an agent: weights change over
+// seconds.
 const learnedSendInterval = 1500 * time.Millisecond
 
-// addLearned tells an agent what the readings of all workers have taught: one worker alone sees few of the
-// pairs of images. An agent that keeps what it is told hears of what has changed since; another one of
-// all that others have learned.
+// addLearned adds the interference estimates from all workers to the agent's next message, since one
+// worker alone sees only few pairs of images. An agent that keeps the estimates it receives is sent
+// those that have changed since the last message. Any other agent, which is of an earlier version, is
+// sent all estimates of the other agents each time.
 func (owner *Owner) addLearned(view *agentView, now time.Time) {
 	table := owner.learnedTable()
 	if table == nil || !view.heardOnConn || now.Sub(view.learnedSentAt) < learnedSendInterval {
@@ -27,7 +29,7 @@
 	}
 }
 
-// publishLearned begins a new version of the table where that is due: once for all agents.
+// publishLearned publishes the table at most once per learnedSendInterval, for all agents together.
 func (owner *Owner) publishLearned(table *learnedTable, now time.Time) {
 	if now.Sub(owner.learnedPublishedAt) < learnedSendInterval {
 		return
