--- a/owner/evacuated.go
+++ b/owner/evacuated.go
@@ -10,15 +10,17 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// UpdateEvacuations takes in which failure domains are evacuated, as of a moment up to which
-// that is known to be all; zero where that is not known.
-func (owner *Owner) UpdateEvacuations(told operator.Evacuations, asOf time.Time) {
-	owner.eventLoop.Post(func(time.Time) { owner.applyEvacuations(told, asOf) })
+// UpdateEvacuations updates which failure domains are evacuated. The evacuations given include
+// everything that operators had written at the time asOf, which is zero if no such time is known.
+func (owner *Owner) UpdateEvacuations(evacuations operator.Evacuations, asOf time.Time) {
+	owner.eventLoop.Post(func(time.Time) { owner.applyEvacuations(evacuations, asOf) })
 }
 
-func (owner *Owner) applyEvacuations(told operator.Evacuations, asOf time.Time) {
+// applyEvacuations logs which domains have been evacuated or given back. Workers in a domain that is
+// given back may be used again, so all jobs have to be considered for placement.
+func (owner *Owner) applyEvacuations(evacuations operator.Evacuations, asOf time.Time) {
 	before := owner.evacuationState.Evacuations()
-	owner.evacuationState.Note(told, asOf)
+	owner.evacuationState.Note(evacuations, asOf)
 	after := owner.evacuationState.Evacuations()
 	for _, domain := range after.Less(before) {
 		owner.log(event.DomainEvacuated, slog.String("failure_domain", domain), slog.Int64("version", after.Version()))
@@ -35,9 +37,9 @@
 	return owner.evacuationState.Evacuations().Has(view.status().GetFailureDomain())
 }
 
-// addEvacuations adds what is known of evacuations to the message that goes out next: with
-// every start, since its agent starts nothing by what is known too old, and when it has
-// changed. Without starts it costs nothing.
+// addEvacuations adds the known evacuations to the agent's next message if the message contains
+// start orders or if they have changed. An agent refuses to start anything if what it knows of
+// evacuations is too old. Agents that are given no starts need no such updates.
 func (owner *Owner) addEvacuations(view *agentView) {
 	known := owner.evacuationState.Evacuations()
 	if owner.evacuationState.AsOf().IsZero() || !view.heardOnConn {
--- a/owner/stall.go
+++ b/owner/stall.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	// minStallTimeout is how long a run may show no progress at least. Agents tell
-	// progress once a second, in whole percent.
+	// minStallTimeout is how long every run may be without progress. Agents report progress once
+	// a second, in whole percent.
 	minStallTimeout = 2500 * time.Millisecond
-	// stallEstimateRatio adds this share of the estimate: a long task that is slowed
-	// takes long for one percent.
+	// stallEstimateRatio is the share of a task's estimated run time that is added to
+	// minStallTimeout, because a long task that is throttled takes long for one percent.
 	stallEstimateRatio = 0.25
-	// fullProgressPercent is the progress of a run at full work.
+	// fullProgressPercent is the progress of a long-running task once it is working normally.
 	fullProgressPercent = 100
 )
 
-// checkProgress stops a run that stands still, so that its task goes on at
-// another worker.
-func (owner *Owner) checkProgress(view *agentView, entry *trackedRun, run *wire.RunStatus, now time.Time) {
-	if run.GetPercent() != entry.progressPercent || entry.progressedAt.IsZero() {
-		entry.progressPercent = run.GetPercent()
-		entry.progressedAt = now
+// checkProgress records the progress of a run and orders a stop if it has stalled, so that its task
+// continues on another worker. It also puts the worker on probation. Exempt are members of gangs and
+// long-running tasks that work normally.
+func (owner *Owner) checkProgress(view *agentView, run *trackedRun, status *wire.RunStatus, now time.Time) {
+	if status.GetPercent() != run.progressPercent || run.progressedAt.IsZero() {
+		run.progressPercent = status.GetPercent()
+		run.progressedAt = now
 		return
 	}
-	spec := entry.task.Spec()
-	if spec.GetLasting() && run.GetPercent() >= fullProgressPercent || spec.GetGang() {
+	spec := run.task.Spec()
+	if spec.GetLasting() && status.GetPercent() >= fullProgressPercent || spec.GetGang() {
 		return
 	}
-	limit := minStallTimeout + time.Duration(stallEstimateRatio*float64(spec.GetEstimateMs()))*time.Millisecond
-	if now.Sub(entry.progressedAt) < limit || now.Sub(entry.stopOrderedAt) < stopRetryInterval {
+	timeout := minStallTimeout + time.Duration(stallEstimateRatio*float64(spec.GetEstimateMs()))*time.Millisecond
+	if now.Sub(run.progressedAt) < timeout || now.Sub(run.stopOrderedAt) < stopRetryInterval {
 		return
 	}
-	entry.stopOrderedAt = now
+	run.stopOrderedAt = now
 	view.avoidUntil = now.Add(probationDuration)
 	view.consecutiveFailures = max(view.consecutiveFailures, failuresBeforeProbation)
-	owner.logRun(event.RunStopOrdered, entry, slog.String("worker", entry.place.Incarnation.WorkerID()), slog.String("reason", "it stands still"), slog.Duration("since", now.Sub(entry.progressedAt)))
-	view.addStopOrder(entry.shard, entry.taskName, entry.attempt, entry.place.Incarnation)
+	owner.logRun(event.RunStopOrdered, run, slog.String("worker", run.place.Incarnation.WorkerID()), slog.String("reason", "no progress"), slog.Duration("since", now.Sub(run.progressedAt)))
+	view.addStopOrder(run.shard, run.taskName, run.attempt, run.place.Incarnation)
 }
--- a/owner/suspended.go
+++ b/owner/suspended.go
@@ -7,7 +7,7 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// suspendedFor returns for how long the machine has been suspended.
+// suspendedFor returns for how long in total the machine has been suspended.
 func (owner *Owner) suspendedFor() time.Duration {
 	if owner.options.Suspended == nil {
 		return 0
@@ -15,12 +15,14 @@
 	return owner.options.Suspended()
 }
 
-// handleSuspension makes the last word from the store that this entry still owns its shards older
-// by the time that the machine was suspended: others may have taken them meanwhile, and count
-// on it that no more than storeOutageTolerance is granted since. What agents said stays as new as it
-// is: runs of silent ones are taken for over later than need be.
-func (owner *Owner) handleSuspension(slept time.Duration, _ time.Time) {
-	owner.log(event.MachineWasSuspended, slog.Duration("slept", slept))
-	owner.lastJoinAt = owner.lastJoinAt.Add(-slept)
-	owner.evacuationState.Age(slept)
+// handleSuspension accounts for a time that the machine was suspended, which the clock does not count.
+// It moves back the time of the last successful join, because other entries may have taken this
+// entry's shards since then, and they rely on it not granting for longer than storeOutageTolerance
+// after its last join. The state of evacuations becomes older as well. The times of the agents' last
+// messages are not changed: runs of silent agents are considered lost later than necessary, which is
+// safe.
+func (owner *Owner) handleSuspension(duration time.Duration, _ time.Time) {
+	owner.log(event.MachineWasSuspended, slog.Duration("slept", duration))
+	owner.lastJoinAt = owner.lastJoinAt.Add(-duration)
+	owner.evacuationState.Age(duration)
 }
