--- a/owner/candidacy.go
+++ b/owner/candidacy.go
@@ -14,70 +14,75 @@
 )
 
 const (
-	// seatRenewInterval is how often an entry asks for its seat again.
+	// seatRenewInterval is how often an entry applies for a seat or renews the one it has.
 	seatRenewInterval = time.Second
-	// seatTimeout is after how long without a word the store deals an entry's seats to others. Shards pass on
-	// much sooner, to those that stand; a process that comes back within this time has its seat at once.
+	// seatTimeout is how long an entry may be silent before the store assigns its seats to other
+	// entries. Shards are reassigned to other candidates much sooner; a process that restarts
+	// within this time gets its seat back at once.
 	seatTimeout = 10 * time.Second
 )
 
-// membership is one period in which the entry offers itself as an owner: it is a member of the group of owners
-// and connected to all agents.
+// membership is a period in which the entry is a candidate for owning shards: it is a member of the
+// group of owners and connected to all agents.
 type membership struct {
-	// joinCtx ends the membership, joined is closed once it has ended.
+	// joinCtx is cancelled to end the group membership, joinDone is closed once it has ended.
 	joinCtx    context.Context
 	cancelJoin context.CancelFunc
 	joinDone   chan struct{}
-	// disconnectAgents ends the connections to agents.
+	// disconnectAgents closes the connections to all agents.
 	disconnectAgents context.CancelFunc
 }
 
-// runCandidacy has the entry offer itself as an owner while it is a candidate, until ctx ends.
+// runCandidacy keeps the entry's seat and begins and ends its membership in the group of owners as the
+// candidacy decides, until ctx is done.
 func (owner *Owner) runCandidacy(ctx context.Context) {
 	defer close(owner.candidacyDone)
 	seat := candidacy.New(candidacy.Options{Self: entryOfMember(owner.MemberName()), Shards: owner.options.Shards})
-	heard := int64(0)
-	lost := time.Time{}
+	generation := int64(0)
+	lostAt := time.Time{}
 	for ctx.Err() == nil {
-		asked := owner.options.Clock.Now()
+		requestedAt := owner.options.Clock.Now()
 		owner.refreshCandidacy(ctx, seat)
-		generation, err := owner.renewSeat(ctx, seat, heard)
-		// Whether it is among the first by rank is known before it connects to all agents.
+		latest, err := owner.renewSeat(ctx, seat, generation)
+		// The holders are queried again here because the entry is a candidate only if it is among
+		// the first holders by rank. It must know that before it connects to all agents.
 		owner.refreshSeatHolders(ctx, seat)
 		if err != nil {
-			lost = owner.logStoreLost(ctx, lost, asked, err)
+			lostAt = owner.logStoreLost(ctx, lostAt, requestedAt, err)
 		} else {
-			owner.logStoreRecovered(ctx, lost, asked)
-			lost = time.Time{}
+			owner.logStoreRecovered(ctx, lostAt, requestedAt)
+			lostAt = time.Time{}
 		}
 		if !owner.updateMembership(ctx, seat) {
 			return
 		}
-		// Naming a new generation at once hands over what is no longer held.
-		named := generation == heard || !seat.WantsSeat()
-		heard = generation
-		if named {
+		// A new generation is acknowledged at once, so that the store can reassign what this
+		// entry no longer holds.
+		acknowledged := latest == generation || !seat.WantsSeat()
+		generation = latest
+		if acknowledged {
 			owner.sleep(ctx, seatRenewInterval)
 		}
 	}
 }
 
-// renewSeat asks for a seat or leaves it, as the candidacy says. It returns the generation that the store named last, 0
-// once the entry has left.
-func (owner *Owner) renewSeat(ctx context.Context, seat *candidacy.Candidacy, heard int64) (int64, error) {
+// renewSeat applies for a seat, renews it or gives it up, as the candidacy decides. It returns the
+// latest generation of the group of seats that the store returned, or 0 once the entry has left it.
+func (owner *Owner) renewSeat(ctx context.Context, seat *candidacy.Candidacy, generation int64) (int64, error) {
 	if seat.WantsSeat() {
-		return owner.applyForSeat(ctx, seat, heard)
+		return owner.applyForSeat(ctx, seat, generation)
 	}
-	if heard == 0 {
+	if generation == 0 {
 		return 0, nil
 	}
 	if err := owner.leaveGroup(ctx, job.SeatsGroup, owner.MemberName()); err != nil {
-		return heard, err
+		return generation, err
 	}
 	return 0, nil
 }
 
-// refreshCandidacy finds out what the candidacy needs to know.
+// refreshCandidacy queries what the candidacy needs to know: the owners, the number of agents and the
+// holders of seats.
 func (owner *Owner) refreshCandidacy(ctx context.Context, seat *candidacy.Candidacy) {
 	if seat.NeedsOwners(owner.options.Clock.Now()) {
 		owner.queryHolders(ctx, job.OwnersGroup, seat.ObserveOwners)
@@ -88,15 +93,16 @@
 	owner.refreshSeatHolders(ctx, seat)
 }
 
+// refreshSeatHolders queries the holders of seats if the candidacy needs them.
 func (owner *Owner) refreshSeatHolders(ctx context.Context, seat *candidacy.Candidacy) {
 	if seat.NeedsSeatHolders(owner.options.Clock.Now()) {
 		owner.queryHolders(ctx, job.SeatsGroup, seat.ObserveSeatHolders)
 	}
 }
 
-// queryHolders has note take in which entries hold something of a group. What the store does not say is asked for again, and
-// the entry goes on as it is until then.
-func (owner *Owner) queryHolders(ctx context.Context, group string, note func(holders []candidacy.Entry, now time.Time)) {
+// queryHolders queries the store for the entries that hold partitions of a group and passes them to
+// observe. If the query fails, observe is not called, and the candidacy asks for it again.
+func (owner *Owner) queryHolders(ctx context.Context, group string, observe func(holders []candidacy.Entry, now time.Time)) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	members, err := owner.options.Store.Holders(ctx, group)
@@ -108,15 +114,17 @@
 	for _, member := range members {
 		holders = append(holders, entryOfMember(member))
 	}
-	note(holders, owner.options.Clock.Now())
+	observe(holders, owner.options.Clock.Now())
 }
 
-// entryOfMember returns the entry with a member's name. One of an earlier build does not say what its machine bears.
+// entryOfMember returns the entry with a member name. A name without a prefix is that of an earlier
+// version, which does not tell what its machine is capable of; the entry counts as strong.
 func entryOfMember(member string) candidacy.Entry {
 	return candidacy.Entry{Name: member, Strong: !strings.HasPrefix(member, weakPrefix)}
 }
 
-// countAgents counts the agents: those that the entry looks at, or those that the store has registered.
+// countAgents passes the number of agents to the candidacy: those that the entry knows, or, if it knows
+// none, those that are registered in the store.
 func (owner *Owner) countAgents(ctx context.Context, seat *candidacy.Candidacy) {
 	count := 0
 	if !owner.eventLoop.Ask(ctx, func(time.Time) { count = len(owner.agents) }) {
@@ -128,8 +136,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	for part := range job.AgentPartitions(owner.options.Shards) {
-		tail, err := owner.options.Store.Newest(ctx, job.TopicAgents, part)
+	for partition := range job.AgentPartitions(owner.options.Shards) {
+		tail, err := owner.options.Store.Newest(ctx, job.TopicAgents, partition)
 		if err != nil {
 			owner.log(event.OwnersUnknown, slog.Any("error", err))
 			return
@@ -139,67 +147,71 @@
 	seat.SetAgentCount(count)
 }
 
-// applyForSeat asks for a seat, or stays in it. It returns the generation that the store names.
-func (owner *Owner) applyForSeat(ctx context.Context, seat *candidacy.Candidacy, heard int64) (int64, error) {
+// applyForSeat joins the group of seats, or renews the membership in it, and passes the number of
+// assigned seats to the candidacy. It returns the generation of the group.
+func (owner *Owner) applyForSeat(ctx context.Context, seat *candidacy.Candidacy, generation int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	silent := max(seatTimeout, owner.options.MemberTimeout)
-	deal, err := owner.options.Store.Join(ctx, job.SeatsGroup, owner.MemberName(), job.SeatTopics(), silent, heard)
+	timeout := max(seatTimeout, owner.options.MemberTimeout)
+	assignment, err := owner.options.Store.Join(ctx, job.SeatsGroup, owner.MemberName(), job.SeatTopics(), timeout, generation)
 	if err != nil {
-		return heard, err
+		return generation, err
 	}
-	seat.SetHeldSeats(len(deal.Parts))
-	return deal.Generation, nil
+	seat.SetHeldSeats(len(assignment.Parts))
+	return assignment.Generation, nil
 }
 
-// updateMembership begins or ends to stand where the candidacy says so. It reports false once the owner has ended.
+// updateMembership begins or ends the membership as the candidacy decides. It returns false once the
+// event loop has ended.
 func (owner *Owner) updateMembership(ctx context.Context, seat *candidacy.Candidacy) bool {
-	stands := false
-	if !owner.eventLoop.Ask(ctx, func(now time.Time) { stands = seat.Decide(len(owner.shards), now) }) {
+	isCandidate := false
+	if !owner.eventLoop.Ask(ctx, func(now time.Time) { isCandidate = seat.Decide(len(owner.shards), now) }) {
 		return false
 	}
 	switch {
-	case stands && owner.session == nil:
+	case isCandidate && owner.session == nil:
 		owner.log(event.CandidacyBegun, slog.Bool("strong", owner.options.Strong))
 		owner.session = owner.beginMembership(ctx)
-	case !stands && owner.session != nil:
+	case !isCandidate && owner.session != nil:
 		owner.log(event.CandidacyEnded, slog.Bool("strong", owner.options.Strong))
-		err := owner.endMembership(ctx, "not a candidate any more")
+		err := owner.endMembership(ctx, "no longer a candidate")
 		if err != nil {
-			// The store takes a silent member out by itself.
+			// The store removes a silent member by itself.
 			owner.log(event.StoreLost, slog.Any("error", err))
 		}
 	}
 	return true
 }
 
+// beginMembership joins the group of owners and connects to all agents.
 func (owner *Owner) beginMembership(ctx context.Context) *membership {
 	owner.eventLoop.Ask(ctx, func(time.Time) { owner.agentsDropped = false })
-	begun := &membership{joinDone: make(chan struct{})}
-	begun.joinCtx, begun.cancelJoin = context.WithCancel(owner.ctx)
-	following, stopFollowing := context.WithCancel(owner.ctx)
-	begun.disconnectAgents = stopFollowing
+	started := &membership{joinDone: make(chan struct{})}
+	started.joinCtx, started.cancelJoin = context.WithCancel(owner.ctx)
+	agentsCtx, disconnectAgents := context.WithCancel(owner.ctx)
+	started.disconnectAgents = disconnectAgents
 	owner.leaveBeforeJoin.Store(true)
 	go func() {
-		defer close(begun.joinDone)
-		owner.maintainMembership(begun.joinCtx)
+		defer close(started.joinDone)
+		owner.maintainMembership(started.joinCtx)
 	}()
-	owner.followAgentRecords(following)
-	return begun
+	owner.followAgentRecords(agentsCtx)
+	return started
 }
 
-// endMembership gives all shards up, so that others take them at once, and leaves the agents.
+// endMembership releases all shards, so that other entries can take them at once, and closes the
+// connections to all agents.
 func (owner *Owner) endMembership(ctx context.Context, reason string) error {
 	ended := owner.session
 	owner.session = nil
-	// No join may reach the store after the leave: it would bring shards back
-	// to an entry that no longer schedules them.
+	// No join may reach the store after the leave. It would assign shards to an entry that no
+	// longer schedules them.
 	ended.cancelJoin()
 	<-ended.joinDone
-	// Once the loop of decisions has ended there is nothing left to give up.
+	// Once the event loop has ended there is nothing left to release.
 	owner.eventLoop.Ask(ctx, func(now time.Time) {
-		for _, held := range owner.shards {
-			owner.releaseShard(held, reason, now)
+		for _, s := range owner.shards {
+			owner.releaseShard(s, reason, now)
 		}
 	})
 	err := owner.leaveGroup(ctx, job.OwnersGroup, owner.MemberName())
@@ -208,21 +220,22 @@
 	return err
 }
 
-// Leave gives all shards up, so that others take them at once.
+// Leave ends the candidacy and releases all shards, so that other entries can take them at once.
 func (owner *Owner) Leave(ctx context.Context) error {
 	owner.stopCandidacy()
 	<-owner.candidacyDone
-	var left error
+	var membershipErr error
 	if owner.session != nil {
-		left = owner.endMembership(ctx, "the process stops")
+		membershipErr = owner.endMembership(ctx, "process is stopping")
 	}
 	err := owner.leaveGroup(ctx, job.SeatsGroup, owner.MemberName())
-	if left != nil {
-		return left
+	if membershipErr != nil {
+		return membershipErr
 	}
 	return err
 }
 
+// leaveGroup takes a member out of a group of the store.
 func (owner *Owner) leaveGroup(ctx context.Context, group, member string) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
