--- a/placement/placement.go
+++ b/placement/placement.go
@@ -232,8 +232,8 @@
 }
 
 const (
-	milli    = 1000
-	gibibyte = 1 << 30
+	millisPerCore = 1000
+	gibibyte      = 1 << 30
 )
 
 func taskInput(task *Task) policy.Task {
@@ -243,7 +243,7 @@
 		Kind:           task.Spec.GetKind(),
 		Class:          task.Class,
 		Priority:       float64(task.Spec.GetPriority()),
-		Processors:     float64(asked.MilliCPU) / milli,
+		Processors:     float64(asked.MilliCPU) / millisPerCore,
 		MemoryGiB:      float64(asked.MemoryBytes) / gibibyte,
 		Accelerators:   float64(asked.Accelerators),
 		RunTimeSeconds: time.Duration(task.Spec.GetRunTimeNanos()).Seconds(),
@@ -262,13 +262,13 @@
 		Name:             candidate.Name,
 		FailureDomain:    candidate.FailureDomain,
 		Rack:             candidate.Rack,
-		Processors:       float64(candidate.Capacity.MilliCPU) / milli,
+		Processors:       float64(candidate.Capacity.MilliCPU) / millisPerCore,
 		MemoryGiB:        float64(candidate.Capacity.MemoryBytes) / gibibyte,
 		Accelerators:     float64(candidate.Capacity.Accelerators),
-		FreeProcessors:   float64(free.MilliCPU) / milli,
+		FreeProcessors:   float64(free.MilliCPU) / millisPerCore,
 		FreeMemoryGiB:    float64(free.MemoryBytes) / gibibyte,
 		FreeAccelerators: float64(free.Accelerators),
-		UsedProcessors:   float64(candidate.UsedMilliCPU) / milli,
+		UsedProcessors:   float64(candidate.UsedMilliCPU) / millisPerCore,
 		Tasks:            float64(candidate.Tasks),
 		Load:             candidate.Load,
 		LatencySeconds:   candidate.Latency.Seconds(),
