--- a/owner/candidacy.go
+++ b/owner/candidacy.go
@@ -22,9 +22,9 @@
 	seatTimeout = 10 * time.Second
 )
 
-// membership is a period in which the entry is a candidate for owning shards: it is a member of the
+// ownerSession is a period in which the entry is a candidate for owning shards: it is a member of the
 // group of owners and connected to all agents.
-type membership struct {
+type ownerSession struct {
 	// joinCtx is cancelled to end the group membership, joinDone is closed once it has ended.
 	joinCtx    context.Context
 	cancelJoin context.CancelFunc
@@ -53,7 +53,7 @@
 			owner.logStoreRecovered(ctx, lostAt, requestedAt)
 			lostAt = time.Time{}
 		}
-		if !owner.updateMembership(ctx, seat) {
+		if !owner.updateSession(ctx, seat) {
 			return
 		}
 		// A new generation is acknowledged at once, so that the store can reassign what this
@@ -161,9 +161,9 @@
 	return assignment.Generation, nil
 }
 
-// updateMembership begins or ends the membership as the candidacy decides. It returns false once the
+// updateSession begins or ends the membership as the candidacy decides. It returns false once the
 // event loop has ended.
-func (owner *Owner) updateMembership(ctx context.Context, seat *candidacy.Candidacy) bool {
+func (owner *Owner) updateSession(ctx context.Context, seat *candidacy.Candidacy) bool {
 	isCandidate := false
 	if !owner.eventLoop.Ask(ctx, func(now time.Time) { isCandidate = seat.Decide(len(owner.shards), now) }) {
 		return false
@@ -171,10 +171,10 @@
 	switch {
 	case isCandidate && owner.session == nil:
 		owner.log(event.CandidacyBegun, slog.Bool("strong", owner.options.Strong))
-		owner.session = owner.beginMembership(ctx)
+		owner.session = owner.startSession(ctx)
 	case !isCandidate && owner.session != nil:
 		owner.log(event.CandidacyEnded, slog.Bool("strong", owner.options.Strong))
-		err := owner.endMembership(ctx, "no longer a candidate")
+		err := owner.endSession(ctx, "no longer a candidate")
 		if err != nil {
 			// The store removes a silent member by itself.
 			owner.log(event.StoreLost, slog.Any("error", err))
@@ -183,10 +183,10 @@
 	return true
 }
 
-// beginMembership joins the group of owners and connects to all agents.
-func (owner *Owner) beginMembership(ctx context.Context) *membership {
+// startSession joins the group of owners and connects to all agents.
+func (owner *Owner) startSession(ctx context.Context) *ownerSession {
 	owner.eventLoop.Ask(ctx, func(time.Time) { owner.agentsDropped = false })
-	started := &membership{joinDone: make(chan struct{})}
+	started := &ownerSession{joinDone: make(chan struct{})}
 	started.joinCtx, started.cancelJoin = context.WithCancel(owner.ctx)
 	agentsCtx, disconnectAgents := context.WithCancel(owner.ctx)
 	started.disconnectAgents = disconnectAgents
@@ -199,9 +199,9 @@
 	return started
 }
 
-// endMembership releases all shards, so that other entries can take them at once, and closes the
+// endSession releases all shards, so that other entries can take them at once, and closes the
 // connections to all agents.
-func (owner *Owner) endMembership(ctx context.Context, reason string) error {
+func (owner *Owner) endSession(ctx context.Context, reason string) error {
 	ended := owner.session
 	owner.session = nil
 	// No join may reach the store after the leave. It would assign shards to an entry that no
@@ -226,7 +226,7 @@
 	<-owner.candidacyDone
 	var membershipErr error
 	if owner.session != nil {
-		membershipErr = owner.endMembership(ctx, "process is stopping")
+		membershipErr = owner.endSession(ctx, "process is stopping")
 	}
 	err := owner.leaveGroup(ctx, job.SeatsGroup, owner.MemberName())
 	if membershipErr != nil {
--- a/owner/candidate.go
+++ b/owner/candidate.go
@@ -35,7 +35,7 @@
 	evacuated bool
 	// onProbation is set after repeated failures: the worker is given only one run at a time
 	// until a run succeeds. hasProbationRun is set while it has that run.
-	onProbation, hasTrialRun bool
+	onProbation, hasProbationRun bool
 	// hasSuspect is set if a task suspected of crashing workers has just been started on the
 	// worker: another one has to wait, so that a crash can be attributed to one of them.
 	hasSuspect bool
@@ -59,7 +59,7 @@
 		worker := newCandidate(view)
 		worker.evacuated = owner.isEvacuated(view)
 		worker.hasSuspect = now.Before(view.noSuspectsUntil)
-		worker.hasTrialRun = view.hasProbationRun(now)
+		worker.hasProbationRun = view.hasProbationRun(now)
 		workers = append(workers, worker)
 	}
 	return workers
@@ -87,7 +87,7 @@
 func (worker *candidate) recordStart(task *job.Task, demand *wire.Demand) {
 	worker.reserve(demand)
 	worker.hasSuspect = worker.hasSuspect || task.IsSuspect()
-	worker.hasTrialRun = true
+	worker.hasProbationRun = true
 }
 
 // reserve subtracts what a task needs from the free resources.
@@ -126,7 +126,7 @@
 		return obstacleSpread
 	case worker.hasSuspect && task.IsSuspect():
 		return obstacleSuspect
-	case worker.onProbation && worker.hasTrialRun:
+	case worker.onProbation && worker.hasProbationRun:
 		return obstacleProbation
 	}
 	return obstacleNone
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -106,7 +106,7 @@
 	candidacyDone chan struct{}
 	// session is nil while the entry does not offer itself as an owner. Only the candidacy changes it, and
 	// Leave once that has ended.
-	session *membership
+	session *ownerSession
 	// leaveBeforeJoin has the membership leave the group before it joins. A process that
 	// comes back before it was missed would else be dealt its shards under the
 	// epoch that it wrote with before, and a late append of its earlier life
