--- a/owner/candidacy.go
+++ b/owner/candidacy.go
@@ -33,8 +33,8 @@
 	disconnectAgents context.CancelFunc
 }
 
-// runCandidacy keeps the entry's seat and begins and ends its membership in the group of owners as the
-// candidacy decides, until ctx is done.
+// runCandidacy keeps the entry's seat and starts and ends sessions as the candidacy decides, until ctx
+// is done.
 func (owner *Owner) runCandidacy(ctx context.Context) {
 	defer close(owner.candidacyDone)
 	seat := candidacy.New(candidacy.Options{Self: entryOfMember(owner.MemberName()), Shards: owner.options.Shards})
@@ -161,8 +161,8 @@
 	return assignment.Generation, nil
 }
 
-// updateSession begins or ends the membership as the candidacy decides. It returns false once the
-// event loop has ended.
+// updateSession starts or ends a session as the candidacy decides. It returns false once the event loop
+// has ended.
 func (owner *Owner) updateSession(ctx context.Context, seat *candidacy.Candidacy) bool {
 	isCandidate := false
 	if !owner.eventLoop.Ask(ctx, func(now time.Time) { isCandidate = seat.Decide(len(owner.shards), now) }) {
@@ -186,28 +186,28 @@
 // startSession joins the group of owners and connects to all agents.
 func (owner *Owner) startSession(ctx context.Context) *ownerSession {
 	owner.eventLoop.Ask(ctx, func(time.Time) { owner.agentsDropped = false })
-	started := &ownerSession{joinDone: make(chan struct{})}
-	started.joinCtx, started.cancelJoin = context.WithCancel(owner.ctx)
+	session := &ownerSession{joinDone: make(chan struct{})}
+	session.joinCtx, session.cancelJoin = context.WithCancel(owner.ctx)
 	agentsCtx, disconnectAgents := context.WithCancel(owner.ctx)
-	started.disconnectAgents = disconnectAgents
+	session.disconnectAgents = disconnectAgents
 	owner.leaveBeforeJoin.Store(true)
 	go func() {
-		defer close(started.joinDone)
-		owner.maintainMembership(started.joinCtx)
+		defer close(session.joinDone)
+		owner.maintainMembership(session.joinCtx)
 	}()
 	owner.followAgentRecords(agentsCtx)
-	return started
+	return session
 }
 
 // endSession releases all shards, so that other entries can take them at once, and closes the
 // connections to all agents.
 func (owner *Owner) endSession(ctx context.Context, reason string) error {
-	ended := owner.session
+	session := owner.session
 	owner.session = nil
 	// No join may reach the store after the leave. It would assign shards to an entry that no
 	// longer schedules them.
-	ended.cancelJoin()
-	<-ended.joinDone
+	session.cancelJoin()
+	<-session.joinDone
 	// Once the event loop has ended there is nothing left to release.
 	owner.eventLoop.Ask(ctx, func(now time.Time) {
 		for _, s := range owner.shards {
@@ -215,7 +215,7 @@
 		}
 	})
 	err := owner.leaveGroup(ctx, job.OwnersGroup, owner.MemberName())
-	ended.disconnectAgents()
+	session.disconnectAgents()
 	owner.eventLoop.Ask(ctx, func(time.Time) { owner.dropAgents() })
 	return err
 }
