--- a/owner/harness_test.go
+++ b/owner/harness_test.go
@@ -25,8 +25,8 @@
 	workerID     = "i-1"
 )
 
-// harness is an owner whose decisions the test makes itself: it has taken the
-// job's shard, and one agent is attached.
+// harness is an owner whose event loop does not run: the test makes each step itself. The owner holds
+// the shard of the job jobID and knows one agent.
 type harness struct {
 	t               testing.TB
 	clock           *clockwork.FakeClock
@@ -37,6 +37,7 @@
 	handledSequence int64
 }
 
+// newOwner returns an owner over a fake store.
 func newOwner(t testing.TB, clock clockwork.Clock, store *wirestore.Store) *Owner {
 	server := httptest.NewServer(store)
 	t.Cleanup(func() {
@@ -49,23 +50,25 @@
 	})
 }
 
+// newHarness returns a harness whose shard is loaded and whose agent is not connected yet.
 func newHarness(t testing.TB) *harness {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	made := &harness{t: t, clock: clock, store: store, owner: newOwner(t, clock, store)}
+	h := &harness{t: t, clock: clock, store: store, owner: newOwner(t, clock, store)}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	made.owner.ctx = ctx
-	made.owner.lastJoinAt = clock.Now()
+	h.owner.ctx = ctx
+	h.owner.lastJoinAt = clock.Now()
 	number := job.ShardOf(jobID, 8)
-	made.shard = newShard(ctx, number, 3, clock.Now())
-	made.shard.loaded = true
-	made.owner.shards[number] = made.shard
-	made.agent = newAgentView(agentAddress)
-	made.owner.agents[agentAddress] = made.agent
-	return made
+	h.shard = newShard(ctx, number, 3, clock.Now())
+	h.shard.loaded = true
+	h.owner.shards[number] = h.shard
+	h.agent = newAgentView(agentAddress)
+	h.owner.agents[agentAddress] = h.agent
+	return h
 }
 
+// newSubmission returns a job with one step of one task.
 func newSubmission() *job.Submission {
 	return &job.Submission{
 		Id: jobID, Queue: "r-1", Service: "verbale", Attempts: 2, Extension: 2,
@@ -81,59 +84,63 @@
 	return platform.Record{Key: key, Value: value}
 }
 
-func (made *harness) readRecords(records ...platform.Record) {
-	made.owner.applyRecords(made.shard, platform.Tail{Records: records}, made.clock.Now())
+// readRecords has the owner read records of the shard.
+func (h *harness) readRecords(records ...platform.Record) {
+	h.owner.applyRecords(h.shard, platform.Tail{Records: records}, h.clock.Now())
 }
 
-// submit has the owner read the job.
-func (made *harness) submit() *job.Job {
-	return made.submitWith(func(*job.Submission) {})
+// submit has the owner read the submission of newSubmission.
+func (h *harness) submit() *job.Job {
+	return h.submitWith(func(*job.Submission) {})
 }
 
-// submitWith has the owner read the job with what the test changes of it.
-func (made *harness) submitWith(change func(handed *job.Submission)) *job.Job {
-	handed := newSubmission()
-	change(handed)
-	made.readRecords(newRecord(made.t, job.SubmissionKey(jobID), handed))
-	return made.shard.jobs[jobID]
+// submitWith does the same after changing the submission.
+func (h *harness) submitWith(change func(submission *job.Submission)) *job.Job {
+	submission := newSubmission()
+	change(submission)
+	h.readRecords(newRecord(h.t, job.SubmissionKey(jobID), submission))
+	return h.shard.jobs[jobID]
 }
 
-func (made *harness) attach() {
-	made.owner.handleConnected(made.agent, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
-	made.receive(&wire.AgentMessage{})
+// attach connects the agent and has it send its first message.
+func (h *harness) attach() {
+	h.owner.handleConnected(h.agent, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
+	h.receive(&wire.AgentMessage{})
 }
 
-// idleWorkerStatus is the status of a ready worker on which nothing runs.
+// idleWorkerStatus returns the status of a ready worker without runs.
 func idleWorkerStatus() *wire.WorkerStatus {
 	return &wire.WorkerStatus{
 		Worker: workerID, Service: "verbale", Ready: true, MilliCpu: 4000, MemoryMb: 4000, FreeMilliCpu: 4000, FreeMemoryMb: 4000,
 	}
 }
 
-// receive has the agent say something, with a worker that has room.
-func (made *harness) receive(message *wire.AgentMessage) {
+// receive has the owner handle a message from the agent. It adds the status of an idle worker if the
+// message has none.
+func (h *harness) receive(message *wire.AgentMessage) {
 	message.Agent = "agent"
 	if message.Status == nil {
 		message.Status = idleWorkerStatus()
 	}
-	message.Handled = made.handledSequence
-	made.owner.handleAgentMessage(made.agent, made.agent.conn, message, made.clock.Now())
+	message.Handled = h.handledSequence
+	h.owner.handleAgentMessage(h.agent, h.agent.conn, message, h.clock.Now())
 }
 
-// takeSent returns what has gone out to the agent, which then has handled it.
-func (made *harness) takeSent() []*wire.OwnerMessage {
+// takeSent returns the messages sent to the agent. The agent's next message acknowledges them.
+func (h *harness) takeSent() []*wire.OwnerMessage {
 	var messages []*wire.OwnerMessage
 	for {
 		select {
-		case message := <-made.agent.conn.outbox:
+		case message := <-h.agent.conn.outbox:
 			messages = append(messages, message)
-			made.handledSequence = message.GetSequence()
+			h.handledSequence = message.GetSequence()
 		default:
 			return messages
 		}
 	}
 }
 
+// startOrders returns all start orders in messages.
 func startOrders(messages []*wire.OwnerMessage) []*wire.StartOrder {
 	var orders []*wire.StartOrder
 	for _, message := range messages {
@@ -142,31 +149,31 @@
 	return orders
 }
 
-// awaitWrites waits until what is on its way to the store has come back.
-func (made *harness) awaitWrites() {
-	for made.shard.writing {
-		made.owner.eventLoop.RunOne(made.clock.Now())
+// awaitWrites waits until the shard's pending writes to the store have been answered.
+func (h *harness) awaitWrites() {
+	for h.shard.writing {
+		h.owner.eventLoop.RunOne(h.clock.Now())
 	}
 }
 
-// attachAndStart attaches the agent and has what waits started there: the orders
-// are out.
-func (made *harness) attachAndStart() {
-	made.attach()
-	made.step()
-	made.awaitWrites()
-	made.step()
-	made.takeSent()
+// attachAndStart connects the agent and places the waiting tasks on its worker. Their start orders have
+// been sent when it returns.
+func (h *harness) attachAndStart() {
+	h.attach()
+	h.step()
+	h.awaitWrites()
+	h.step()
+	h.takeSent()
 }
 
-// adoptRun submits the job and takes up its run, which an earlier owner started.
-func (made *harness) adoptRun(worker string) *job.Job {
-	of := made.submit()
-	of.StartRun(of.Tasks()[0], job.Place{Incarnation: incarnation.New(worker, 0), AgentAddress: agentAddress}, made.clock.Now())
-	made.owner.adoptRuns(made.shard, made.clock.Now())
-	return of
+// adoptRun submits the job and has the owner adopt its run, which an earlier owner started.
+func (h *harness) adoptRun(worker string) *job.Job {
+	j := h.submit()
+	j.StartRun(j.Tasks()[0], job.Place{Incarnation: incarnation.New(worker, 0), AgentAddress: agentAddress}, h.clock.Now())
+	h.owner.adoptRuns(h.shard, h.clock.Now())
+	return j
 }
 
-func (made *harness) step() {
-	made.owner.tick(made.clock.Now())
+func (h *harness) step() {
+	h.owner.tick(h.clock.Now())
 }
