--- a/owner/probation_test.go
+++ b/owner/probation_test.go
@@ -10,34 +10,35 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestProbationBesideLongRunningTask: a worker in doubt is tried also beside a task that lasts, which never ends and
-// so never shows that the worker does. While it is tried it is given nothing else.
+// TestProbationBesideLongRunningTask: a worker on probation is given one run at a time. A long-running
+// task on it never ends, so its end cannot show that the worker is healthy. Once it has been running
+// for as long as the probation it must not keep other tasks away.
 func TestProbationBesideLongRunningTask(t *testing.T) {
 	tests := map[string]struct {
-		lasts  bool
-		atWork time.Duration
-		want   bool
+		lasting bool
+		running time.Duration
+		want    bool
 	}{
-		"a task that lasts, at work":        {true, 2 * probationDuration, true},
-		"a task that lasts, just begun":     {true, probationDuration / 2, false},
-		"a task that shows it when it ends": {false, 2 * probationDuration, false},
+		"a long-running task, running for long": {true, 2 * probationDuration, true},
+		"a long-running task, just started":     {true, probationDuration / 2, false},
+		"a task that ends":                      {false, 2 * probationDuration, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			made.submitWith(func(handed *job.Submission) { handed.Steps[0].Lasting = test.lasts })
-			made.attachAndStart()
-			made.receive(&wire.AgentMessage{Complete: true, Runs: firstRunListed()})
-			made.clock.Advance(test.atWork)
-			made.owner.lastJoinAt = made.clock.Now()
-			made.receive(&wire.AgentMessage{Complete: true, Runs: firstRunListed()})
-			made.agent.consecutiveFailures, made.agent.avoidUntil = failuresBeforeProbation, time.Time{}
-			handed := newSubmission()
-			handed.Id, handed.Steps[0].Count = otherJobInShard(), 3
-			made.readRecords(newRecord(t, job.SubmissionKey(handed.Id), handed))
-			made.step()
+			h := newHarness(t)
+			h.submitWith(func(submission *job.Submission) { submission.Steps[0].Lasting = test.lasting })
+			h.attachAndStart()
+			h.receive(&wire.AgentMessage{Complete: true, Runs: firstRunListed()})
+			h.clock.Advance(test.running)
+			h.owner.lastJoinAt = h.clock.Now()
+			h.receive(&wire.AgentMessage{Complete: true, Runs: firstRunListed()})
+			h.agent.consecutiveFailures, h.agent.avoidUntil = failuresBeforeProbation, time.Time{}
+			submission := newSubmission()
+			submission.Id, submission.Steps[0].Count = otherJobInShard(), 3
+			h.readRecords(newRecord(t, job.SubmissionKey(submission.Id), submission))
+			h.step()
 			placed := 0
-			for _, task := range made.shard.jobs[handed.Id].Tasks() {
+			for _, task := range h.shard.jobs[submission.Id].Tasks() {
 				if task.State() == job.TaskState_TASK_STARTED {
 					placed++
 				}
@@ -49,7 +50,7 @@
 	}
 }
 
-// otherJobInShard names another job of the same shard.
+// otherJobInShard returns the ID of another job in the shard of jobID.
 func otherJobInShard() string {
 	for id := []byte(jobID); ; id[0]++ {
 		if string(id) != jobID && job.ShardOf(string(id), 8) == job.ShardOf(jobID, 8) {
@@ -58,28 +59,28 @@
 	}
 }
 
-// TestTicketsExpireSeparately: that of an earlier answer ends before that of a later one. It would be refused, and with
-// it all tickets of the step would be forgotten.
+// TestTicketsExpireSeparately: the ticket from an earlier answer expires before that from a later one.
+// If it were still used, the worker would refuse it, and all tickets of the step would be dropped.
 func TestTicketsExpireSeparately(t *testing.T) {
-	made := newHarness(t)
-	of := made.submitWith(func(handed *job.Submission) { handed.Advice = adviceTiming() })
-	made.attach()
-	task, name := of.Tasks()[0], stepName(of.Tasks()[0])
-	known := &stepAdvice{timing: adviceTiming(), service: "verbale"}
-	made.owner.advice.steps[name] = known
+	h := newHarness(t)
+	j := h.submitWith(func(submission *job.Submission) { submission.Advice = adviceTiming() })
+	h.attach()
+	task, name := j.Tasks()[0], stepName(j.Tasks()[0])
+	step := &stepAdvice{timing: adviceTiming(), service: "verbale"}
+	h.owner.advice.steps[name] = step
 	answer := func(id string) {
-		made.owner.handleAdvice(name, known, []incarnation.ID{incarnation.New(id, 0)},
-			platform.Advice{Tickets: map[string]string{id: "t-" + id}, Valid: 3 * time.Second}, nil, made.clock.Now())
+		h.owner.handleAdvice(name, step, []incarnation.ID{incarnation.New(id, 0)},
+			platform.Advice{Tickets: map[string]string{id: "t-" + id}, Valid: 3 * time.Second}, nil, h.clock.Now())
 	}
 	answer(workerID)
-	made.clock.Advance(2 * time.Second)
+	h.clock.Advance(2 * time.Second)
 	answer("i-2")
-	made.clock.Advance(1500 * time.Millisecond)
-	now := made.clock.Now()
-	if _, good := made.owner.ticketFor(task, incarnation.New(workerID, 0), now); good {
-		t.Error("the earlier ticket is taken to hold")
+	h.clock.Advance(1500 * time.Millisecond)
+	now := h.clock.Now()
+	if _, valid := h.owner.ticketFor(task, incarnation.New(workerID, 0), now); valid {
+		t.Error("the earlier ticket is still used after it has expired")
 	}
-	if _, good := made.owner.ticketFor(task, incarnation.New("i-2", 0), now); !good {
-		t.Error("the later ticket is taken to have ended")
+	if _, valid := h.owner.ticketFor(task, incarnation.New("i-2", 0), now); !valid {
+		t.Error("the later ticket is not used although it is valid")
 	}
 }
