--- a/owner/evacuated_test.go
+++ b/owner/evacuated_test.go
@@ -9,140 +9,141 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
+// evacuatedDomain is the failure domain that the tests evacuate.
 const evacuatedDomain = "milano-a"
 
-// evacuatedDomainStatus is the status of an empty worker in the failure domain that the tests evacuate.
+// evacuatedDomainStatus returns the status of an idle worker in evacuatedDomain.
 func evacuatedDomainStatus() *wire.WorkerStatus {
 	status := idleWorkerStatus()
 	status.FailureDomain, status.ToleratedMilliCpu = evacuatedDomain, status.GetMilliCpu()
 	return status
 }
 
-// evacuate has the owner read now that domains are evacuated.
-func (made *harness) evacuate(version int64, domains ...string) {
-	made.owner.applyEvacuations(operator.NewEvacuations(version, domains), made.clock.Now())
+// evacuate has the owner read that domains are evacuated as of now.
+func (h *harness) evacuate(version int64, domains ...string) {
+	h.owner.applyEvacuations(operator.NewEvacuations(version, domains), h.clock.Now())
 }
 
-// collectStarts lets time pass as long as starts could go out, and returns them.
-func (made *harness) collectStarts() []*wire.StartOrder {
-	var found []*wire.StartOrder
+// collectStarts runs the owner for long enough to send start orders, and returns those it sent.
+func (h *harness) collectStarts() []*wire.StartOrder {
+	var orders []*wire.StartOrder
 	for range 4 {
-		made.step()
-		made.awaitWrites()
-		found = append(found, startOrders(made.takeSent())...)
-		made.clock.Advance(100 * time.Millisecond)
-		made.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
+		h.step()
+		h.awaitWrites()
+		orders = append(orders, startOrders(h.takeSent())...)
+		h.clock.Advance(100 * time.Millisecond)
+		h.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
 	}
-	return found
+	return orders
 }
 
-// TestNothingStartsInEvacuatedDomain: whatever kind of task waits, none is ordered to an
-// evacuated failure domain, nothing is stopped to make room there, and all are ordered
-// once it is given back.
+// TestNothingStartsInEvacuatedDomain: no kind of task is started in an evacuated failure domain, and all
+// are started once the domain is given back.
 func TestNothingStartsInEvacuatedDomain(t *testing.T) {
-	tests := map[string]func(handed *job.Submission){
+	tests := map[string]func(submission *job.Submission){
 		"a task":               func(*job.Submission) {},
-		"a gang":               func(handed *job.Submission) { handed.Steps[0].Gang, handed.Steps[0].Count = true, 2 },
-		"a task that lasts":    func(handed *job.Submission) { handed.Steps[0].Lasting = true },
-		"a task that fills":    func(handed *job.Submission) { handed.Steps[0].Fills = true },
-		"a task that serves":   func(handed *job.Submission) { handed.Steps[0].Lasting, handed.Steps[0].TargetMs = true, 20 },
-		"a task near its data": func(handed *job.Submission) { handed.Steps[0].Affinity = "r-1" },
+		"a gang":               func(submission *job.Submission) { submission.Steps[0].Gang, submission.Steps[0].Count = true, 2 },
+		"a long-running task":  func(submission *job.Submission) { submission.Steps[0].Lasting = true },
+		"a fill task":          func(submission *job.Submission) { submission.Steps[0].Fills = true },
+		"a serving task":       func(submission *job.Submission) { submission.Steps[0].Lasting, submission.Steps[0].TargetMs = true, 20 },
+		"a task near its data": func(submission *job.Submission) { submission.Steps[0].Affinity = "r-1" },
 	}
 	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			of := made.submitWith(change)
-			made.attach()
-			made.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
-			made.evacuate(1, evacuatedDomain)
-			if orders := made.collectStarts(); len(orders) != 0 {
-				t.Errorf("ordered %v", orders)
+			h := newHarness(t)
+			j := h.submitWith(change)
+			h.attach()
+			h.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
+			h.evacuate(1, evacuatedDomain)
+			if orders := h.collectStarts(); len(orders) != 0 {
+				t.Errorf("started %v", orders)
 			}
-			if waited, obstacle := of.Tasks()[0].UnplacedFor(made.clock.Now()); waited == 0 || obstacle != string(obstacleEvacuation) {
-				t.Errorf("waits %v for %q", waited, obstacle)
+			if unplacedFor, obstacle := j.Tasks()[0].UnplacedFor(h.clock.Now()); unplacedFor == 0 || obstacle != string(obstacleEvacuation) {
+				t.Errorf("unplaced for %v, obstacle %q", unplacedFor, obstacle)
 			}
-			made.evacuate(2)
-			if orders := made.collectStarts(); len(orders) != len(of.Tasks()) {
-				t.Errorf("given back: ordered %v", orders)
+			h.evacuate(2)
+			if orders := h.collectStarts(); len(orders) != len(j.Tasks()) {
+				t.Errorf("started after the domain was given back: %v", orders)
 			}
 		})
 	}
 }
 
-// TestPlacementBeforeEvacuationIsReleased: a start that is on its way to the store when the evacuation
-// is read does not go out, and its task waits for another place.
+// TestPlacementBeforeEvacuationIsReleased: if the evacuation is read while a start is being stored, the
+// start order is not sent and the task waits for another worker.
 func TestPlacementBeforeEvacuationIsReleased(t *testing.T) {
-	made := newHarness(t)
-	of := made.submit()
-	made.attach()
-	made.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
-	made.step()
-	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
-		t.Fatal("not placed")
+	h := newHarness(t)
+	j := h.submit()
+	h.attach()
+	h.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
+	h.step()
+	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
+		t.Fatal("the task was not placed")
 	}
-	made.evacuate(1, evacuatedDomain)
-	if orders := made.collectStarts(); len(orders) != 0 {
+	h.evacuate(1, evacuatedDomain)
+	if orders := h.collectStarts(); len(orders) != 0 {
 		t.Errorf("ordered %v", orders)
 	}
-	if got := of.Tasks()[0].State(); got != job.TaskState_TASK_WAITING {
+	if got := j.Tasks()[0].State(); got != job.TaskState_TASK_WAITING {
 		t.Errorf("the task is %v", got)
 	}
 }
 
-// TestNoPreemptionInEvacuatedDomain: no run is stopped for a task that could not take its
-// place.
+// TestNoPreemptionInEvacuatedDomain: no run in an evacuated domain is stopped to free resources, because
+// the task could not start there.
 func TestNoPreemptionInEvacuatedDomain(t *testing.T) {
-	made := newHarness(t)
-	made.submit()
-	made.attach()
-	full := evacuatedDomainStatus()
-	full.FreeMilliCpu = 0
-	full.Reclaimable = []*wire.Reclaimable{{Priority: 2, MilliCpu: 4000, MemoryMb: 4000}}
-	made.evacuate(1, evacuatedDomain)
-	made.receive(&wire.AgentMessage{Status: full})
-	made.step()
-	for _, message := range made.takeSent() {
+	h := newHarness(t)
+	h.submit()
+	h.attach()
+	occupied := evacuatedDomainStatus()
+	occupied.FreeMilliCpu = 0
+	occupied.Reclaimable = []*wire.Reclaimable{{Priority: 2, MilliCpu: 4000, MemoryMb: 4000}}
+	h.evacuate(1, evacuatedDomain)
+	h.receive(&wire.AgentMessage{Status: occupied})
+	h.step()
+	for _, message := range h.takeSent() {
 		if len(message.GetPreempts()) > 0 {
-			t.Errorf("asked to make room: %v", message.GetPreempts())
+			t.Errorf("preemption ordered: %v", message.GetPreempts())
 		}
 	}
 }
 
-// TestEvacuationsAreSentToAgents: each message with a start says as of when evacuations are known,
-// no later on the agent's clock than they were read; a change is told at once.
+// TestEvacuationsAreSentToAgents: each message with a start order has the evacuations and the time as of
+// which they are known. On the agent's clock that is not later than when they were read. A change is
+// sent at once.
 func TestEvacuationsAreSentToAgents(t *testing.T) {
 	const uptime = 20 * time.Second
-	made := newHarness(t)
-	made.submit()
-	made.attach()
-	made.evacuate(1)
-	made.clock.Advance(2 * time.Second)
-	made.receive(&wire.AgentMessage{UptimeNanos: int64(uptime), Status: evacuatedDomainStatus()})
-	made.step()
-	made.awaitWrites()
-	made.step()
-	told := 0
-	for _, message := range made.takeSent() {
+	h := newHarness(t)
+	h.submit()
+	h.attach()
+	h.evacuate(1)
+	h.clock.Advance(2 * time.Second)
+	h.receive(&wire.AgentMessage{UptimeNanos: int64(uptime), Status: evacuatedDomainStatus()})
+	h.step()
+	h.awaitWrites()
+	h.step()
+	sent := 0
+	for _, message := range h.takeSent() {
 		if len(message.GetStarts()) == 0 {
 			continue
 		}
-		told++
+		sent++
 		asOf := time.Duration(message.GetEvacuations().GetAsOfNanos())
 		if message.GetEvacuations().GetVersion() != 1 || asOf > uptime-2*time.Second || asOf < uptime-2200*time.Millisecond {
-			t.Errorf("told %v", message.GetEvacuations())
+			t.Errorf("sent %v", message.GetEvacuations())
 		}
 	}
-	if told != 1 {
-		t.Fatalf("%d messages with starts", told)
+	if sent != 1 {
+		t.Fatalf("%d messages with starts", sent)
 	}
-	made.evacuate(5, "bergamo")
-	made.step()
-	messages := made.takeSent()
+	h.evacuate(5, "bergamo")
+	h.step()
+	messages := h.takeSent()
 	if len(messages) != 1 || len(messages[0].GetEvacuations().GetFailureDomains()) != 1 {
 		t.Errorf("after a change: %v", messages)
 	}
-	made.step()
-	if again := made.takeSent(); len(again) != 0 {
-		t.Errorf("told again: %v", again)
+	h.step()
+	if again := h.takeSent(); len(again) != 0 {
+		t.Errorf("sent again: %v", again)
 	}
 }
--- a/owner/gang_test.go
+++ b/owner/gang_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestGangStartsAllOrNone: members that wait for others hold room for
-// nothing.
+// TestGangStartsAllOrNone: members that started without the others would reserve resources without doing
+// any work.
 func TestGangStartsAllOrNone(t *testing.T) {
 	tests := map[string]struct {
 		free int64
@@ -19,16 +19,16 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			made.submitWith(func(handed *job.Submission) {
-				handed.Steps = []*job.StepSpec{{Count: 3, MilliCpu: 1000, MemoryMb: 10, EstimateMs: 1000, Gang: true}}
+			h := newHarness(t)
+			h.submitWith(func(submission *job.Submission) {
+				submission.Steps = []*job.StepSpec{{Count: 3, MilliCpu: 1000, MemoryMb: 10, EstimateMs: 1000, Gang: true}}
 			})
-			made.attach()
-			made.receive(&wire.AgentMessage{Status: &wire.WorkerStatus{
+			h.attach()
+			h.receive(&wire.AgentMessage{Status: &wire.WorkerStatus{
 				Worker: workerID, Service: "verbale", Ready: true, FreeMilliCpu: test.free, FreeMemoryMb: 4000,
 			}})
-			made.step()
-			if got := len(made.agent.runs); got != test.want {
+			h.step()
+			if got := len(h.agent.runs); got != test.want {
 				t.Errorf("%d members started", got)
 			}
 		})
--- a/owner/preempt_test.go
+++ b/owner/preempt_test.go
@@ -8,67 +8,67 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestPreemptsForMoreUrgentTasks: the agent is asked to make room only for a task that
-// holds room itself, where less urgent runs hold enough, and not again at once.
+// TestPreemptsForMoreUrgentTasks: a preemption is ordered only if runs of lower priority hold enough
+// resources for the task, only for a task that reserves resources itself, and not repeated at once.
 func TestPreemptsForMoreUrgentTasks(t *testing.T) {
 	tests := map[string]struct {
 		change      func(step *job.StepSpec)
 		reclaimable *wire.Reclaimable
-		asks        int
+		orders      int
 	}{
-		"less urgent runs hold enough": {func(*job.StepSpec) {}, &wire.Reclaimable{Priority: 2, MemoryMb: 500}, 1},
-		"they hold too little":         {func(*job.StepSpec) {}, &wire.Reclaimable{Priority: 2, MemoryMb: 50}, 0},
-		"they are as urgent":           {func(*job.StepSpec) {}, &wire.Reclaimable{Priority: 0, MemoryMb: 500}, 0},
-		"a task that fills waits":      {func(step *job.StepSpec) { step.Fills = true }, &wire.Reclaimable{Priority: 2, MemoryMb: 500}, 0},
-		"the label is missing":         {func(step *job.StepSpec) { step.Label = "b" }, &wire.Reclaimable{Priority: 2, MemoryMb: 500}, 0},
+		"runs of lower priority hold enough": {func(*job.StepSpec) {}, &wire.Reclaimable{Priority: 2, MemoryMb: 500}, 1},
+		"they hold too little":               {func(*job.StepSpec) {}, &wire.Reclaimable{Priority: 2, MemoryMb: 50}, 0},
+		"they have the same priority":        {func(*job.StepSpec) {}, &wire.Reclaimable{Priority: 0, MemoryMb: 500}, 0},
+		"a fill task waits":                  {func(step *job.StepSpec) { step.Fills = true }, &wire.Reclaimable{Priority: 2, MemoryMb: 500}, 0},
+		"the label is missing":               {func(step *job.StepSpec) { step.Label = "b" }, &wire.Reclaimable{Priority: 2, MemoryMb: 500}, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			made.submitWith(func(handed *job.Submission) { test.change(handed.Steps[0]) })
-			made.attach()
+			h := newHarness(t)
+			h.submitWith(func(submission *job.Submission) { test.change(submission.Steps[0]) })
+			h.attach()
 			status := idleWorkerStatus()
 			status.FreeMemoryMb = 20
 			status.Reclaimable = []*wire.Reclaimable{test.reclaimable}
 			for range 4 {
-				made.owner.lastJoinAt = made.clock.Now()
-				made.receive(&wire.AgentMessage{Status: status})
-				made.step()
-				made.clock.Advance(100 * time.Millisecond)
+				h.owner.lastJoinAt = h.clock.Now()
+				h.receive(&wire.AgentMessage{Status: status})
+				h.step()
+				h.clock.Advance(100 * time.Millisecond)
 			}
-			asks := 0
-			for _, message := range made.takeSent() {
-				asks += len(message.GetPreempts())
+			orders := 0
+			for _, message := range h.takeSent() {
+				orders += len(message.GetPreempts())
 			}
-			if asks != test.asks {
-				t.Errorf("asked %d times", asks)
+			if orders != test.orders {
+				t.Errorf("%d preemptions ordered", orders)
 			}
 		})
 	}
 }
 
-// TestNoPreemptionWhenRoomIsNotTheObstacle: nothing is asked for where the task fits already, or
-// waits for a ticket.
-func TestNoPreemptionWhenRoomIsNotTheObstacle(t *testing.T) {
+// TestNoPreemptionWithoutShortage: no preemption is ordered on a worker where the task fits
+// already or lacks a ticket.
+func TestNoPreemptionWithoutShortage(t *testing.T) {
 	tests := map[string]struct {
-		change func(handed *job.Submission)
+		change func(submission *job.Submission)
 		free   int64
 	}{
-		"it fits, the worker is avoided": {func(*job.Submission) {}, 4000},
-		"it waits for a ticket":          {func(handed *job.Submission) { handed.Advice = adviceTiming() }, 20},
+		"it fits":           {func(*job.Submission) {}, 4000},
+		"it lacks a ticket": {func(submission *job.Submission) { submission.Advice = adviceTiming() }, 20},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			of := made.submitWith(test.change)
-			made.attach()
+			h := newHarness(t)
+			j := h.submitWith(test.change)
+			h.attach()
 			status := idleWorkerStatus()
 			status.FreeMemoryMb = test.free
 			status.Reclaimable = []*wire.Reclaimable{{Priority: 2, MemoryMb: 500}}
-			made.receive(&wire.AgentMessage{Status: status})
-			now := made.clock.Now()
-			if worker := made.owner.preemptionTarget(of.Tasks()[0], made.owner.candidates(made.owner.agentViews(), now), now); worker != nil {
-				t.Error("a worker is asked to make room")
+			h.receive(&wire.AgentMessage{Status: status})
+			now := h.clock.Now()
+			if worker := h.owner.preemptionTarget(j.Tasks()[0], h.owner.candidates(h.owner.agentViews(), now), now); worker != nil {
+				t.Error("a worker was chosen for preemption")
 			}
 		})
 	}
