--- a/owner/place.go
+++ b/owner/place.go
@@ -161,7 +161,7 @@
 // spreads tasks and attempts over them by hash. Without such a worker it prefers the one with the most
 // free processors. A worker's status is a fraction of a second old, and other owners take resources
 // that just suffice, so a refused task tends to be refused again on the worker where it fits best.
-// Without this rule such a task lost that race for up to 3.6 s in TestRefusedTaskFindsRoom, while
+// Without this rule such a task lost that race for up to 3.6 s in TestRefusedTaskIsPlacedElsewhere, while
 // another worker had twice the resources it needed.
 func isBetterAfterRefusals(task *job.Task, a, b *candidate) bool {
 	roomyA, roomyB := a.fitsTwice(task), b.fitsTwice(task)
--- a/owner/place_test.go
+++ b/owner/place_test.go
@@ -8,60 +8,59 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestWaitingTaskIsPlacedWithoutEvent: the case that forced it is a lasting
-// task that failed when nothing else went on; it was looked at just before its
-// pause was over, and not again.
+// TestWaitingTaskIsPlacedWithoutEvent: a task is placed once its backoff after a failure is over, even if
+// nothing else happens. It guards against passes that only follow events: a long-running task was
+// considered just before its backoff ended, and then not again.
 func TestWaitingTaskIsPlacedWithoutEvent(t *testing.T) {
-	made := newHarness(t)
-	of := made.submitWith(func(handed *job.Submission) { handed.Steps[0].Lasting = true })
-	made.attachAndStart()
-	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_FAILED}}})
+	h := newHarness(t)
+	j := h.submitWith(func(submission *job.Submission) { submission.Steps[0].Lasting = true })
+	h.attachAndStart()
+	h.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_FAILED}}})
 	for range 8 {
-		made.step()
-		made.awaitWrites()
-		made.clock.Advance(95 * time.Millisecond)
-		made.owner.lastJoinAt = made.clock.Now()
-		made.agent.lastMessageAt = made.clock.Now()
+		h.step()
+		h.awaitWrites()
+		h.clock.Advance(95 * time.Millisecond)
+		h.owner.lastJoinAt = h.clock.Now()
+		h.agent.lastMessageAt = h.clock.Now()
 	}
-	if got := of.Tasks()[0].Attempt(); got != 2 {
-		t.Errorf("after 0.8 s it is at attempt %d", got)
+	if got := j.Tasks()[0].Attempt(); got != 2 {
+		t.Errorf("after 0.8 s the task is at attempt %d", got)
 	}
 }
 
-// TestFillTaskPlacementIsBounded: the case that forced it is a late job whose only task
-// found no worker that bore it, and stood still although the workers were free.
+// TestFillTaskPlacementIsBounded: a fill task does not wait forever for a worker that tolerates it. It
+// guards against a late job whose only task stays unplaced although the workers are free.
 func TestFillTaskPlacementIsBounded(t *testing.T) {
-	made := newHarness(t)
-	made.submitWith(func(handed *job.Submission) { handed.Steps[0].Fills, handed.Steps[0].Image = true, "loud" })
-	made.attach()
+	h := newHarness(t)
+	h.submitWith(func(submission *job.Submission) { submission.Steps[0].Fills, submission.Steps[0].Image = true, "loud" })
+	h.attach()
 	status := idleWorkerStatus()
 	status.Tolerances = []*wire.Tolerance{{Image: "loud", MilliCpu: 0}}
-	hear := func() {
-		made.owner.lastJoinAt = made.clock.Now()
-		made.receive(&wire.AgentMessage{Status: status})
-		made.step()
+	receive := func() {
+		h.owner.lastJoinAt = h.clock.Now()
+		h.receive(&wire.AgentMessage{Status: status})
+		h.step()
 	}
-	hear()
-	if len(made.agent.runs) != 0 {
-		t.Fatal("placed at once where it is not borne")
+	receive()
+	if len(h.agent.runs) != 0 {
+		t.Fatal("the task was placed at once although the worker does not tolerate it")
 	}
 	for range 4 {
-		made.clock.Advance(500 * time.Millisecond)
-		hear()
+		h.clock.Advance(500 * time.Millisecond)
+		receive()
 	}
-	if len(made.agent.runs) != 1 {
-		t.Error("still waits after 2 s")
+	if len(h.agent.runs) != 1 {
+		t.Error("the task still waits after 2 s")
 	}
 }
 
-// TestRefusedStartsLeaveTheJobPending: the job of a start that was refused has
-// not begun.
+// TestRefusedStartsLeaveTheJobPending: a job is queued until a run starts; a refused start does not count.
 func TestRefusedStartsLeaveTheJobPending(t *testing.T) {
-	made := newHarness(t)
-	of := made.submit()
-	made.attachAndStart()
-	made.receive(&wire.AgentMessage{Results: []*wire.StartResult{{Task: firstTask, Attempt: 1, Worker: workerID, Outcome: wire.StartOutcome_START_NO_ROOM}}})
-	if of.State() != job.State_STATE_QUEUED || of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
-		t.Errorf("job %v, task %v", of.State(), of.Tasks()[0].State())
+	h := newHarness(t)
+	j := h.submit()
+	h.attachAndStart()
+	h.receive(&wire.AgentMessage{Results: []*wire.StartResult{{Task: firstTask, Attempt: 1, Worker: workerID, Outcome: wire.StartOutcome_START_NO_ROOM}}})
+	if j.State() != job.State_STATE_QUEUED || j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
+		t.Errorf("job %v, task %v", j.State(), j.Tasks()[0].State())
 	}
 }
--- a/owner/placement_changes_test.go
+++ b/owner/placement_changes_test.go
@@ -8,35 +8,37 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// examinedAfter counts the workers that are looked at, for each job once, after something has changed.
-func examinedAfter(made *harness, change func()) int64 {
+// examinedAfter returns how many workers a placement pass examines after a change, summed over all jobs.
+func examinedAfter(h *harness, change func()) int64 {
 	change()
-	before := made.owner.workersExamined
-	made.owner.placeJobs(made.owner.placementChanges.take(made.clock.Now()), made.clock.Now())
-	return made.owner.workersExamined - before
+	before := h.owner.workersExamined
+	h.owner.placeJobs(h.owner.placementChanges.take(h.clock.Now()), h.clock.Now())
+	return h.owner.workersExamined - before
 }
 
-// TestPlacementCostFollowsChanges counts the work of a look for places on a fleet whose workers are full, and on one of twice
-// the size. The case that forced it: each change of any worker's room had all waiting jobs looked at on all workers.
+// TestPlacementCostFollowsChanges: the cost of a placement pass depends on what has changed, not on the
+// size of the fleet. It guards against examining all workers for all waiting jobs whenever the free
+// resources of any worker change. All workers are full; the test runs with a fleet and one twice as
+// large.
 func TestPlacementCostFollowsChanges(t *testing.T) {
 	const jobs = 10
 	tests := map[string]struct {
-		change func(made *harness)
-		// looks is what a look may cost on so many workers.
-		looks func(workers int64) int64
+		change func(h *harness)
+		// examined returns how many workers are to be examined, of so many.
+		examined func(workers int64) int64
 	}{
-		"the room of one worker has grown": {
-			func(made *harness) { made.owner.placementChanges.addWorker(made.owner.agents["10.0.1.7:7001"]) },
+		"one worker has more free resources": {
+			func(h *harness) { h.owner.placementChanges.addWorker(h.owner.agents["10.0.1.7:7001"]) },
 			func(int64) int64 { return jobs },
 		},
-		"a job has come": {
-			func(made *harness) {
-				made.owner.placementChanges.addJob(made.shard.jobs[jobIDInShard(made.shard.number, 3)])
+		"a job has been submitted": {
+			func(h *harness) {
+				h.owner.placementChanges.addJob(h.shard.jobs[jobIDInShard(h.shard.number, 3)])
 			},
 			func(workers int64) int64 { return workers },
 		},
-		"all has to be looked at": {
-			func(made *harness) { made.owner.placementChanges.addAll() },
+		"a full pass is requested": {
+			func(h *harness) { h.owner.placementChanges.addAll() },
 			func(workers int64) int64 { return jobs * workers },
 		},
 		"nothing": {func(*harness) {}, func(int64) int64 { return 0 }},
@@ -44,38 +46,38 @@
 	for name, test := range tests {
 		for _, workers := range []int{50, 100} {
 			t.Run(fmt.Sprint(name, " of ", workers), func(t *testing.T) {
-				made := newHarness(t)
-				delete(made.owner.agents, agentAddress)
-				addFullWorkers(made, workers, jobs)
-				examinedAfter(made, made.owner.placementChanges.addAll)
-				got := examinedAfter(made, func() { test.change(made) })
-				if want := test.looks(int64(workers)); got != want {
-					t.Errorf("%d looks, want %d", got, want)
+				h := newHarness(t)
+				delete(h.owner.agents, agentAddress)
+				addFullWorkers(h, workers, jobs)
+				examinedAfter(h, h.owner.placementChanges.addAll)
+				got := examinedAfter(h, func() { test.change(h) })
+				if want := test.examined(int64(workers)); got != want {
+					t.Errorf("%d workers examined, want %d", got, want)
 				}
 			})
 		}
 	}
 }
 
-// TestFreedRoomIsUsedAtOnce: a task that found no place is started with the agent's word that there is room, by a look that
-// goes over no other worker.
-func TestFreedRoomIsUsedAtOnce(t *testing.T) {
-	made := newHarness(t)
-	addFullWorkers(made, 20, 2)
-	examinedAfter(made, made.owner.placementChanges.addAll)
-	view := made.owner.agents["10.0.1.7:7001"]
-	examinedAfter(made, func() {
-		grown := &wire.AgentMessage{Status: &wire.WorkerStatus{
+// TestFreedResourcesAreUsedAtOnce: a task that could not be placed is placed when an agent reports enough free
+// resources, by a pass that examines no other worker.
+func TestFreedResourcesAreUsedAtOnce(t *testing.T) {
+	h := newHarness(t)
+	addFullWorkers(h, 20, 2)
+	examinedAfter(h, h.owner.placementChanges.addAll)
+	view := h.owner.agents["10.0.1.7:7001"]
+	examinedAfter(h, func() {
+		message := &wire.AgentMessage{Status: &wire.WorkerStatus{
 			Worker: "7", Service: "verbale", Ready: true, MilliCpu: 32_000, FreeMilliCpu: 9000, MemoryMb: 1000, FreeMemoryMb: 1000,
 		}}
-		made.owner.handleAgentMessage(view, view.conn, grown, made.clock.Now())
+		h.owner.handleAgentMessage(view, view.conn, message, h.clock.Now())
 	})
 	if len(view.runs) != 1 {
-		t.Errorf("%d runs were placed where there is room for one", len(view.runs))
+		t.Errorf("%d runs were placed on a worker with resources for one", len(view.runs))
 	}
-	for _, entry := range view.runs {
-		if entry.task.State() != job.TaskState_TASK_STARTED {
-			t.Errorf("its state is %v", entry.task.State())
+	for _, run := range view.runs {
+		if run.task.State() != job.TaskState_TASK_STARTED {
+			t.Errorf("the state of the task is %v", run.task.State())
 		}
 	}
 }
