--- a/owner/stall_test.go
+++ b/owner/stall_test.go
@@ -8,31 +8,31 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestStalledRunIsStopped: a run without progress is stopped, one with progress
-// or at full work is not.
+// TestStalledRunIsStopped: a run without progress is stopped. A run with progress, or a long-running task
+// that works normally, is not.
 func TestStalledRunIsStopped(t *testing.T) {
 	tests := map[string]struct {
 		lasting  bool
 		percents []int32
 		stops    int
 	}{
-		"progress":                         {false, []int32{1, 10, 20, 30, 40, 50}, 0},
-		"none":                             {false, []int32{10, 10, 10, 10, 10, 10}, 1},
-		"a lasting task at full work":      {true, []int32{100, 100, 100, 100, 100, 100}, 0},
-		"a lasting task that never begins": {true, []int32{0, 0, 0, 0, 0, 0}, 1},
+		"progress":    {false, []int32{1, 10, 20, 30, 40, 50}, 0},
+		"no progress": {false, []int32{10, 10, 10, 10, 10, 10}, 1},
+		"a long-running task that works normally":       {true, []int32{100, 100, 100, 100, 100, 100}, 0},
+		"a long-running task that never starts working": {true, []int32{0, 0, 0, 0, 0, 0}, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			made.submitWith(func(handed *job.Submission) { handed.Steps[0].Lasting = test.lasting })
-			made.attachAndStart()
+			h := newHarness(t)
+			h.submitWith(func(submission *job.Submission) { submission.Steps[0].Lasting = test.lasting })
+			h.attachAndStart()
 			stops := 0
 			for _, percent := range test.percents {
-				made.clock.Advance(time.Second)
-				made.owner.lastJoinAt = made.clock.Now()
-				made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1, Percent: percent}}})
-				made.step()
-				for _, message := range made.takeSent() {
+				h.clock.Advance(time.Second)
+				h.owner.lastJoinAt = h.clock.Now()
+				h.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1, Percent: percent}}})
+				h.step()
+				for _, message := range h.takeSent() {
 					stops = max(stops, len(message.GetStops()))
 				}
 			}
--- a/owner/suspect_test.go
+++ b/owner/suspect_test.go
@@ -10,26 +10,26 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestSuspectsArePlacedApart: of two tasks of one step under which a worker crashed, one waits
-// until the other has outlived its start there. What is not suspected is placed at once,
-// though it is of the same step.
+// TestSuspectsArePlacedApart: if a worker has crashed under two tasks of a step, they are not started on
+// one worker at the same time: the second waits until the first has survived its start. A task of the
+// same step that is not a suspect is placed at once.
 func TestSuspectsArePlacedApart(t *testing.T) {
-	made := newHarness(t)
-	of := made.submitWith(func(handed *job.Submission) { handed.Steps[0].Count = 3 })
-	made.attachAndStart()
-	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{
+	h := newHarness(t)
+	j := h.submitWith(func(submission *job.Submission) { submission.Steps[0].Count = 3 })
+	h.attachAndStart()
+	h.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{
 		{Worker: workerID, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_CRASHED},
 		{Worker: workerID, Task: jobID + ".0.0.1", Attempt: 1, Reason: wire.EndReason_END_CRASHED},
 		{Worker: workerID, Task: jobID + ".0.0.2", Attempt: 1, Reason: wire.EndReason_END_LOST},
 	}})
-	pass := func(length time.Duration) (suspects, others int) {
-		made.clock.Advance(length)
-		made.owner.lastJoinAt = made.clock.Now()
-		made.receive(&wire.AgentMessage{})
-		made.step()
-		made.awaitWrites()
-		made.step()
-		for _, order := range startOrders(made.takeSent()) {
+	advance := func(length time.Duration) (suspects, others int) {
+		h.clock.Advance(length)
+		h.owner.lastJoinAt = h.clock.Now()
+		h.receive(&wire.AgentMessage{})
+		h.step()
+		h.awaitWrites()
+		h.step()
+		for _, order := range startOrders(h.takeSent()) {
 			if order.GetSuspect() {
 				suspects++
 				continue
@@ -38,53 +38,54 @@
 		}
 		return suspects, others
 	}
-	if suspects, others := pass(100 * time.Millisecond); suspects != 1 || others != 1 {
-		t.Errorf("at first %d suspects and %d others", suspects, others)
+	if suspects, others := advance(100 * time.Millisecond); suspects != 1 || others != 1 {
+		t.Errorf("%d suspects and %d other tasks were started at first", suspects, others)
 	}
-	if suspects, _ := pass(100 * time.Millisecond); suspects != 0 {
-		t.Errorf("%d suspects soon after", suspects)
+	if suspects, _ := advance(100 * time.Millisecond); suspects != 0 {
+		t.Errorf("%d suspects were started soon after", suspects)
 	}
-	if suspects, _ := pass(suspectSpacing); suspects != 1 {
-		t.Errorf("%d suspects later", suspects)
+	if suspects, _ := advance(suspectSpacing); suspects != 1 {
+		t.Errorf("%d suspects were started later", suspects)
 	}
-	if of.HasEnded() {
-		t.Errorf("the job is %v", of.State())
+	if j.HasEnded() {
+		t.Errorf("the job is %v", j.State())
 	}
 }
 
-// TestRefusedSuspectBlocksOnlySuspects: an agent that refuses a suspect takes anything else.
+// TestRefusedSuspectBlocksOnlySuspects: a worker whose agent refuses a suspect still accepts other tasks.
 func TestRefusedSuspectBlocksOnlySuspects(t *testing.T) {
-	made := newHarness(t)
-	made.submit()
-	made.attachAndStart()
-	made.receive(&wire.AgentMessage{Results: []*wire.StartResult{
+	h := newHarness(t)
+	h.submit()
+	h.attachAndStart()
+	h.receive(&wire.AgentMessage{Results: []*wire.StartResult{
 		{Task: firstTask, Attempt: 1, Worker: workerID, Outcome: wire.StartOutcome_START_SUSPECT},
 	}})
-	now := made.clock.Now()
-	if now.Before(made.agent.avoidUntil) {
+	now := h.clock.Now()
+	if now.Before(h.agent.avoidUntil) {
 		t.Error("the worker is avoided")
 	}
-	if !now.Before(made.agent.noSuspectsUntil) {
-		t.Error("other suspects are not kept away")
+	if !now.Before(h.agent.noSuspectsUntil) {
+		t.Error("another suspect may be started")
 	}
 }
 
-// TestSuspectGoesToAnotherMachine: what met a crash is not started again where it did while
-// there is another place: a worker that goes down by itself is the emptiest each time.
+// TestSuspectGoesToAnotherMachine: a task is not placed again on the machine where a worker crashed under
+// it if there is another one. A worker that crashes by itself is the emptiest one after each restart,
+// and would otherwise get the task each time.
 func TestSuspectGoesToAnotherMachine(t *testing.T) {
-	made := newHarness(t)
-	task := made.submit().Tasks()[0]
-	made.attachAndStart()
-	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_CRASHED}}})
+	h := newHarness(t)
+	task := h.submit().Tasks()[0]
+	h.attachAndStart()
+	h.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_CRASHED}}})
 	other := newAgentView("10.0.0.2:7001")
 	other.statusDecoder.Apply(&wire.AgentMessage{Status: &wire.WorkerStatus{Worker: "i-2", Service: "verbale", Ready: true, FreeMilliCpu: 1000, FreeMemoryMb: 4000}})
-	if !isBetter(task, newCandidate(other), newCandidate(made.agent)) {
-		t.Error("it goes where it met the crash")
+	if !isBetter(task, newCandidate(other), newCandidate(h.agent)) {
+		t.Error("the task is placed on the machine where the worker crashed")
 	}
 }
 
-// TestRepeatCrasherGoesToLeastLoadedWorker: a task that has brought two workers down goes where the
-// most is free, one that has met one crash where it does best.
+// TestRepeatCrasherGoesToLeastLoadedWorker: a task with two crashes is placed on the worker with the most
+// free resources, a task with one crash on the worker that is best for it.
 func TestRepeatCrasherGoesToLeastLoadedWorker(t *testing.T) {
 	tests := map[string]struct {
 		crashes int32
@@ -95,12 +96,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			of := made.submitWith(func(handed *job.Submission) { handed.Steps[0].Affinity = "r-1" })
-			task := of.Tasks()[0]
+			h := newHarness(t)
+			j := h.submitWith(func(submission *job.Submission) { submission.Steps[0].Affinity = "r-1" })
+			task := j.Tasks()[0]
 			for attempt := int32(1); attempt <= test.crashes; attempt++ {
-				of.StartRun(task, job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, made.clock.Now())
-				of.EndRun(task, attempt, job.EndCrashed, "", made.clock.Now())
+				j.StartRun(task, job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, h.clock.Now())
+				j.EndRun(task, attempt, job.EndCrashed, "", h.clock.Now())
 			}
 			worker := func(number int, free int64, rack string) *candidate {
 				view := newAgentView(fmt.Sprint("10.0.0.", number))
@@ -110,7 +111,7 @@
 				return newCandidate(view)
 			}
 			if got := isBetter(task, worker(2, 4000, "r-2"), worker(1, 2000, "r-1")); got != test.want {
-				t.Errorf("the emptier one is better: %v", got)
+				t.Errorf("the emptier worker is better: %v", got)
 			}
 		})
 	}
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -7,36 +7,37 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// TestSuspendedOwnerGrantsNothing: an owner whose machine was suspended may have been replaced
-// meanwhile, and those that take its shards over count on it that it grants nothing for longer
-// than without the store. It grants again once the store has said that it still owns them.
+// TestSuspendedOwnerGrantsNothing: an owner whose machine was suspended may have been replaced in the
+// meantime. The entries that take over its shards rely on it granting nothing for longer than
+// storeOutageTolerance after its last join. It grants again once the store has confirmed that it
+// still owns its shards.
 func TestSuspendedOwnerGrantsNothing(t *testing.T) {
-	grants := func(made *harness) bool {
-		made.clock.Advance(grantInterval)
-		made.step()
-		for _, message := range made.takeSent() {
+	grants := func(h *harness) bool {
+		h.clock.Advance(grantInterval)
+		h.step()
+		for _, message := range h.takeSent() {
 			if message.GetGrantUntilNanos() > 0 {
 				return true
 			}
 		}
 		return false
 	}
-	made := newHarness(t)
-	made.submit()
-	made.attachAndStart()
-	if !grants(made) {
-		t.Fatal("grants nothing")
+	h := newHarness(t)
+	h.submit()
+	h.attachAndStart()
+	if !grants(h) {
+		t.Fatal("it grants nothing before the suspension")
 	}
-	made.owner.handleSuspension(storeOutageTolerance-time.Second, made.clock.Now())
-	if !grants(made) {
-		t.Error("grants nothing after a short suspension")
+	h.owner.handleSuspension(storeOutageTolerance-time.Second, h.clock.Now())
+	if !grants(h) {
+		t.Error("it grants nothing after a short suspension")
 	}
-	made.owner.handleSuspension(time.Second, made.clock.Now())
-	if grants(made) {
-		t.Error("grants after a long one")
+	h.owner.handleSuspension(time.Second, h.clock.Now())
+	if grants(h) {
+		t.Error("it grants after a long suspension")
 	}
-	made.owner.applyAssignment(platform.Deal{Generation: 3, Parts: []int{made.shard.number}}, made.clock.Now(), made.clock.Now())
-	if !grants(made) {
-		t.Error("grants nothing after word from the store")
+	h.owner.applyAssignment(platform.Deal{Generation: 3, Parts: []int{h.shard.number}}, h.clock.Now(), h.clock.Now())
+	if !grants(h) {
+		t.Error("it grants nothing after the store has confirmed its shards")
 	}
 }
