--- a/owner/candidacy_test.go
+++ b/owner/candidacy_test.go
@@ -21,15 +21,17 @@
 	"ambertiller.example/ambertiller/standin/wirestore"
 )
 
-// entryGroup is a fleet's entries over one store, and agents that are registered there but answer nobody.
+// entryGroup is a group of entries over one fake store. The agents registered in the store accept no
+// connections.
 type entryGroup struct {
 	clock  *clockwork.FakeClock
 	owners []*Owner
 	kills  []context.CancelFunc
-	// dials counts the entries that have tried to connect to an agent, by entry.
+	// dials counts the attempts of each entry to connect to an agent.
 	dials []*atomic.Int64
 }
 
+// newEntryGroup starts entries on strong and weak machines. The strong ones come first.
 func newEntryGroup(t *testing.T, strong, weak, agents int) *entryGroup {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
@@ -46,10 +48,10 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	made := &entryGroup{clock: clock}
+	g := &entryGroup{clock: clock}
 	for number := range strong + weak {
 		dials := &atomic.Int64{}
-		begun := New(Options{
+		owner := New(Options{
 			Name: fmt.Sprintf("edge-%d", number), Strong: number < strong, Address: fmt.Sprintf("10.0.1.%d:7000", number), Shards: 8,
 			GrantDuration: 6 * time.Second, MemberTimeout: 1500 * time.Millisecond, Clock: clock, Events: event.Discard(),
 			Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport()),
@@ -60,70 +62,74 @@
 		})
 		ctx, kill := context.WithCancel(context.Background())
 		t.Cleanup(kill)
-		go begun.Run(ctx)
-		made.owners, made.kills, made.dials = append(made.owners, begun), append(made.kills, kill), append(made.dials, dials)
+		go owner.Run(ctx)
+		g.owners, g.kills, g.dials = append(g.owners, owner), append(g.kills, kill), append(g.dials, dials)
 	}
-	return made
+	return g
 }
 
-// advance lets time pass.
-func (made *entryGroup) advance(length time.Duration) {
+// advance advances the clock in steps of 10 ms, with 1 ms of real time for the entries after each.
+func (g *entryGroup) advance(length time.Duration) {
 	for range length / (10 * time.Millisecond) {
-		made.clock.Advance(10 * time.Millisecond)
+		g.clock.Advance(10 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// counts counts the agents that all entries look at, and shards those that they own.
-func (made *entryGroup) counts() (views, shards int) {
-	for _, begun := range made.owners {
-		begun.eventLoop.Ask(context.Background(), func(time.Time) { views += len(begun.agents) })
-		shards += len(ownedEpochs(begun))
+// counts returns the number of agents that the entries connect to and of shards that they own, summed
+// over all entries.
+func (g *entryGroup) counts() (views, shards int) {
+	for _, owner := range g.owners {
+		owner.eventLoop.Ask(context.Background(), func(time.Time) { views += len(owner.agents) })
+		shards += len(ownedEpochs(owner))
 	}
 	return views, shards
 }
 
-// TestOnlyCandidatesConnectToAgents counts the agents that the entries of a fleet look at, and of one with twice the entries. The
-// case that forced it: each of 184 entries kept a connection to each of 800 agents, though at most 16 entries owned any shard.
+// TestOnlyCandidatesConnectToAgents: the number of connections to agents does not grow with the number of
+// entries. It guards against each entry connecting to every agent: with 184 entries and 800 agents each
+// entry had 800 connections, although at most 16 entries owned a shard.
 func TestOnlyCandidatesConnectToAgents(t *testing.T) {
 	const agents = 5
 	tests := map[string]struct{ strong, weak int }{
-		"a fleet":                      {20, 10},
-		"one of twice the size":        {40, 20},
-		"fewer strong ones than seats": {9, 20},
+		"a fleet":                         {20, 10},
+		"a fleet of twice the size":       {40, 20},
+		"fewer strong entries than seats": {9, 20},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newEntryGroup(t, test.strong, test.weak, agents)
-			// Seats settle, and those who had one for a moment leave.
-			made.advance(14 * time.Second)
-			views, shards := made.counts()
-			// Who owns a shard stays where its seat has been dealt to another entry.
-			if most := (candidacy.SeatCount(8) + 8) * agents; views > most || views < 2*agents {
-				t.Errorf("%d entries look at %d agents, want %d at most", test.strong+test.weak, views, most)
+			g := newEntryGroup(t, test.strong, test.weak, agents)
+			// By then the seats are assigned, and entries that were candidates only for a moment have
+			// disconnected.
+			g.advance(14 * time.Second)
+			views, shards := g.counts()
+			// An entry that owns a shard remains a candidate even if its seat has been assigned to
+			// another entry.
+			if limit := (candidacy.SeatCount(8) + 8) * agents; views > limit || views < 2*agents {
+				t.Errorf("%d entries have %d connections to agents, want %d at most", test.strong+test.weak, views, limit)
 			}
 			if shards != 8 {
-				t.Errorf("%d shards are owned", shards)
+				t.Errorf("%d shards are owned, want 8", shards)
 			}
 			for number := test.strong; number < test.strong+test.weak; number++ {
-				if dials := made.dials[number].Load(); dials > 0 {
-					t.Errorf("edge-%d, whose machine is weak, has dialled %d times", number, dials)
+				if dials := g.dials[number].Load(); dials > 0 {
+					t.Errorf("edge-%d, whose machine is weak, has dialed agents %d times", number, dials)
 				}
 			}
 		})
 	}
 }
 
-// TestWeakEntriesTakeOver: where all strong entries are gone, weak ones own the shards.
+// TestWeakEntriesTakeOver: weak entries own the shards once all strong ones are gone.
 func TestWeakEntriesTakeOver(t *testing.T) {
-	made := newEntryGroup(t, 9, 5, 3)
-	made.advance(5 * time.Second)
+	g := newEntryGroup(t, 9, 5, 3)
+	g.advance(5 * time.Second)
 	for number := range 9 {
-		made.kills[number]()
+		g.kills[number]()
 	}
-	made.owners = made.owners[9:]
-	advanceUntil(t, made.clock, func() bool {
-		_, shards := made.counts()
+	g.owners = g.owners[9:]
+	advanceUntil(t, g.clock, func() bool {
+		_, shards := g.counts()
 		return shards == 8
 	})
 }
--- a/owner/learned_test.go
+++ b/owner/learned_test.go
@@ -8,15 +8,16 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// learnedEstimate is one pair as an agent tells it.
+// learnedEstimate returns an estimate of one pair as an agent reports it.
 func learnedEstimate(weight float64, readings int32) []*job.Interference {
 	return []*job.Interference{{Serving: "s", Fill: "f", Weight: weight, Readings: readings}}
 }
 
+// TestLearnedTableMeans: the table has the mean over the last report of each agent, and what is stored.
 func TestLearnedTableMeans(t *testing.T) {
 	first, second := newAgentView("a"), newAgentView("b")
 	tests := map[string]struct {
-		tell     func(table *learnedTable)
+		update   func(table *learnedTable)
 		weight   float64
 		readings int32
 	}{
@@ -25,16 +26,16 @@
 			table.update(first, learnedEstimate(0.5, 10))
 			table.update(second, learnedEstimate(0.2, 20))
 		}, 0.3, 30},
-		"one that tells again": {func(table *learnedTable) {
+		"one that reports again": {func(table *learnedTable) {
 			table.update(first, learnedEstimate(0.5, 10))
 			table.update(first, learnedEstimate(0.4, 20))
 		}, 0.4, 20},
-		"one that is forgotten": {func(table *learnedTable) {
+		"one that is removed": {func(table *learnedTable) {
 			table.update(first, learnedEstimate(0.5, 10))
 			table.update(second, learnedEstimate(0.2, 20))
 			table.removeAgent(first)
 		}, 0.2, 20},
-		"beside what is remembered": {func(table *learnedTable) {
+		"one agent and a stored estimate": {func(table *learnedTable) {
 			table.addStored(learnedEstimate(0.5, 10))
 			table.update(first, learnedEstimate(0.2, 20))
 		}, 0.3, 30},
@@ -42,7 +43,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := newLearnedTable()
-			test.tell(table)
+			test.update(table)
 			weight, readings := learnedWeight(table.meansExcluding(nil))
 			if math.Abs(weight-test.weight) > 1e-9 || readings != test.readings {
 				t.Errorf("a weight of %v by %d readings", weight, readings)
@@ -51,67 +52,66 @@
 	}
 }
 
-// TestAgentsReceiveChangedPairs: an agent that keeps what it is told hears of a pair once,
-// and again when its mean has moved; one that does not hears of all each time, without
-// what it has taught itself.
+// TestAgentsReceiveChangedPairs: an agent that keeps estimates is sent a pair once, and again when its mean
+// has changed. Any other agent is sent all pairs each time, without its own estimates.
 func TestAgentsReceiveChangedPairs(t *testing.T) {
-	made := newHarness(t)
-	held := made.addSharedShard(made.owner.ctx, 4)
+	h := newHarness(t)
+	shard := h.addSharedShard(h.owner.ctx, 4)
 	other := newAgentView("10.0.0.2:7001")
-	made.attach()
-	told := func() *wire.OwnerMessage {
-		made.clock.Advance(learnedSendInterval)
-		made.owner.lastJoinAt = made.clock.Now()
-		made.owner.sendUpdate(made.agent, made.clock.Now())
-		messages := made.takeSent()
+	h.attach()
+	send := func() *wire.OwnerMessage {
+		h.clock.Advance(learnedSendInterval)
+		h.owner.lastJoinAt = h.clock.Now()
+		h.owner.sendUpdate(h.agent, h.clock.Now())
+		messages := h.takeSent()
 		if len(messages) != 1 {
 			t.Fatalf("%d messages", len(messages))
 		}
 		return messages[0]
 	}
-	held.learned.update(other, learnedEstimate(0.5, 40))
-	held.learned.update(made.agent, learnedEstimate(0.2, 20))
+	shard.learned.update(other, learnedEstimate(0.5, 40))
+	shard.learned.update(h.agent, learnedEstimate(0.2, 20))
 	for range 2 {
-		if weight, readings := learnedWeight(told().GetLearned()); weight != 0.5 || readings != 40 {
-			t.Errorf("an agent of an earlier build is told a weight of %v by %d readings", weight, readings)
+		if weight, readings := learnedWeight(send().GetLearned()); weight != 0.5 || readings != 40 {
+			t.Errorf("an agent that does not keep estimates is sent a weight of %v by %d readings", weight, readings)
 		}
 	}
-	made.receive(&wire.AgentMessage{KeepsLearned: true})
-	message := told()
+	h.receive(&wire.AgentMessage{KeepsLearned: true})
+	message := send()
 	if weight, readings := learnedWeight(message.GetLearnedByAll()); math.Abs(weight-0.4) > 1e-9 || readings != 60 || len(message.GetLearned()) > 0 {
-		t.Errorf("told a weight of %v by %d readings, and %v", weight, readings, message.GetLearned())
+		t.Errorf("sent a weight of %v by %d readings, and %v", weight, readings, message.GetLearned())
 	}
-	held.learned.update(other, learnedEstimate(0.51, 40))
-	if message := told(); len(message.GetLearnedByAll()) > 0 {
-		t.Errorf("told again although it hardly moved: %v", message.GetLearnedByAll())
+	shard.learned.update(other, learnedEstimate(0.51, 40))
+	if message := send(); len(message.GetLearnedByAll()) > 0 {
+		t.Errorf("sent again although the mean has hardly changed: %v", message.GetLearnedByAll())
 	}
-	held.learned.update(other, learnedEstimate(0.8, 40))
-	if weight, _ := learnedWeight(told().GetLearnedByAll()); math.Abs(weight-0.6) > 1e-9 {
-		t.Errorf("not told that it moved: %v", weight)
+	shard.learned.update(other, learnedEstimate(0.8, 40))
+	if weight, _ := learnedWeight(send().GetLearnedByAll()); math.Abs(weight-0.6) > 1e-9 {
+		t.Errorf("the changed mean was not sent, but %v", weight)
 	}
-	made.attach()
-	made.receive(&wire.AgentMessage{KeepsLearned: true})
-	if message := told(); len(message.GetLearnedByAll()) != 1 {
-		t.Error("not told everything on a new connection")
+	h.attach()
+	h.receive(&wire.AgentMessage{KeepsLearned: true})
+	if message := send(); len(message.GetLearnedByAll()) != 1 {
+		t.Error("not all pairs were sent on a new connection")
 	}
 }
 
-// TestStoredPairsAreSentAtOnce: what an owner finds in the store goes out with its next message.
-// The case that forced it: the table had just been looked through, still empty, and agents
-// that had all lost power worked without it for up to 3 s more.
+// TestStoredPairsAreSentAtOnce: the estimates that an owner reads from the store are sent with its next
+// message, even if the table has just been published while it was empty. Otherwise, after all agents have
+// lost power, they work without estimates for up to 3 s longer than necessary.
 func TestStoredPairsAreSentAtOnce(t *testing.T) {
-	made := newHarness(t)
-	held := made.addSharedShard(made.owner.ctx, 4)
-	made.attach()
-	made.receive(&wire.AgentMessage{KeepsLearned: true})
-	made.owner.sendUpdate(made.agent, made.clock.Now())
-	made.takeSent()
-	made.owner.applyStoredLearned(held, learnedEstimate(0.5, 30))
-	made.clock.Advance(grantInterval)
-	made.owner.lastJoinAt = made.clock.Now()
-	made.owner.sendUpdate(made.agent, made.clock.Now())
-	messages := made.takeSent()
+	h := newHarness(t)
+	shard := h.addSharedShard(h.owner.ctx, 4)
+	h.attach()
+	h.receive(&wire.AgentMessage{KeepsLearned: true})
+	h.owner.sendUpdate(h.agent, h.clock.Now())
+	h.takeSent()
+	h.owner.applyStoredLearned(shard, learnedEstimate(0.5, 30))
+	h.clock.Advance(grantInterval)
+	h.owner.lastJoinAt = h.clock.Now()
+	h.owner.sendUpdate(h.agent, h.clock.Now())
+	messages := h.takeSent()
 	if len(messages) != 1 || len(messages[0].GetLearnedByAll()) != 1 {
-		t.Errorf("told %v", messages)
+		t.Errorf("sent %v", messages)
 	}
 }
