--- a/owner/advice.go
+++ b/owner/advice.go
@@ -22,7 +22,7 @@
 	// decided, so that it is still valid when the start order arrives.
 	ticketExpiryMargin = 300 * time.Millisecond
 	// adviceRetryInterval is the minimum time between two requests for the same step, for
-	// the case that none of the workers in the previous answer had room.
+	// the case that no worker in the previous answer had free resources.
 	adviceRetryInterval = 500 * time.Millisecond
 	// adviceRetention is how long a step is kept after its last request. It is far longer
 	// than any ticket is valid.
--- a/owner/candidacy.go
+++ b/owner/candidacy.go
@@ -118,7 +118,7 @@
 }
 
 // entryOfMember returns the entry with a member name. A name without a prefix is that of an earlier
-// version, which does not tell what its machine is capable of; the entry counts as strong.
+// version, which does not say whether its machine is strong; the entry counts as strong.
 func entryOfMember(member string) candidacy.Entry {
 	return candidacy.Entry{Name: member, Strong: !strings.HasPrefix(member, weakPrefix)}
 }
--- a/owner/candidate.go
+++ b/owner/candidate.go
@@ -40,7 +40,7 @@
 	// worker: another one has to wait, so that a crash can be attributed to one of them.
 	hasSuspect bool
 	// toleranceRatio is the share of the processors a fill task asks for that the serving tasks
-	// must tolerate. It is set anew for each job.
+	// must tolerate. It is set for each job in turn.
 	toleranceRatio float64
 }
 
--- a/owner/evacuated.go
+++ b/owner/evacuated.go
@@ -16,8 +16,8 @@
 	owner.eventLoop.Post(func(time.Time) { owner.applyEvacuations(evacuations, asOf) })
 }
 
-// applyEvacuations logs which domains have been evacuated or given back. Workers in a domain that is
-// given back may be used again, so all jobs have to be considered for placement.
+// applyEvacuations updates the known evacuations and logs which domains have been evacuated or given
+// back. Workers in a domain that is given back may be used again, which requires a full placement pass.
 func (owner *Owner) applyEvacuations(evacuations operator.Evacuations, asOf time.Time) {
 	before := owner.evacuationState.Evacuations()
 	owner.evacuationState.Note(evacuations, asOf)
@@ -41,16 +41,16 @@
 // start orders or if they have changed. An agent refuses to start anything if what it knows of
 // evacuations is too old. Agents that are given no starts need no such updates.
 func (owner *Owner) addEvacuations(view *agentView) {
-	known := owner.evacuationState.Evacuations()
+	evacuations := owner.evacuationState.Evacuations()
 	if owner.evacuationState.AsOf().IsZero() || !view.heardOnConn {
 		return
 	}
-	if len(view.nextMessage.Starts) == 0 && slices.Equal(view.sentEvacuations, known.Domains()) {
+	if len(view.nextMessage.Starts) == 0 && slices.Equal(view.sentEvacuations, evacuations.Domains()) {
 		return
 	}
-	view.sentEvacuations = known.Domains()
+	view.sentEvacuations = evacuations.Domains()
 	asOf := operator.PeerUptime(owner.evacuationState.AsOf(), view.lastMessageAt, view.agentUptime)
 	view.nextMessage.Evacuations = &wire.Evacuations{
-		Version: known.Version(), FailureDomains: known.Domains(), AsOfNanos: int64(asOf),
+		Version: evacuations.Version(), FailureDomains: evacuations.Domains(), AsOfNanos: int64(asOf),
 	}
 }
--- a/owner/gang_test.go
+++ b/owner/gang_test.go
@@ -14,8 +14,8 @@
 		free int64
 		want int
 	}{
-		"room for all":         {3000, 3},
-		"room for all but one": {2999, 0},
+		"resources for all":         {3000, 3},
+		"resources for all but one": {2999, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/owner/stall.go
+++ b/owner/stall.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// minStallTimeout is how long every run may be without progress. Agents report progress once
-	// a second, in whole percent.
+	// minStallTimeout is how long any run may be without progress before it counts as stalled.
+	// Agents report progress once a second, in whole percent.
 	minStallTimeout = 2500 * time.Millisecond
 	// stallEstimateRatio is the share of a task's estimated run time that is added to
-	// minStallTimeout, because a long task that is throttled takes long for one percent.
+	// minStallTimeout, because a long task at a reduced pace takes long for one percent.
 	stallEstimateRatio = 0.25
 	// fullProgressPercent is the progress of a long-running task once it is working normally.
 	fullProgressPercent = 100
