--- a/owner/advice_test.go
+++ b/owner/advice_test.go
@@ -18,16 +18,16 @@
 	h := newHarness(t)
 	h.submitWith(func(submission *job.Submission) { submission.Advice = adviceTiming() })
 	h.attach()
-	h.step()
+	h.tick()
 	if len(h.agent.runs) != 0 {
 		t.Fatal("the task was placed without a ticket")
 	}
 	now := h.clock.Now()
 	h.owner.advice.steps[jobID+".0.0"] = &stepAdvice{tickets: map[incarnation.ID]ticket{incarnation.New(workerID, 0): {token: "c81e", expiresAt: now.Add(3 * time.Second)}}, expiresAt: now.Add(3 * time.Second)}
 	h.owner.placementChanges.addAll()
-	h.step()
+	h.tick()
 	h.awaitWrites()
-	h.step()
+	h.tick()
 	orders := startOrders(h.takeSent())
 	if len(orders) != 1 || orders[0].GetTicket() != "c81e" {
 		t.Errorf("ordered %v", orders)
--- a/owner/again_test.go
+++ b/owner/again_test.go
@@ -110,7 +110,7 @@
 			made.attach()
 			for range 2 {
 				made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(test.status), Complete: true, Runs: test.runs})
-				made.step()
+				made.tick()
 				made.takeSent()
 			}
 			if firstRunActive(of) != test.goesOn {
@@ -127,9 +127,9 @@
 	of := made.submit()
 	made.attach()
 	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
-	made.step()
+	made.tick()
 	made.awaitWrites()
-	made.step()
+	made.tick()
 	orders := startOrders(made.takeSent())
 	if len(orders) != 1 || orders[0].GetBorn() != secondBorn {
 		t.Fatalf("ordered %v", orders)
@@ -140,9 +140,9 @@
 	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn), Ends: []*wire.RunEnd{
 		{Worker: workerID, Born: secondBorn, Number: 7, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE},
 	}})
-	made.step()
+	made.tick()
 	made.awaitWrites()
-	made.step()
+	made.tick()
 	var seen []*wire.EndSeen
 	for _, message := range made.takeSent() {
 		seen = append(seen, message.GetSeen()...)
@@ -158,7 +158,7 @@
 	made.submit()
 	made.attach()
 	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
-	made.step()
+	made.tick()
 	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
 	made.awaitWrites()
 	made.owner.sendUpdate(made.agent, made.clock.Now())
@@ -237,7 +237,7 @@
 			if !firstRunActive(of) {
 				t.Fatal("released before the agent had heard of the claim")
 			}
-			made.step()
+			made.tick()
 			made.takeSent()
 			made.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
 			if firstRunActive(of) != test.goesOn {
--- a/owner/cancelled_test.go
+++ b/owner/cancelled_test.go
@@ -44,9 +44,9 @@
 			made.submit()
 			made.attachAndStart()
 			cancel(made)
-			made.step()
+			made.tick()
 			made.receive(&wire.AgentMessage{Results: []*wire.StartResult{{Task: firstTask, Attempt: 1, Worker: workerID, Outcome: wire.StartOutcome_START_WORKER_FAILED}}})
-			made.step()
+			made.tick()
 			made.awaitWrites()
 			made.takeSent()
 			made.clock.Advance(5 * time.Second)
@@ -63,7 +63,7 @@
 			cancel(made)
 			made.submit()
 			made.attach()
-			made.step()
+			made.tick()
 			made.awaitWrites()
 			made.takeSent()
 			made.listFirstRun()
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			made := newHarness(t)
 			prepare(made)
-			made.step()
+			made.tick()
 			if count := countStops(made.takeSent()); count != 1 {
 				t.Errorf("%d stops ordered", count)
 			}
--- a/owner/connection_test.go
+++ b/owner/connection_test.go
@@ -26,7 +26,7 @@
 			ended := false
 			made.agent.conn.cancel = func() { ended = true }
 			for range 60 {
-				made.step()
+				made.tick()
 				handled := made.handledSequence
 				made.takeSent()
 				if !test.hears {
@@ -57,7 +57,7 @@
 		for range idleSendInterval / grantInterval {
 			made.clock.Advance(grantInterval)
 			made.owner.lastJoinAt = made.clock.Now()
-			made.step()
+			made.tick()
 		}
 		made.takeSent()
 		made.receive(&wire.AgentMessage{})
@@ -79,17 +79,17 @@
 	made := newHarness(t)
 	made.attach()
 	made.receive(&wire.AgentMessage{UptimeNanos: int64(time.Hour)})
-	made.step()
+	made.tick()
 	made.takeSent()
 	made.owner.handleConnected(made.agent, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
-	made.step()
+	made.tick()
 	for _, message := range made.takeSent() {
 		if granted := time.Duration(message.GetGrantUntilNanos()); granted > 0 {
 			t.Errorf("runs were granted time until %v before the agent was heard", granted)
 		}
 	}
 	made.receive(&wire.AgentMessage{UptimeNanos: int64(time.Second)})
-	made.step()
+	made.tick()
 	granted := time.Duration(0)
 	for _, message := range made.takeSent() {
 		granted = max(granted, time.Duration(message.GetGrantUntilNanos()))
--- a/owner/entry_test.go
+++ b/owner/entry_test.go
@@ -20,7 +20,7 @@
 	unready := idleWorkerStatus()
 	unready.Ready = false
 	made.receive(&wire.AgentMessage{Complete: true, Status: unready, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 1}}})
-	made.step()
+	made.tick()
 	described := runDescriptions(made.takeSent())
 	if len(described) != 1 {
 		t.Fatalf("described: %v", described)
--- a/owner/evacuated_test.go
+++ b/owner/evacuated_test.go
@@ -28,7 +28,7 @@
 func (h *harness) collectStarts() []*wire.StartOrder {
 	var orders []*wire.StartOrder
 	for range 4 {
-		h.step()
+		h.tick()
 		h.awaitWrites()
 		orders = append(orders, startOrders(h.takeSent())...)
 		h.clock.Advance(100 * time.Millisecond)
@@ -76,7 +76,7 @@
 	j := h.submit()
 	h.attach()
 	h.receive(&wire.AgentMessage{Status: evacuatedDomainStatus()})
-	h.step()
+	h.tick()
 	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("the task was not placed")
 	}
@@ -100,7 +100,7 @@
 	occupied.Reclaimable = []*wire.Reclaimable{{Priority: 2, MilliCpu: 4000, MemoryMb: 4000}}
 	h.evacuate(1, evacuatedDomain)
 	h.receive(&wire.AgentMessage{Status: occupied})
-	h.step()
+	h.tick()
 	for _, message := range h.takeSent() {
 		if len(message.GetPreempts()) > 0 {
 			t.Errorf("preemption ordered: %v", message.GetPreempts())
@@ -119,9 +119,9 @@
 	h.evacuate(1)
 	h.clock.Advance(2 * time.Second)
 	h.receive(&wire.AgentMessage{UptimeNanos: int64(uptime), Status: evacuatedDomainStatus()})
-	h.step()
+	h.tick()
 	h.awaitWrites()
-	h.step()
+	h.tick()
 	sent := 0
 	for _, message := range h.takeSent() {
 		if len(message.GetStarts()) == 0 {
@@ -137,12 +137,12 @@
 		t.Fatalf("%d messages with starts", sent)
 	}
 	h.evacuate(5, "bergamo")
-	h.step()
+	h.tick()
 	messages := h.takeSent()
 	if len(messages) != 1 || len(messages[0].GetEvacuations().GetFailureDomains()) != 1 {
 		t.Errorf("after a change: %v", messages)
 	}
-	h.step()
+	h.tick()
 	if again := h.takeSent(); len(again) != 0 {
 		t.Errorf("sent again: %v", again)
 	}
--- a/owner/forget_test.go
+++ b/owner/forget_test.go
@@ -32,7 +32,7 @@
 	made.submit()
 	made.attachAndStart()
 	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
-	made.step()
+	made.tick()
 	made.awaitWrites()
 	return made
 }
@@ -64,7 +64,7 @@
 			})
 			made.clock.Advance(3 * time.Minute)
 			for try := 0; try < 200; try++ {
-				made.step()
+				made.tick()
 				made.awaitWrites()
 				made.clock.Advance(100 * time.Millisecond)
 				made.runPending()
@@ -98,7 +98,7 @@
 	made.owner.activateShard(made.shard,
 		platform.Tail{Records: []platform.Record{newRecord(t, job.SubmissionKey(jobID), newSubmission())}},
 		platform.Tail{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, made.clock.Now())
-	made.step()
+	made.tick()
 	if made.shard.jobs[jobID] == nil || len(made.shard.tombstones) > 0 {
 		t.Error("a job that was just read as ended is forgotten")
 	}
@@ -114,7 +114,7 @@
 	made.store.Put(job.TopicRuns, made.shard.number, jobID, kept.Value)
 	made.shard.loaded = false
 	made.owner.activateShard(made.shard, platform.Tail{}, platform.Tail{Records: []platform.Record{kept}}, made.clock.Now())
-	made.step()
+	made.tick()
 	made.awaitWrites()
 	if _, progress := made.storedRecords(); progress {
 		t.Error("what became of a job that is gone stays in the store")
--- a/owner/gang_test.go
+++ b/owner/gang_test.go
@@ -27,7 +27,7 @@
 			h.receive(&wire.AgentMessage{Status: &wire.WorkerStatus{
 				Worker: workerID, Service: "verbale", Ready: true, FreeMilliCpu: test.free, FreeMemoryMb: 4000,
 			}})
-			h.step()
+			h.tick()
 			if got := len(h.agent.runs); got != test.want {
 				t.Errorf("%d members started", got)
 			}
--- a/owner/harness_test.go
+++ b/owner/harness_test.go
@@ -160,9 +160,9 @@
 // been sent when it returns.
 func (h *harness) attachAndStart() {
 	h.attach()
-	h.step()
+	h.tick()
 	h.awaitWrites()
-	h.step()
+	h.tick()
 	h.takeSent()
 }
 
@@ -174,6 +174,6 @@
 	return j
 }
 
-func (h *harness) step() {
+func (h *harness) tick() {
 	h.owner.tick(h.clock.Now())
 }
--- a/owner/place_test.go
+++ b/owner/place_test.go
@@ -17,7 +17,7 @@
 	h.attachAndStart()
 	h.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 1, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_FAILED}}})
 	for range 8 {
-		h.step()
+		h.tick()
 		h.awaitWrites()
 		h.clock.Advance(95 * time.Millisecond)
 		h.owner.lastJoinAt = h.clock.Now()
@@ -39,7 +39,7 @@
 	receive := func() {
 		h.owner.lastJoinAt = h.clock.Now()
 		h.receive(&wire.AgentMessage{Status: status})
-		h.step()
+		h.tick()
 	}
 	receive()
 	if len(h.agent.runs) != 0 {
--- a/owner/preempt_test.go
+++ b/owner/preempt_test.go
@@ -33,7 +33,7 @@
 			for range 4 {
 				h.owner.lastJoinAt = h.clock.Now()
 				h.receive(&wire.AgentMessage{Status: status})
-				h.step()
+				h.tick()
 				h.clock.Advance(100 * time.Millisecond)
 			}
 			orders := 0
--- a/owner/probation_test.go
+++ b/owner/probation_test.go
@@ -36,7 +36,7 @@
 			submission := newSubmission()
 			submission.Id, submission.Steps[0].Count = otherJobInShard(), 3
 			h.readRecords(newRecord(t, job.SubmissionKey(submission.Id), submission))
-			h.step()
+			h.tick()
 			placed := 0
 			for _, task := range h.shard.jobs[submission.Id].Tasks() {
 				if task.State() == job.TaskState_TASK_STARTED {
--- a/owner/reconcile_test.go
+++ b/owner/reconcile_test.go
@@ -17,15 +17,15 @@
 func TestInheritedRunIsKeptUntilGrantExpires(t *testing.T) {
 	made := newHarness(t)
 	of := made.adoptRun(workerID)
-	made.step()
+	made.tick()
 	made.clock.Advance(storeOutageTolerance)
 	made.owner.lastJoinAt = made.clock.Now()
-	made.step()
+	made.tick()
 	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released while the owner before may still have granted")
 	}
 	made.clock.Advance(7 * time.Second)
-	made.step()
+	made.tick()
 	if of.Tasks()[0].State() == job.TaskState_TASK_STARTED {
 		t.Error("not released although every grant must have ended")
 	}
@@ -41,7 +41,7 @@
 	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released before the agent had heard of the claim")
 	}
-	made.step()
+	made.tick()
 	made.takeSent()
 	made.receive(&wire.AgentMessage{Complete: true})
 	if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
@@ -55,12 +55,12 @@
 	made.attachAndStart()
 	made.owner.handleDisconnected(made.agent, made.agent.conn, context.Canceled)
 	made.clock.Advance(6 * time.Second)
-	made.step()
+	made.tick()
 	if of.Tasks()[0].Attempt() != 1 || of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
 		t.Fatal("released while its grant runs")
 	}
 	made.clock.Advance(2 * time.Second)
-	made.step()
+	made.tick()
 	if of.Tasks()[0].State() == job.TaskState_TASK_STARTED {
 		t.Error("not released although the grant must have ended")
 	}
@@ -110,13 +110,13 @@
 func TestNoGrantWithoutRecentJoin(t *testing.T) {
 	made := newHarness(t)
 	made.attach()
-	made.step()
+	made.tick()
 	if got := made.takeSent(); len(got) == 0 || got[len(got)-1].GetGrantUntilNanos() == 0 {
 		t.Fatalf("no grant at first: %v", got)
 	}
 	made.clock.Advance(storeOutageTolerance + time.Second)
 	made.receive(&wire.AgentMessage{})
-	made.step()
+	made.tick()
 	for _, message := range made.takeSent() {
 		if message.GetGrantUntilNanos() != 0 {
 			t.Error("granted without word from the store for longer than another owner waits")
@@ -129,7 +129,7 @@
 	made.submit()
 	made.attach()
 	made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 9}}})
-	made.step()
+	made.tick()
 	stops := 0
 	for _, message := range made.takeSent() {
 		stops += len(message.GetStops())
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -14,7 +14,7 @@
 	made := newHarness(t)
 	made.submit()
 	made.attach()
-	made.step()
+	made.tick()
 	if got := startOrders(made.takeSent()); len(got) != 0 {
 		t.Fatalf("ordered before the store had it: %v", got)
 	}
@@ -22,7 +22,7 @@
 	if _, kept := made.store.Newest(job.TopicRuns, made.shard.number, jobID); !kept {
 		t.Fatal("the start is not in the store")
 	}
-	made.step()
+	made.tick()
 	if got := startOrders(made.takeSent()); len(got) != 1 || got[0].GetTask() != firstTask || got[0].GetEpoch() != 3 {
 		t.Errorf("ordered: %v", got)
 	}
@@ -39,14 +39,14 @@
 	if shown := made.shard.visibleState(of); shown != job.State_STATE_RUNNING {
 		t.Errorf("shown as %v before the store had it", shown)
 	}
-	made.step()
+	made.tick()
 	for _, message := range made.takeSent() {
 		if len(message.GetSeen()) > 0 {
 			t.Error("seen before the store had it")
 		}
 	}
 	made.awaitWrites()
-	made.step()
+	made.tick()
 	seen := 0
 	for _, message := range made.takeSent() {
 		seen += len(message.GetSeen())
@@ -77,17 +77,17 @@
 	made.owner.options.JobRetention = 2 * time.Minute
 	of := made.submit()
 	made.owner.cancelJob(made.shard, of, made.clock.Now())
-	made.step()
+	made.tick()
 	made.awaitWrites()
 	made.clock.Advance(2*time.Minute + 30*time.Second)
-	made.step()
+	made.tick()
 	if made.shard.jobs[jobID] == nil {
 		t.Fatal("forgotten too early")
 	}
 	made.clock.Advance(time.Minute)
-	made.step()
+	made.tick()
 	made.owner.eventLoop.RunOne(made.clock.Now()) // What was handed in is dropped.
-	made.step()
+	made.tick()
 	made.awaitWrites()
 	if made.shard.jobs[jobID] != nil {
 		t.Error("not forgotten")
--- a/owner/suspect_test.go
+++ b/owner/suspect_test.go
@@ -26,9 +26,9 @@
 		h.clock.Advance(length)
 		h.owner.lastJoinAt = h.clock.Now()
 		h.receive(&wire.AgentMessage{})
-		h.step()
+		h.tick()
 		h.awaitWrites()
-		h.step()
+		h.tick()
 		for _, order := range startOrders(h.takeSent()) {
 			if order.GetSuspect() {
 				suspects++
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -14,7 +14,7 @@
 func TestSuspendedOwnerGrantsNothing(t *testing.T) {
 	grants := func(h *harness) bool {
 		h.clock.Advance(grantInterval)
-		h.step()
+		h.tick()
 		for _, message := range h.takeSent() {
 			if message.GetGrantUntilNanos() > 0 {
 				return true
