--- a/owner/again_test.go
+++ b/owner/again_test.go
@@ -15,12 +15,12 @@
 
 // The lives of a worker in these tests.
 const (
-	firstBorn  = int64(1_790_000_000_000)
-	secondBorn = firstBorn + 60_000
+	firstStartedMs  = int64(1_790_000_000_000)
+	secondStartedMs = firstStartedMs + 60_000
 )
 
-// emptyWorkerBorn is the status of a ready worker on which nothing runs.
-func emptyWorkerBorn(born int64) *wire.WorkerStatus {
+// idleWorkerStartedAt is the status of a ready worker on which nothing runs.
+func idleWorkerStartedAt(born int64) *wire.WorkerStatus {
 	status := idleWorkerStatus()
 	status.Born = born
 	return status
@@ -59,11 +59,11 @@
 		ended  *job.AgentRecord
 		goesOn bool
 	}{
-		"the life before":                      {[]int64{secondBorn}, over(firstBorn), true},
-		"its own life":                         {[]int64{secondBorn}, over(secondBorn), false},
-		"an id alone":                          {[]int64{secondBorn}, byID, true},
+		"the life before":                      {[]int64{secondStartedMs}, over(firstStartedMs), true},
+		"its own life":                         {[]int64{secondStartedMs}, over(secondStartedMs), false},
+		"an id alone":                          {[]int64{secondStartedMs}, byID, true},
 		"an id alone, and the run has no more": {nil, byID, false},
-		"a life, and the run has an id alone":  {nil, over(firstBorn), true},
+		"a life, and the run has an id alone":  {nil, over(firstStartedMs), true},
 	}
 	for name, test := range tests {
 		for when, before := range map[string]bool{", read before the shard": true, ", read after it": false} {
@@ -96,12 +96,12 @@
 		runs   []*wire.RunStatus
 		goesOn bool
 	}{
-		"the next life lacks it":                {[]int64{firstBorn}, secondBorn, nil, false},
-		"the next life lists it":                {[]int64{firstBorn}, secondBorn, firstRunListed(), true},
-		"its own life lists it":                 {[]int64{secondBorn}, secondBorn, firstRunListed(), true},
-		"the record has the id alone":           {nil, secondBorn, firstRunListed(), true},
-		"the worker says its id alone":          {[]int64{firstBorn}, 0, firstRunListed(), true},
-		"the id alone, and the worker lacks it": {nil, secondBorn, nil, false},
+		"the next life lacks it":                {[]int64{firstStartedMs}, secondStartedMs, nil, false},
+		"the next life lists it":                {[]int64{firstStartedMs}, secondStartedMs, firstRunListed(), true},
+		"its own life lists it":                 {[]int64{secondStartedMs}, secondStartedMs, firstRunListed(), true},
+		"the record has the id alone":           {nil, secondStartedMs, firstRunListed(), true},
+		"the worker says its id alone":          {[]int64{firstStartedMs}, 0, firstRunListed(), true},
+		"the id alone, and the worker lacks it": {nil, secondStartedMs, nil, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -109,7 +109,7 @@
 			of := made.restoreRun(test.born...)
 			made.attach()
 			for range 2 {
-				made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(test.status), Complete: true, Runs: test.runs})
+				made.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(test.status), Complete: true, Runs: test.runs})
 				made.tick()
 				made.takeSent()
 			}
@@ -126,19 +126,19 @@
 	made := newHarness(t)
 	of := made.submit()
 	made.attach()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	made.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs)})
 	made.tick()
 	made.awaitWrites()
 	made.tick()
 	orders := startOrders(made.takeSent())
-	if len(orders) != 1 || orders[0].GetBorn() != secondBorn {
+	if len(orders) != 1 || orders[0].GetBorn() != secondStartedMs {
 		t.Fatalf("ordered %v", orders)
 	}
-	if kept := of.Progress(); len(kept.GetBorn()) != 1 || kept.GetBorn()[0] != secondBorn {
+	if kept := of.Progress(); len(kept.GetBorn()) != 1 || kept.GetBorn()[0] != secondStartedMs {
 		t.Errorf("kept %v", kept)
 	}
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn), Ends: []*wire.RunEnd{
-		{Worker: workerID, Born: secondBorn, Number: 7, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE},
+	made.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs), Ends: []*wire.RunEnd{
+		{Worker: workerID, Born: secondStartedMs, Number: 7, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE},
 	}})
 	made.tick()
 	made.awaitWrites()
@@ -147,7 +147,7 @@
 	for _, message := range made.takeSent() {
 		seen = append(seen, message.GetSeen()...)
 	}
-	if len(seen) != 1 || seen[0].GetBorn() != secondBorn || seen[0].GetNumber() != 7 {
+	if len(seen) != 1 || seen[0].GetBorn() != secondStartedMs || seen[0].GetNumber() != 7 {
 		t.Errorf("told of ends in the store: %v", seen)
 	}
 }
@@ -157,13 +157,13 @@
 	made := newHarness(t)
 	made.submit()
 	made.attach()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	made.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(firstStartedMs)})
 	made.tick()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	made.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs)})
 	made.awaitWrites()
 	made.owner.sendUpdate(made.agent, made.clock.Now())
 	for _, order := range startOrders(made.takeSent()) {
-		if order.GetBorn() != secondBorn {
+		if order.GetBorn() != secondStartedMs {
 			t.Errorf("ordered %v of another life", order)
 		}
 	}
@@ -173,9 +173,9 @@
 func TestProbationEndsWithIncarnation(t *testing.T) {
 	made := newHarness(t)
 	made.attach()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	made.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(firstStartedMs)})
 	made.agent.consecutiveFailures, made.agent.avoidUntil = failuresBeforeProbation, made.clock.Now().Add(time.Minute)
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	made.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs)})
 	if made.agent.consecutiveFailures != 0 || !made.agent.avoidUntil.IsZero() {
 		t.Errorf("%d failures, avoided until %v", made.agent.consecutiveFailures, made.agent.avoidUntil)
 	}
@@ -186,7 +186,7 @@
 	made := newHarness(t)
 	of := made.submitWith(func(handed *job.Submission) { handed.Advice = &job.Advice{ValidMs: 60_000} })
 	made.attach()
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(firstBorn)})
+	made.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(firstStartedMs)})
 	task, now := of.Tasks()[0], made.clock.Now()
 	known := &stepAdvice{timing: of.Submission().GetAdvice(), service: "verbale"}
 	name := stepName(task)
@@ -199,7 +199,7 @@
 	if best := made.owner.bestWorker(task, made.owner.candidates(made.owner.agentViews(), now), now); best == nil {
 		t.Fatal("no place with a ticket")
 	}
-	made.receive(&wire.AgentMessage{Status: emptyWorkerBorn(secondBorn)})
+	made.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(secondStartedMs)})
 	if best := made.owner.bestWorker(task, made.owner.candidates(made.owner.agentViews(), now), now); best != nil {
 		t.Error("the ticket of the life before is used")
 	}
@@ -212,9 +212,9 @@
 // agent. It is over once the agent can account for all that runs, though its worker is silent for good or
 // none has come: it would wait for an end that nobody will tell.
 func TestInheritedRunOnUnresponsiveWorker(t *testing.T) {
-	silent := emptyWorkerBorn(firstBorn)
+	silent := idleWorkerStartedAt(firstStartedMs)
 	silent.Ready = false
-	accounted := emptyWorkerBorn(firstBorn)
+	accounted := idleWorkerStartedAt(firstStartedMs)
 	accounted.Ready, accounted.Accounted = false, true
 	tests := map[string]struct {
 		status *wire.WorkerStatus
@@ -231,7 +231,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			made := newHarness(t)
-			of := made.restoreRun(firstBorn)
+			of := made.restoreRun(firstStartedMs)
 			made.attach()
 			made.receive(&wire.AgentMessage{Status: test.status, Complete: true, Runs: test.runs})
 			if !firstRunActive(of) {
--- a/owner/agents.go
+++ b/owner/agents.go
@@ -47,8 +47,8 @@
 	claimsSent     bool // the present shards are in message, or were sent
 	claimSequences map[int]int64
 
-	// heardOnConn is set once the agent has spoken on the present connection.
-	heardOnConn bool
+	// receivedOnConn is set once the agent has spoken on the present connection.
+	receivedOnConn bool
 	// keepsLearned is set for an agent that keeps what it is told of interference, and
 	// needs to be told no more than what changes. sharedAt is when it was last told, and
 	// sharedVersion up to which version of the table.
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -103,7 +103,7 @@
 	view.claimSequences = map[int]int64{}
 	view.claimsSent = false
 	view.sentAt, view.ackDeadline = time.Time{}, time.Time{}
-	view.heardOnConn, view.keepsLearned = false, false
+	view.receivedOnConn, view.keepsLearned = false, false
 	view.learnedSentAt, view.learnedSentVersion = time.Time{}, 0
 	view.sentEvacuations = nil
 	for _, entry := range view.runs {
--- a/owner/entry_test.go
+++ b/owner/entry_test.go
@@ -9,9 +9,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestRunDescriptionHasRemainingSpareTime: an agent that has been replaced hears what the job may
+// TestRunDescriptionHasRemainingSlack: an agent that has been replaced hears what the job may
 // lose from now on, not what it could when the run was ordered.
-func TestRunDescriptionHasRemainingSpareTime(t *testing.T) {
+func TestRunDescriptionHasRemainingSlack(t *testing.T) {
 	made := newHarness(t)
 	made.submit()
 	made.attachAndStart()
--- a/owner/evacuated.go
+++ b/owner/evacuated.go
@@ -42,7 +42,7 @@
 // evacuations is too old. Agents that are given no starts need no such updates.
 func (owner *Owner) addEvacuations(view *agentView) {
 	evacuations := owner.evacuationState.Evacuations()
-	if owner.evacuationState.AsOf().IsZero() || !view.heardOnConn {
+	if owner.evacuationState.AsOf().IsZero() || !view.receivedOnConn {
 		return
 	}
 	if len(view.nextMessage.Starts) == 0 && slices.Equal(view.sentEvacuations, evacuations.Domains()) {
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -214,8 +214,8 @@
 	return !machine.downAt.IsZero()
 }
 
-// step has the worker come back, send heartbeats, and end what has worked long enough.
-func (machine *machine) step(now time.Time) {
+// tick has the worker come back, send heartbeats, and end what has worked long enough.
+func (machine *machine) tick(now time.Time) {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
 	if !machine.downAt.IsZero() {
@@ -292,7 +292,7 @@
 			made.clock.Advance(fleetTick)
 			time.Sleep(fleetTickPause)
 			for _, machine := range made.machines {
-				machine.step(made.clock.Now())
+				machine.tick(made.clock.Now())
 			}
 		}
 		if holds() {
--- a/owner/forget_test.go
+++ b/owner/forget_test.go
@@ -20,8 +20,8 @@
 // The evidence: with one refused append to the topic of jobs, what the store holds afterwards loads as
 // a job that is queued and live.
 
-// newEndedJobBench is a bench whose job has ended, and is known for as long as it has to be.
-func newEndedJobBench(t *testing.T) *harness {
+// newEndedJobHarness is a bench whose job has ended, and is known for as long as it has to be.
+func newEndedJobHarness(t *testing.T) *harness {
 	made := newHarness(t)
 	made.owner.options.JobRetention = time.Minute
 	value, err := proto.Marshal(newSubmission())
@@ -53,7 +53,7 @@
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newEndedJobBench(t)
+			made := newEndedJobHarness(t)
 			failures := 1
 			made.store.FailTopic(job.TopicJobs, func() wirestore.Fault {
 				failures--
--- a/owner/learned_send.go
+++ b/owner/learned_send.go
@@ -14,7 +14,7 @@
 // sent all estimates of the other agents each time.
 func (owner *Owner) addLearned(view *agentView, now time.Time) {
 	table := owner.learnedTable()
-	if table == nil || !view.heardOnConn || now.Sub(view.learnedSentAt) < learnedSendInterval {
+	if table == nil || !view.receivedOnConn || now.Sub(view.learnedSentAt) < learnedSendInterval {
 		return
 	}
 	view.learnedSentAt = now
--- a/owner/learned_test.go
+++ b/owner/learned_test.go
@@ -56,7 +56,7 @@
 // has changed. Any other agent is sent all pairs each time, without its own estimates.
 func TestAgentsReceiveChangedPairs(t *testing.T) {
 	h := newHarness(t)
-	shard := h.addSharedShard(h.owner.ctx, 4)
+	shard := h.addInterferenceShard(h.owner.ctx, 4)
 	other := newAgentView("10.0.0.2:7001")
 	h.attach()
 	send := func() *wire.OwnerMessage {
@@ -101,7 +101,7 @@
 // lost power, they work without estimates for up to 3 s longer than necessary.
 func TestStoredPairsAreSentAtOnce(t *testing.T) {
 	h := newHarness(t)
-	shard := h.addSharedShard(h.owner.ctx, 4)
+	shard := h.addInterferenceShard(h.owner.ctx, 4)
 	h.attach()
 	h.receive(&wire.AgentMessage{KeepsLearned: true})
 	h.owner.sendUpdate(h.agent, h.clock.Now())
--- a/owner/peer.go
+++ b/owner/peer.go
@@ -23,7 +23,7 @@
 // JobState implements wire.DRPCPeerServer. An unknown job is reported as such
 // only after the shard has been read to its end.
 func (owner *Owner) JobState(ctx context.Context, request *wire.JobStateRequest) (*wire.JobStateReply, error) {
-	reply, held, next := owner.jobState(ctx, request.GetId())
+	reply, held, next := owner.findJob(ctx, request.GetId())
 	if held == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
 	}
@@ -35,14 +35,14 @@
 		return nil, errors.Wrap(err, "read the shard to its end")
 	}
 	owner.eventLoop.Ask(ctx, func(now time.Time) { owner.applyRecords(held, tail, now) })
-	reply, held, _ = owner.jobState(ctx, request.GetId())
+	reply, held, _ = owner.findJob(ctx, request.GetId())
 	if held == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
 	}
 	return reply, nil
 }
 
-func (owner *Owner) jobState(ctx context.Context, id string) (*wire.JobStateReply, *shard, int64) {
+func (owner *Owner) findJob(ctx context.Context, id string) (*wire.JobStateReply, *shard, int64) {
 	reply := &wire.JobStateReply{}
 	var found *shard
 	next := int64(0)
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -20,8 +20,8 @@
 		view.consecutiveFailures = 0
 		owner.removeLearned(view)
 	}
-	if !view.heardOnConn {
-		view.heardOnConn = true
+	if !view.receivedOnConn {
+		view.receivedOnConn = true
 		view.sentAt = time.Time{} // The first grant on a connection goes out at once.
 	}
 	view.keepsLearned = view.keepsLearned || message.GetKeepsLearned()
--- a/owner/remember_test.go
+++ b/owner/remember_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// addSharedShard has the bench's owner own the shard whose owner puts together what has
+// addInterferenceShard has the bench's owner own the shard whose owner puts together what has
 // been learned.
-func (made *harness) addSharedShard(ctx context.Context, epoch int64) *shard {
+func (made *harness) addInterferenceShard(ctx context.Context, epoch int64) *shard {
 	held := newShard(ctx, job.InterferenceShard, epoch, made.clock.Now())
 	held.loaded = true
 	made.owner.shards[job.InterferenceShard] = held
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	made := newHarness(t)
-	held := made.addSharedShard(ctx, 4)
+	held := made.addInterferenceShard(ctx, 4)
 	held.learned.update(made.agent, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
 	go made.owner.persistLearned(held)
 	made.owner.eventLoop.RunOne(made.clock.Now()) // Nothing is remembered yet.
@@ -57,7 +57,7 @@
 	after.owner = newOwner(t, after.clock, made.store)
 	after.owner.ctx = ctx
 	after.owner.agents[agentAddress] = after.agent
-	next := after.addSharedShard(ctx, 5)
+	next := after.addInterferenceShard(ctx, 5)
 	after.agent.learnedSentAt = after.clock.Now()
 	go after.owner.persistLearned(next)
 	after.owner.eventLoop.RunOne(after.clock.Now())
--- a/owner/tell.go
+++ b/owner/tell.go
@@ -76,7 +76,7 @@
 // connection on which it has not spoken yet it may be another one than was heard last, whose
 // clock was ahead by all the time that it had been up.
 func (owner *Owner) addGrant(view *agentView, now time.Time) {
-	if !view.heardOnConn || now.Sub(owner.lastJoinAt) > storeOutageTolerance {
+	if !view.receivedOnConn || now.Sub(owner.lastJoinAt) > storeOutageTolerance {
 		return
 	}
 	view.nextMessage.GrantUntilNanos = int64(view.agentUptime + owner.options.GrantDuration)
