--- a/owner/learned.go
+++ b/owner/learned.go
@@ -112,8 +112,8 @@
 	return changed
 }
 
-// meansExcluding returns the current means without the estimates of one agent, or of all agents if
-// view is nil.
+// meansExcluding returns the current means over all agents but one, or over all agents if view is
+// nil. Stored estimates are included.
 func (table *learnedTable) meansExcluding(view *agentView) []*job.Interference {
 	means := make([]*job.Interference, 0, len(table.pairs))
 	for pair, aggregate := range table.pairs {
