--- a/owner/probation_test.go
+++ b/owner/probation_test.go
@@ -15,9 +15,9 @@
 // for as long as the probation it must not keep other tasks away.
 func TestProbationBesideLongRunningTask(t *testing.T) {
 	tests := map[string]struct {
-		lasting bool
-		running time.Duration
-		want    bool
+		longRunning bool
+		running     time.Duration
+		want        bool
 	}{
 		"a long-running task, running for long": {true, 2 * probationDuration, true},
 		"a long-running task, just started":     {true, probationDuration / 2, false},
@@ -26,7 +26,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
-			h.submitWith(func(submission *job.Submission) { submission.Steps[0].Lasting = test.lasting })
+			h.submitWith(func(submission *job.Submission) { submission.Steps[0].Lasting = test.longRunning })
 			h.attachAndStart()
 			h.receive(&wire.AgentMessage{Complete: true, Runs: firstRunListed()})
 			h.clock.Advance(test.running)
--- a/owner/stall_test.go
+++ b/owner/stall_test.go
@@ -12,9 +12,9 @@
 // that works normally, is not.
 func TestStalledRunIsStopped(t *testing.T) {
 	tests := map[string]struct {
-		lasting  bool
-		percents []int32
-		stops    int
+		longRunning bool
+		percents    []int32
+		stops       int
 	}{
 		"progress":    {false, []int32{1, 10, 20, 30, 40, 50}, 0},
 		"no progress": {false, []int32{10, 10, 10, 10, 10, 10}, 1},
@@ -24,7 +24,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
-			h.submitWith(func(submission *job.Submission) { submission.Steps[0].Lasting = test.lasting })
+			h.submitWith(func(submission *job.Submission) { submission.Steps[0].Lasting = test.longRunning })
 			h.attachAndStart()
 			stops := 0
 			for _, percent := range test.percents {
