--- a/agent/target.go
+++ b/agent/target.go
@@ -22,7 +22,7 @@
 		case missed && run.targetMissedSince.IsZero():
 			run.targetMissedSince = now
 			agent.logRun(event.TargetMissed, run, slog.String("image", run.demand.GetImage()),
-				slog.Int64("tail_ms", run.reading), slog.Int64("target_ms", target), slog.String("beside", state.fillingImages()))
+				slog.Int64("tail_ms", run.reading), slog.Int64("target_ms", target), slog.String("beside", state.fillImages()))
 		case !missed && !run.targetMissedSince.IsZero():
 			agent.logRun(event.TargetKept, run, slog.String("image", run.demand.GetImage()), slog.Duration("after", now.Sub(run.targetMissedSince)))
 			run.targetMissedSince = time.Time{}
@@ -30,8 +30,8 @@
 	}
 }
 
-// fillingImages lists the images of the runs that fill, each once, with commas.
-func (state *workerState) fillingImages() string {
+// fillImages lists the images of the runs that fill, each once, with commas.
+func (state *workerState) fillImages() string {
 	var images []string
 	for _, run := range state.runs {
 		if image := run.demand.GetImage(); run.demand.GetFills() && !slices.Contains(images, image) {
