--- a/agent/target.go
+++ b/agent/target.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// fillImages lists the images of the runs that fill, each once, with commas.
+// fillImages returns the images of the filling runs without duplicates, sorted and separated by commas.
 func (state *workerState) fillImages() string {
 	var images []string
 	for _, run := range state.runs {
