--- a/agent/agent.go
+++ b/agent/agent.go
@@ -50,7 +50,7 @@
 //	a := agent.New(agent.Options{Name: "side-1", Connect: connect, Events: events})
 //	go a.Run(ctx)
 //	wire.DRPCRegisterAgent(mux, a)
-//	http.Handle("/", platform.BeatHandler(a))
+//	http.Handle("/", platform.HeartbeatHandler(a))
 package agent
 
 import (
@@ -162,7 +162,7 @@
 	pacer        pacer
 	// evacuationState holds the known evacuations. evacuationsWanted makes FollowOperator read them from the
 	// store.
-	evacuationState   operator.Knowledge
+	evacuationState   operator.EvacuationState
 	evacuationsWanted chan struct{}
 	traffic           *traffic.Sent
 	metrics           metrics
--- a/agent/crash_test.go
+++ b/agent/crash_test.go
@@ -43,7 +43,7 @@
 		next.Close()
 	})
 	beat.Address = strings.TrimPrefix(next.URL, "http://")
-	h.agent.Beat(beat)
+	h.agent.HandleHeartbeat(beat)
 }
 
 // TestCrashIsReported checks which runs are reported as possible causes when their worker crashes: those that
@@ -76,7 +76,7 @@
 			h.advance(time.Second)
 			h.replaceWorker()
 		}, wire.EndReason_END_LOST, true},
-		"worker left": {func(h *harness, owner *ownerStream) { h.agent.Left(workerID) }, wire.EndReason_END_LOST, false},
+		"worker left": {func(h *harness, owner *ownerStream) { h.agent.HandleLeave(workerID) }, wire.EndReason_END_LOST, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/agent/drain_test.go
+++ b/agent/drain_test.go
@@ -47,10 +47,10 @@
 	h.sendDrainNotice(5 * time.Second)
 	cancelled := h.firstHeartbeat()
 	cancelled.Sequence = 3
-	h.agent.Beat(cancelled)
+	h.agent.HandleHeartbeat(cancelled)
 	draining := h.firstHeartbeat()
 	draining.Sequence, draining.Draining = 4, true
-	h.agent.Beat(draining)
+	h.agent.HandleHeartbeat(draining)
 	h.advance(6 * time.Second)
 	if !h.isRunning() {
 		t.Error("the run was stopped for the cancelled drain")
--- a/agent/ends.go
+++ b/agent/ends.go
@@ -86,7 +86,7 @@
 	state.lastListedEnd = end.Number
 	runEnd := &wire.RunEnd{
 		Worker: state.incarnation.WorkerID(), Born: state.incarnation.StartedMs(), Number: state.endNumberOffset + end.Number, Task: end.Task, Attempt: end.Attempt,
-		Reason: endReason(end.How), Checkpoint: end.Checkpoint,
+		Reason: endReason(end.Reason), Checkpoint: end.Checkpoint,
 	}
 	shard := agent.shardOf(end.Task)
 	state.pendingEnds[end.Number] = &pendingEnd{runEnd: runEnd, shard: shard, listedAt: now}
@@ -97,8 +97,8 @@
 		delete(state.runs, end.Task)
 	}
 	agent.log(event.RunEnded, slog.String("task", end.Task), slog.Int("attempt", int(end.Attempt)),
-		slog.String("how", string(end.How)), slog.Int64("number", end.Number), slog.Int64("connection", sessionID))
-	agent.metrics.runEnds.Add(agent.ctx, 1, telemetry.By("how", string(end.How)))
+		slog.String("how", string(end.Reason)), slog.Int64("number", end.Number), slog.Int64("connection", sessionID))
+	agent.metrics.runEnds.Add(agent.ctx, 1, telemetry.By("how", string(end.Reason)))
 	agent.queueEnd(runEnd, shard)
 	agent.markStatusChanged()
 }
@@ -114,8 +114,8 @@
 }
 
 // endReason converts the way in which a run ended to the reason that owners are told.
-func endReason(how platform.EndHow) wire.EndReason {
-	reasons := map[platform.EndHow]wire.EndReason{
+func endReason(how platform.EndReason) wire.EndReason {
+	reasons := map[platform.EndReason]wire.EndReason{
 		platform.EndDone:    wire.EndReason_END_DONE,
 		platform.EndFailed:  wire.EndReason_END_FAILED,
 		platform.EndStopped: wire.EndReason_END_STOPPED,
--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -65,7 +65,7 @@
 // TestRunsBeyondEndListLimitAreNotLost has more runs end at once than a worker lists ends. Runs that it lists
 // neither as running nor as ended are not lost: their ends are listed once the first ones are in the store.
 func TestRunsBeyondEndListLimitAreNotLost(t *testing.T) {
-	const runCount = platform.EndsListedMost + 20
+	const runCount = platform.MaxListedEnds + 20
 	h := newHarness(t)
 	taskName := func(i int) string { return fmt.Sprintf("%s.0.0.%d", otherJob, i) }
 	for i := range runCount {
--- a/agent/evacuation.go
+++ b/agent/evacuation.go
@@ -36,7 +36,7 @@
 // no longer is.
 func (agent *Agent) applyEvacuations(evacuations operator.Evacuations, asOf time.Time) {
 	before := agent.evacuationState.Evacuations()
-	agent.evacuationState.Note(evacuations, asOf)
+	agent.evacuationState.Update(evacuations, asOf)
 	after := agent.evacuationState.Evacuations()
 	domain := agent.failureDomain()
 	if before.Has(domain) == after.Has(domain) {
@@ -61,7 +61,7 @@
 // evacuations must be recent enough: were an evacuation requested right after they were read, the start
 // would still take effect within the evacuation deadline.
 func (agent *Agent) checkFailureDomain(now time.Time) operator.Verdict {
-	return agent.evacuationState.Judge(agent.failureDomain(), now, agent.options.EvacuationDeadline-maxStartTime)
+	return agent.evacuationState.Check(agent.failureDomain(), now, agent.options.EvacuationDeadline-maxStartTime)
 }
 
 // requestEvacuations makes FollowOperator read the operators' records.
--- a/agent/evacuation_test.go
+++ b/agent/evacuation_test.go
@@ -122,7 +122,7 @@
 			}
 			server := httptest.NewServer(store)
 			t.Cleanup(server.Close)
-			go h.agent.FollowOperator(h.ctx, platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport()))
+			go h.agent.FollowOperator(h.ctx, platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport()))
 			owner := h.attachReadyOwner(1)
 			owner.uptime = nil
 			if got := h.orderStart(owner, newStartOrder(1)); got != wire.StartOutcome_START_NOT_READY {
--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -167,7 +167,7 @@
 		Name: "side-1", Shards: shardCount, FirstToken: h.clock.Now().UnixMilli(), Clock: h.clock, Events: event.Discard(),
 		EvacuationDeadline: evacuationDeadline, Suspended: func() time.Duration { return time.Duration(h.suspendedFor.Load()) },
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
-			return platform.NewWorker(address, of, platform.Transport())
+			return platform.NewWorker(address, of, platform.NewTransport())
 		},
 	})
 	h.agentStartedAt = h.clock.Now()
@@ -189,14 +189,14 @@
 
 // sendHeartbeat sends the worker's first heartbeat.
 func (h *harness) sendHeartbeat() {
-	h.agent.Beat(h.firstHeartbeat())
+	h.agent.HandleHeartbeat(h.firstHeartbeat())
 }
 
 // sendDrainNotice sends a heartbeat of a worker that drains and stays for at least the remaining time.
 func (h *harness) sendDrainNotice(remaining time.Duration) {
 	heartbeat := h.firstHeartbeat()
 	heartbeat.Sequence, heartbeat.Draining, heartbeat.Remaining = 2, true, remaining
-	h.agent.Beat(heartbeat)
+	h.agent.HandleHeartbeat(heartbeat)
 }
 
 // attachOwner connects an owner that claims the test shard and grants its runs grantDuration.
--- a/agent/incarnation.go
+++ b/agent/incarnation.go
@@ -23,13 +23,13 @@
 	causeReplaced endCause = "replaced"
 )
 
-// Beat handles a heartbeat. It implements platform.Beats.
-func (agent *Agent) Beat(beat platform.Heartbeat) {
+// HandleHeartbeat handles a heartbeat. It implements platform.HeartbeatReceiver.
+func (agent *Agent) HandleHeartbeat(beat platform.Heartbeat) {
 	agent.eventLoop.Post(func(now time.Time) { agent.handleHeartbeat(beat, now) })
 }
 
-// Refused logs a heartbeat that names no usable worker. It implements platform.Beats.
-func (agent *Agent) Refused(id string, err error) {
+// HandleRejected logs a heartbeat that names no usable worker. It implements platform.HeartbeatReceiver.
+func (agent *Agent) HandleRejected(id string, err error) {
 	agent.eventLoop.Post(func(time.Time) { agent.logRefusedHeartbeat(id, err) })
 }
 
@@ -37,8 +37,8 @@
 	agent.log(event.HeartbeatRefused, slog.String("worker", id), slog.Any("error", err))
 }
 
-// Left handles the notice that the worker with the given ID has left. It implements platform.Beats.
-func (agent *Agent) Left(id string) {
+// HandleLeave handles the notice that the worker with the given ID has left. It implements platform.HeartbeatReceiver.
+func (agent *Agent) HandleLeave(id string) {
 	agent.eventLoop.Post(func(now time.Time) {
 		agent.log(event.WorkerLeft, slog.String("worker", id))
 		agent.handleLeft(id, now)
@@ -88,7 +88,7 @@
 	if beat.Sequence < current.heartbeat.Sequence {
 		return
 	}
-	changed := !current.heartbeat.SameWorker(beat)
+	changed := !current.heartbeat.HasSameDescription(beat)
 	current.heartbeat = beat
 	current.updateLeaveTime(now)
 	if changed {
--- a/agent/order.go
+++ b/agent/order.go
@@ -84,7 +84,7 @@
 	state.recordLease(leaseEnd)
 	start := platform.Start{
 		Task: run.task, Attempt: run.attempt, Spec: order.GetSpec(), Checkpoint: order.GetCheckpoint(),
-		Ticket: order.GetTicket(), LeaseEnd: leaseEnd, Token: state.token,
+		Ticket: order.GetTicket(), LeaseEnd: leaseEnd, FencingToken: state.token,
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(agent.ctx, callTimeout)
@@ -116,7 +116,7 @@
 	var failed *platform.RefusedError
 	switch {
 	case errors.As(err, &refused):
-		retryable := refused.Reason() == platform.RefusedFence || refused.Reason() == platform.RefusedLate
+		retryable := refused.Reason() == platform.RefusedFenced || refused.Reason() == platform.RefusedLeaseExpired
 		if verdict := agent.checkFailureDomain(now); retryable && verdict != operator.Permitted {
 			agent.failStart(state, run, domainOutcome(verdict), err)
 			return
@@ -153,13 +153,13 @@
 // refusalOutcome returns the outcome that owners are told when the worker refuses a start.
 func refusalOutcome(reason platform.StartRefusal) wire.StartOutcome {
 	switch reason {
-	case platform.RefusedRoom:
+	case platform.RefusedNoRoom:
 		return wire.StartOutcome_START_NO_ROOM
 	case platform.RefusedTicket:
 		return wire.StartOutcome_START_TICKET
-	case platform.RefusedOld:
+	case platform.RefusedStaleAttempt:
 		return wire.StartOutcome_START_STALE
-	case platform.RefusedFence, platform.RefusedLate:
+	case platform.RefusedFenced, platform.RefusedLeaseExpired:
 		return wire.StartOutcome_START_NOT_READY
 	}
 	return wire.StartOutcome_START_WORKER_FAILED
--- a/agent/poll.go
+++ b/agent/poll.go
@@ -38,7 +38,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(agent.ctx, wait+callTimeout)
 		defer cancel()
-		answer, err := state.client.Hold(ctx, leaseEnd, request.storedEnd, request.token, wait)
+		answer, err := state.client.Poll(ctx, leaseEnd, request.storedEnd, request.token, wait)
 		agent.eventLoop.Post(func(now time.Time) {
 			state.isPolling = false
 			if agent.worker == state {
@@ -71,7 +71,7 @@
 }
 
 // handlePollAnswer updates the state of the worker from its answer to a poll.
-func (agent *Agent) handlePollAnswer(state *workerState, request pollRequest, answer platform.Held, err error, now time.Time) {
+func (agent *Agent) handlePollAnswer(state *workerState, request pollRequest, answer platform.PollResult, err error, now time.Time) {
 	if state.isSuperseded {
 		return // The answer is outdated, or is not from this incarnation.
 	}
@@ -109,13 +109,13 @@
 	if agent.detectRestart(state, err, now) {
 		return
 	}
-	if platform.IsOtherIncarnation(err) {
+	if platform.IsMisdirected(err) {
 		// Only one worker runs on the machine, and it is another incarnation now.
 		agent.endIncarnation(state.incarnation, causeReplaced, now)
 		return
 	}
 	var refused *platform.StartError
-	if errors.As(err, &refused) && refused.Reason() == platform.RefusedFence {
+	if errors.As(err, &refused) && refused.Reason() == platform.RefusedFenced {
 		state.token += tokenStep
 		return
 	}
--- a/agent/reconcile.go
+++ b/agent/reconcile.go
@@ -11,13 +11,13 @@
 
 // reconcileRuns compares the runs that the worker lists with those that the agent knows of: it adopts unknown
 // runs, settles starts without an answer, and gives up runs that are no longer listed.
-func (agent *Agent) reconcileRuns(state *workerState, request pollRequest, answer platform.Held, now time.Time) {
+func (agent *Agent) reconcileRuns(state *workerState, request pollRequest, answer platform.PollResult, now time.Time) {
 	listed := map[string]bool{}
 	for _, run := range answer.Running {
 		listed[run.Task] = true
 		agent.updateRun(state, run, now)
 	}
-	if len(answer.Ended) >= platform.EndsListedMost {
+	if len(answer.Ended) >= platform.MaxListedEnds {
 		// The worker lists a limited number of ends. A run that is not listed may have an end beyond them.
 		return
 	}
@@ -54,8 +54,8 @@
 	}
 	run.updateWork(now)
 	run.checkpoint = listed.Checkpoint
-	run.progressPercent = listed.Percent
-	run.reading = listed.Figure
+	run.progressPercent = listed.ProgressPercent
+	run.reading = listed.Reading
 }
 
 // handleUnlistedRun handles a run that the worker does not list. A start without an answer has failed if the
--- a/agent/register.go
+++ b/agent/register.go
@@ -91,7 +91,7 @@
 	ctx, cancel := clockwork.WithTimeout(ctx, agent.options.Clock, registerTimeout)
 	defer cancel()
 	_, err = store.Append(ctx, platform.Append{
-		Topic: job.TopicAgents, Part: job.AgentPartition(agent.options.Name, agent.options.Shards),
+		Topic: job.TopicAgents, Partition: job.AgentPartition(agent.options.Name, agent.options.Shards),
 		Records: []platform.Record{{Key: agent.options.Name, Value: value}},
 	})
 	return err
--- a/agent/resources_test.go
+++ b/agent/resources_test.go
@@ -31,7 +31,7 @@
 			heartbeat := h.firstHeartbeat()
 			heartbeat.Sequence = 2
 			test.change(&heartbeat)
-			h.agent.Beat(heartbeat)
+			h.agent.HandleHeartbeat(heartbeat)
 			if got := h.orderStart(owner, newStartOrder(1)); got != test.want {
 				t.Errorf("start outcome %v, want %v", got, test.want)
 			}
--- a/agent/restart_test.go
+++ b/agent/restart_test.go
@@ -50,7 +50,7 @@
 func (h *harness) putHeartbeat(body string) int {
 	response := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPut, "/v1/instances/"+workerID, strings.NewReader(body))
-	platform.BeatHandler(h.agent).ServeHTTP(response, request)
+	platform.HeartbeatHandler(h.agent).ServeHTTP(response, request)
 	return response.Code
 }
 
@@ -243,7 +243,7 @@
 	owner := h.attachOwnerTo(h.worker)
 	h.sendHeartbeatOf(h.worker, 2, "draining")
 	h.advance(200 * time.Millisecond)
-	h.agent.Left(workerID)
+	h.agent.HandleLeave(workerID)
 	h.restartWorker(300 * time.Millisecond)
 	h.sendHeartbeatOf(h.worker, 1, "ready")
 	h.waitReadyAs(owner, h.worker)
@@ -600,7 +600,7 @@
 				served.CloseClientConnections()
 				served.Close()
 			})
-			go h.agent.Register(h.ctx, platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.Transport()), "10.0.0.1:1")
+			go h.agent.Register(h.ctx, platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.NewTransport()), "10.0.0.1:1")
 			first := h.worker
 			owner := h.attachOwnerTo(first)
 			h.restartDuringStart(owner)
--- a/agent/successor.go
+++ b/agent/successor.go
@@ -65,7 +65,7 @@
 		ctx, cancel := context.WithTimeout(agent.ctx, callTimeout)
 		defer cancel()
 		// This renews no lease and confirms no end. Another incarnation refuses the call in any case.
-		answer, err := next.client.Hold(ctx, 0, 0, token, 0)
+		answer, err := next.client.Poll(ctx, 0, 0, token, 0)
 		agent.eventLoop.Post(func(now time.Time) { agent.handleProbeAnswer(next, token, answer, err, now) })
 	}()
 }
@@ -81,21 +81,21 @@
 // ID nor any other incarnation answers, the successor replaces the present incarnation, provided that the
 // latter does not answer either and its lease has expired: only then are its runs certainly over, whichever
 // of the two is on the machine. Otherwise, the successor is probed again at its next heartbeat.
-func (agent *Agent) handleProbeAnswer(next *successor, token int64, answer platform.Held, err error, now time.Time) {
+func (agent *Agent) handleProbeAnswer(next *successor, token int64, answer platform.PollResult, err error, now time.Time) {
 	next.isProbing = false
 	if agent.successor != next || agent.endedIncarnations[next.heartbeat.Incarnation] {
 		return
 	}
 	next.probeAt = now.Add(probeRetryInterval)
 	current := agent.worker
-	var other *platform.AnotherLifeError
+	var other *platform.RestartedError
 	switch {
 	case errors.As(err, &other):
 		agent.dropSuccessor(next)
-		if current != nil && other.Found().IsOtherIncarnationOf(current.incarnation) {
-			agent.markSuperseded(current, other.Found(), now)
+		if current != nil && other.Incarnation().IsOtherIncarnationOf(current.incarnation) {
+			agent.markSuperseded(current, other.Incarnation(), now)
 		}
-	case platform.IsOtherIncarnation(err):
+	case platform.IsMisdirected(err):
 		agent.dropSuccessor(next)
 	case current != nil && next.heartbeat.Incarnation.IsOtherIncarnationOf(current.incarnation):
 		if err != nil {
@@ -113,7 +113,7 @@
 // previous incarnation is no longer polled.
 func (state *workerState) raiseProbeToken(next *successor, err error) {
 	var refused *platform.StartError
-	if !state.isSuperseded || !errors.As(err, &refused) || refused.Reason() != platform.RefusedFence {
+	if !state.isSuperseded || !errors.As(err, &refused) || refused.Reason() != platform.RefusedFenced {
 		return
 	}
 	state.token += tokenStep
@@ -130,7 +130,7 @@
 // handleRestartProbe handles the answer to a probe of a worker that has restarted under the ID of the present
 // incarnation. The successor replaces the present incarnation once it has answered a probe with its fencing
 // token and lists no runs.
-func (agent *Agent) handleRestartProbe(current *workerState, next *successor, token int64, answer platform.Held, now time.Time) {
+func (agent *Agent) handleRestartProbe(current *workerState, next *successor, token int64, answer platform.PollResult, now time.Time) {
 	agent.markSuperseded(current, next.heartbeat.Incarnation, now)
 	if next.fencingToken == 0 || token < next.fencingToken {
 		next.fencingToken = current.token + 1
@@ -173,11 +173,11 @@
 // detectRestart reports whether an error of a call says that another incarnation has answered, and marks the
 // state as superseded in that case.
 func (agent *Agent) detectRestart(state *workerState, err error, now time.Time) bool {
-	var other *platform.AnotherLifeError
+	var other *platform.RestartedError
 	if !errors.As(err, &other) {
 		return false
 	}
-	agent.markSuperseded(state, other.Found(), now)
+	agent.markSuperseded(state, other.Incarnation(), now)
 	return true
 }
 
--- a/agent/successor_test.go
+++ b/agent/successor_test.go
@@ -28,7 +28,7 @@
 			for sequence, id := range order {
 				beat := h.firstHeartbeat()
 				beat.Incarnation, beat.Sequence = incarnation.New(id, 0), int64(sequence+1)
-				h.agent.Beat(beat)
+				h.agent.HandleHeartbeat(beat)
 				h.advance(100 * time.Millisecond)
 			}
 			h.waitFor(func() bool {
@@ -60,10 +60,10 @@
 	owner := h.attachOwner(1)
 	earlier, present := h.firstHeartbeat(), h.firstHeartbeat()
 	earlier.Incarnation = incarnation.New("i-0", 0)
-	h.agent.Beat(earlier)
-	h.agent.Beat(present)
-	h.agent.Left(earlier.Incarnation.WorkerID())
-	h.agent.Beat(present)
+	h.agent.HandleHeartbeat(earlier)
+	h.agent.HandleHeartbeat(present)
+	h.agent.HandleLeave(earlier.Incarnation.WorkerID())
+	h.agent.HandleHeartbeat(present)
 	isManaged := func(message *wire.AgentMessage) bool { return message.GetStatus().GetWorker() == workerID }
 	h.waitFor(func() bool { return owner.lastMatching(isManaged) != nil })
 	close(release)
@@ -94,7 +94,7 @@
 	late := h.firstHeartbeat()
 	late.Incarnation = incarnation.New("i-0", 0)
 	for h.worker.Clock() < leaseEnd-100*time.Millisecond {
-		h.agent.Beat(late)
+		h.agent.HandleHeartbeat(late)
 		h.advanceUnpolled(200 * time.Millisecond)
 		if end := owner.firstEnd(); end != nil {
 			t.Fatalf("the run was reported as %v, %v before the end of its lease", end.GetReason(), leaseEnd-h.worker.Clock())
--- a/agent/suspended.go
+++ b/agent/suspended.go
@@ -20,5 +20,5 @@
 	for _, claim := range agent.claims {
 		claim.grantedUntil = claim.grantedUntil.Add(-suspended)
 	}
-	agent.evacuationState.Age(suspended)
+	agent.evacuationState.Backdate(suspended)
 }
--- a/command/evacuate.go
+++ b/command/evacuate.go
@@ -47,7 +47,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, evacuatePatience)
 	defer cancel()
-	store := platform.NewStore(loaded.StoreAddress(), platform.Transport())
+	store := platform.NewStore(loaded.StoreAddress(), platform.NewTransport())
 	if domain := from.Args().First(); domain != "" {
 		if err := evacuate(ctx, store, domain, from.Bool("end")); err != nil {
 			return &exitError{code: ExitUnreachable, cause: err}
--- a/command/platform.go
+++ b/command/platform.go
@@ -95,7 +95,7 @@
 		return err
 	}
 	go reloadOnSignal(logCtx, running, path)
-	return runRole(ctx, running, time.Duration(float64(loaded.Grace())*graceShare))
+	return runRole(ctx, running, time.Duration(float64(loaded.GracePeriod())*graceShare))
 }
 
 func logDropped(ctx context.Context, writer *event.AsyncWriter, events *event.Logger) {
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -83,7 +83,7 @@
 	}
 	return base{
 		events: events.With("role", role, "name", settings.Name()), metering: metering,
-		clock: clockwork.NewRealClock(), clocks: clocks, store: platform.NewStore(settings.StoreAddress(), platform.Transport()),
+		clock: clockwork.NewRealClock(), clocks: clocks, store: platform.NewStore(settings.StoreAddress(), platform.NewTransport()),
 	}, nil
 }
 
@@ -96,14 +96,14 @@
 	address := settings.InternalAddress(gatewayPort)
 	pool := rpc.NewPool(nil)
 	owning := owner.New(owner.Options{
-		Name: settings.Name(), Address: address, FailureDomain: settings.FailureDomain(), Shards: settings.Parts(),
+		Name: settings.Name(), Address: address, FailureDomain: settings.FailureDomain(), Shards: settings.Partitions(),
 		Strong:        candidacy.IsStrong(settings.Cores()),
-		GrantDuration: min(grantMost, settings.LeaseMost()), MemberTimeout: max(ownerSilent, settings.MembershipLeast()), JobRetention: settings.StatusKept(),
+		GrantDuration: min(grantMost, settings.MaxLease()), MemberTimeout: max(ownerSilent, settings.MinMemberTimeout()), JobRetention: settings.JobRetention(),
 		Store: made.store, Advisor: advisor(settings), Dial: rpc.DialOne, Clock: made.clock, Suspended: made.clocks.Suspended,
 		Events: made.events, Meters: made.metering.Provider(),
 	})
 	front := gateway.New(gateway.Options{
-		Name: settings.Name(), Shards: settings.Parts(), Store: made.store, Owner: owning,
+		Name: settings.Name(), Shards: settings.Partitions(), Store: made.store, Owner: owning,
 		Self: owning.MemberName(), Pool: pool, Clock: made.clock, Events: made.events, Meters: made.metering.Provider(),
 	})
 	running := &Gateway{Daemon: Daemon{kern: kernel.New(), events: made.events}}
@@ -113,19 +113,19 @@
 		runService(ServiceOwner, owning.Run, owning, ServicePool),
 		roleService(front.Run, front, ServiceOwner, ServiceMetrics),
 		rpcService(address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterPeer(mux, owning) }),
-		httpService(ServiceHTTP, []string{ServiceRole}, settings.FrontAddress(), front),
-		httpService(ServiceReadiness, []string{ServiceRole}, settings.ReadyAddress(), readyHandler(front.Ready)),
-		httpService("scrape", nil, settings.AddressAt(metricsPort), adminMux(made.metering, front.Ready)),
+		httpService(ServiceHTTP, []string{ServiceRole}, settings.ClientAddress(), front),
+		httpService(ServiceReadiness, []string{ServiceRole}, settings.ReadinessAddress(), readyHandler(front.Ready)),
+		httpService("scrape", nil, settings.AddressWithPort(metricsPort), adminMux(made.metering, front.Ready)),
 		gatewayDrainService(front, owning),
 	)
 }
 
 // advisor returns a client of the advice service where there is one.
 func advisor(settings platform.Settings) *platform.Advisor {
-	if settings.AdviceAddress() == "" {
+	if settings.AdvisorAddress() == "" {
 		return nil
 	}
-	return platform.NewAdvisor(settings.AdviceAddress(), platform.Transport())
+	return platform.NewAdvisor(settings.AdvisorAddress(), platform.NewTransport())
 }
 
 func readyHandler(ready func() bool) http.Handler {
@@ -164,12 +164,12 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := platform.Transport()
+	transport := platform.NewTransport()
 	address := settings.InternalAddress(agentPort)
 	beside := agent.New(agent.Options{
-		Name: settings.Name(), FailureDomain: settings.FailureDomain(), Shards: settings.Parts(), FirstToken: made.clock.Now().UnixMilli(), MaxTargetMiss: settings.HarmAfter(),
-		EvacuationDeadline: settings.EvacuateWithin(), RestoreTime: settings.RestoreTakes(), CheckpointInterval: settings.SaveEvery(),
-		MaxLease: settings.LeaseMost(),
+		Name: settings.Name(), FailureDomain: settings.FailureDomain(), Shards: settings.Partitions(), FirstToken: made.clock.Now().UnixMilli(), MaxTargetMiss: settings.MaxTargetMiss(),
+		EvacuationDeadline: settings.EvacuationDeadline(), RestoreTime: settings.RestoreTime(), CheckpointInterval: settings.CheckpointInterval(),
+		MaxLease: settings.MaxLease(),
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
 			return platform.NewWorker(address, of, transport)
 		},
@@ -182,8 +182,8 @@
 		rpcService(address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, beside) }),
 		runService("register", func(ctx context.Context) { beside.Register(ctx, made.store, address) }, nil, ServiceRPC),
 		runService("operator", func(ctx context.Context) { beside.FollowOperator(ctx, made.store) }, nil, ServiceRole),
-		httpService(ServiceBeats, []string{ServiceRole}, settings.BeatAddress(), platform.BeatHandler(beside)),
-		httpService("scrape", nil, settings.AddressAt(metricsPort), adminMux(made.metering, func() bool { return true })),
+		httpService(ServiceBeats, []string{ServiceRole}, settings.HeartbeatAddress(), platform.HeartbeatHandler(beside)),
+		httpService("scrape", nil, settings.AddressWithPort(metricsPort), adminMux(made.metering, func() bool { return true })),
 	)
 }
 
--- a/gateway/append.go
+++ b/gateway/append.go
@@ -53,7 +53,7 @@
 // to be away nothing is sent, so that the refusal is true and comes at once.
 func (gateway *Gateway) append(ctx context.Context, id, key string, value []byte) outcome {
 	shard := job.ShardOf(id, gateway.options.Shards)
-	add := platform.Append{Topic: job.TopicJobs, Part: shard, Records: []platform.Record{{Key: key, Value: value}}}
+	add := platform.Append{Topic: job.TopicJobs, Partition: shard, Records: []platform.Record{{Key: key, Value: value}}}
 	if gateway.outage.known(gateway.options.Clock.Now()) {
 		return outcome{kind: refused, reason: "the platform's store is away"}
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -103,8 +103,8 @@
 		answer.WriteHeader(http.StatusNotFound)
 		return
 	}
-	id := queue.Rest(request.URL.Path)
-	ctx, cancel := context.WithTimeout(request.Context(), platform.Deadline(request, answerWithin)-answerMargin)
+	id := queue.TrimPrefix(request.URL.Path)
+	ctx, cancel := context.WithTimeout(request.Context(), platform.ClientTimeout(request, answerWithin)-answerMargin)
 	defer cancel()
 	request = request.WithContext(ctx)
 	switch {
@@ -133,7 +133,7 @@
 
 func (gateway *Gateway) submit(answer http.ResponseWriter, request *http.Request, configuration *platform.Configuration, queue *platform.Queue, id string) {
 	now := gateway.options.Clock.Now()
-	body, err := io.ReadAll(http.MaxBytesReader(answer, request.Body, max(configuration.BodyMost(), bodyMost)))
+	body, err := io.ReadAll(http.MaxBytesReader(answer, request.Body, max(configuration.MaxBodyBytes(), bodyMost)))
 	if err != nil {
 		answer.WriteHeader(http.StatusBadRequest)
 		return
@@ -204,7 +204,7 @@
 	case !reply.GetKnown():
 		answer.WriteHeader(http.StatusGone)
 	default:
-		platform.AnswerState(answer, reply.GetState())
+		platform.WriteState(answer, reply.GetState())
 	}
 }
 
@@ -224,5 +224,5 @@
 		sayWhen(answer, http.StatusServiceUnavailable)
 		return
 	}
-	platform.AnswerPending(answer, count)
+	platform.WritePending(answer, count)
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -38,7 +38,7 @@
 		behind.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(published))
 	}
 	server := httptest.NewServer(behind)
-	store := platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport())
+	store := platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport())
 	clock := clockwork.NewRealClock()
 	scheduling := owner.New(owner.Options{
 		Name: "edge-1", Strong: true, Address: "127.0.0.1:1", Shards: shards, GrantDuration: time.Second, MemberTimeout: time.Second, Store: store,
--- a/operator/evacuations.go
+++ b/operator/evacuations.go
@@ -46,8 +46,8 @@
 	return found
 }
 
-// Less returns the failure domains of these that are not evacuated in others.
-func (of Evacuations) Less(others Evacuations) []string {
+// Difference returns the failure domains of these that are not evacuated in others.
+func (of Evacuations) Difference(others Evacuations) []string {
 	var missing []string
 	for _, domain := range of.domains {
 		if !others.Has(domain) {
--- a/operator/knowledge.go
+++ b/operator/knowledge.go
@@ -19,23 +19,23 @@
 	Outdated
 )
 
-// Knowledge is what a process knows of evacuations. The zero value knows nothing.
-type Knowledge struct {
+// EvacuationState is what a process knows of evacuations. The zero value knows nothing.
+type EvacuationState struct {
 	evacuations Evacuations
 	asOf        time.Time
 }
 
 // Evacuations returns what is known.
-func (known *Knowledge) Evacuations() Evacuations { return known.evacuations }
+func (known *EvacuationState) Evacuations() Evacuations { return known.evacuations }
 
 // AsOf returns the moment up to which everything that operators wrote is taken account
 // of; zero while nothing is known.
-func (known *Knowledge) AsOf() time.Time { return known.asOf }
+func (known *EvacuationState) AsOf() time.Time { return known.asOf }
 
-// Note takes in what was found in the store as of a moment, here or by another process.
+// Update takes in what was found in the store as of a moment, here or by another process.
 // Of two versions the higher one holds. The later moment holds in any case: whoever saw
 // no more than a lower version then proves that the higher one was written after it.
-func (known *Knowledge) Note(told Evacuations, asOf time.Time) {
+func (known *EvacuationState) Update(told Evacuations, asOf time.Time) {
 	if known.asOf.IsZero() || told.version > known.evacuations.version {
 		known.evacuations = told
 	}
@@ -44,16 +44,16 @@
 	}
 }
 
-// Age makes what is known older by a time that the clock did not count.
-func (known *Knowledge) Age(uncounted time.Duration) {
+// Backdate makes what is known older by a time that the clock did not count.
+func (known *EvacuationState) Backdate(uncounted time.Duration) {
 	if !known.asOf.IsZero() {
 		known.asOf = known.asOf.Add(-uncounted)
 	}
 }
 
-// Judge says whether a task may be started in a failure domain by what was known at most
+// Check says whether a task may be started in a failure domain by what was known at most
 // so long ago.
-func (known *Knowledge) Judge(domain string, now time.Time, oldest time.Duration) Verdict {
+func (known *EvacuationState) Check(domain string, now time.Time, oldest time.Duration) Verdict {
 	switch {
 	case known.evacuations.Has(domain):
 		return Evacuated
@@ -63,9 +63,9 @@
 	return Permitted
 }
 
-// clockSlack is what two clocks may differ by over a while: each runs wrong by less than
+// maxClockDrift is what two clocks may differ by over a while: each runs wrong by less than
 // the bound that leases assume.
-const clockSlack = 2 * lease.ClockRateBound
+const maxClockDrift = 2 * lease.ClockRateBound
 
 // PeerUptime translates a moment of this process's clock to the uptime of a peer, which
 // was at least uptime when it was heard. The result is never later than the moment was
@@ -73,7 +73,7 @@
 func PeerUptime(moment, heardAt time.Time, uptime time.Duration) time.Duration {
 	since := moment.Sub(heardAt)
 	if since < 0 {
-		return uptime + time.Duration(float64(since)*(1+clockSlack))
+		return uptime + time.Duration(float64(since)*(1+maxClockDrift))
 	}
-	return uptime + time.Duration(float64(since)*(1-clockSlack))
+	return uptime + time.Duration(float64(since)*(1-maxClockDrift))
 }
--- a/operator/knowledge_test.go
+++ b/operator/knowledge_test.go
@@ -7,7 +7,7 @@
 	"ambertiller.example/ambertiller/operator"
 )
 
-func TestJudge(t *testing.T) {
+func TestCheck(t *testing.T) {
 	const oldest = 4 * time.Second
 	began := time.Unix(1_700_000_000, 0)
 	at := func(seconds int) time.Time { return began.Add(time.Duration(seconds) * time.Second) }
@@ -34,11 +34,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var known operator.Knowledge
+			var known operator.EvacuationState
 			for _, one := range test.told {
-				known.Note(operator.NewEvacuations(one.version, one.domains), one.asOf)
+				known.Update(operator.NewEvacuations(one.version, one.domains), one.asOf)
 			}
-			if got := known.Judge("milano-a", test.now, oldest); got != test.want {
+			if got := known.Check("milano-a", test.now, oldest); got != test.want {
 				t.Errorf("got %v", got)
 			}
 		})
--- a/operator/model_test.go
+++ b/operator/model_test.go
@@ -15,18 +15,18 @@
 // that the states are finite and all behaviours of any length are gone through.
 const (
 	modelStep = time.Second
-	// modelWithin is how soon an evacuation holds, modelStart how long a start takes.
-	modelWithin = 3
-	modelStart  = 1
-	// oldestAge stands for itself and all higher ages.
-	oldestAge = int8(modelWithin + 1)
+	// modelDeadline is how soon an evacuation holds, modelStartTime how long a start takes.
+	modelDeadline  = 3
+	modelStartTime = 1
+	// maxModelAge stands for itself and all higher ages.
+	maxModelAge = int8(modelDeadline + 1)
 	// never is the age of what has not happened.
 	never = int8(-1)
 )
 
-// modelKnowledge is a Knowledge that can be compared: whether the domain is known to be
+// modelEvacuationState is a Knowledge that can be compared: whether the domain is known to be
 // evacuated, as of how many steps ago.
-type modelKnowledge struct {
+type modelEvacuationState struct {
 	evacuated bool
 	age       int8
 }
@@ -34,152 +34,152 @@
 // modelOwner is one owner: what it knows, its read on its way, and its order on its way
 // with the age, on the agent's clock, of what it states to know.
 type modelOwner struct {
-	known modelKnowledge
-	asked int8
-	order int8
+	known    modelEvacuationState
+	readAge  int8
+	orderAge int8
 }
 
 // modelState is one state of everything.
 type modelState struct {
-	written int8
-	owners  [2]modelOwner
-	agent   modelKnowledge
+	evacuationAge int8
+	owners        [2]modelOwner
+	agent         modelEvacuationState
 }
 
 // modelRules are what the processes go by; broken ones are tried too.
 type modelRules struct {
-	// stated is the age that an owner's order states, by that of its knowledge, that of
+	// statedAge is the age that an owner's order states, by that of its knowledge, that of
 	// the agent's last word, and how long this was on its way.
-	stated func(known, heard, delay int8) int8
-	// oldest is how old knowledge may be that permits a start.
-	oldest time.Duration
+	statedAge func(known, heard, delay int8) int8
+	// maxAge is how old knowledge may be that permits a start.
+	maxAge time.Duration
 }
 
 // The present of the model, and the agent's uptime at it.
 const modelUptime = time.Hour
 
-var present = time.Unix(1_700_000_000, 0)
+var modelNow = time.Unix(1_700_000_000, 0)
 
-func ago(age int8) time.Time { return present.Add(-time.Duration(age) * modelStep) }
+func ago(age int8) time.Time { return modelNow.Add(-time.Duration(age) * modelStep) }
 
-// ageOf returns the age of a moment, in whole steps.
-func ageOf(moment time.Time) int8 {
-	return int8(min(present.Sub(moment)/modelStep, time.Duration(oldestAge)))
+// ageAt returns the age of a moment, in whole steps.
+func ageAt(moment time.Time) int8 {
+	return int8(min(modelNow.Sub(moment)/modelStep, time.Duration(maxModelAge)))
 }
 
-func (known modelKnowledge) whole() *operator.Knowledge {
-	made := &operator.Knowledge{}
+func (known modelEvacuationState) toState() *operator.EvacuationState {
+	made := &operator.EvacuationState{}
 	if known.age != never {
-		made.Note(evacuations(known.evacuated), ago(known.age))
+		made.Update(newEvacuations(known.evacuated), ago(known.age))
 	}
 	return made
 }
 
-func evacuations(evacuated bool) operator.Evacuations {
+func newEvacuations(evacuated bool) operator.Evacuations {
 	if evacuated {
 		return operator.NewEvacuations(2, []string{"a"})
 	}
 	return operator.NewEvacuations(1, nil)
 }
 
-func (known modelKnowledge) note(evacuated bool, age int8) modelKnowledge {
-	whole := known.whole()
-	whole.Note(evacuations(evacuated), ago(age))
-	return modelKnowledge{evacuated: whole.Evacuations().Has("a"), age: ageOf(whole.AsOf())}
+func (known modelEvacuationState) update(evacuated bool, age int8) modelEvacuationState {
+	whole := known.toState()
+	whole.Update(newEvacuations(evacuated), ago(age))
+	return modelEvacuationState{evacuated: whole.Evacuations().Has("a"), age: ageAt(whole.AsOf())}
 }
 
-func older(age int8) int8 {
+func increment(age int8) int8 {
 	if age == never {
 		return never
 	}
-	return min(age+1, oldestAge)
+	return min(age+1, maxModelAge)
 }
 
-// later returns the state one step later.
-func (state modelState) later() modelState {
-	state.written = older(state.written)
-	state.agent.age = older(state.agent.age)
+// advance returns the state one step later.
+func (state modelState) advance() modelState {
+	state.evacuationAge = increment(state.evacuationAge)
+	state.agent.age = increment(state.agent.age)
 	for index := range state.owners {
 		owner := &state.owners[index]
-		owner.known.age, owner.asked, owner.order = older(owner.known.age), older(owner.asked), older(owner.order)
+		owner.known.age, owner.readAge, owner.orderAge = increment(owner.known.age), increment(owner.readAge), increment(owner.orderAge)
 	}
 	return state
 }
 
-// next passes on the states that may follow, and reports a start that comes too late.
-func (state modelState) next(rules modelRules, follow func(modelState)) (late bool) {
-	follow(state.later())
-	if state.written == never {
+// visitNext passes on the states that may follow, and reports a start that comes too late.
+func (state modelState) visitNext(rules modelRules, follow func(modelState)) (late bool) {
+	follow(state.advance())
+	if state.evacuationAge == never {
 		written := state
-		written.written = 0
+		written.evacuationAge = 0
 		follow(written)
 	}
 	restarted := state
-	restarted.agent = modelKnowledge{age: never}
+	restarted.agent = modelEvacuationState{age: never}
 	for index := range restarted.owners {
-		restarted.owners[index].order = never // Its streams have ended.
+		restarted.owners[index].orderAge = never // Its streams have ended.
 	}
 	follow(restarted)
 	for index := range state.owners {
-		state.nextOwner(index, rules, follow)
-		late = state.deliver(index, rules, follow) || late
+		state.visitOwnerSteps(index, rules, follow)
+		late = state.deliverOrder(index, rules, follow) || late
 	}
 	return late
 }
 
-// nextOwner passes on the states that may follow by what one owner does.
-func (state modelState) nextOwner(index int, rules modelRules, follow func(modelState)) {
+// visitOwnerSteps passes on the states that may follow by what one owner does.
+func (state modelState) visitOwnerSteps(index int, rules modelRules, follow func(modelState)) {
 	owner := state.owners[index]
 	with := func(changed modelOwner) {
 		state.owners[index] = changed
 		follow(state)
 	}
-	with(modelOwner{known: modelKnowledge{age: never}, asked: never, order: never})
+	with(modelOwner{known: modelEvacuationState{age: never}, readAge: never, orderAge: never})
 	asking := owner
-	asking.asked = 0
+	asking.readAge = 0
 	with(asking)
-	if owner.asked != never {
+	if owner.readAge != never {
 		answered := owner
-		answered.known, answered.asked = owner.known.note(state.written != never, owner.asked), never
+		answered.known, answered.readAge = owner.known.update(state.evacuationAge != never, owner.readAge), never
 		with(answered)
 	}
 	if owner.known.age == never || owner.known.evacuated {
 		return
 	}
-	for heard := range oldestAge {
-		for delay := range oldestAge {
+	for heard := range maxModelAge {
+		for delay := range maxModelAge {
 			ordering := owner
-			ordering.order = rules.stated(owner.known.age, heard, delay)
+			ordering.orderAge = rules.statedAge(owner.known.age, heard, delay)
 			with(ordering)
 		}
 	}
 }
 
-// deliver has the agent decide on an owner's order.
-func (state modelState) deliver(index int, rules modelRules, follow func(modelState)) (late bool) {
-	age := state.owners[index].order
+// deliverOrder has the agent decide on an owner's order.
+func (state modelState) deliverOrder(index int, rules modelRules, follow func(modelState)) (late bool) {
+	age := state.owners[index].orderAge
 	if age == never {
 		return false
 	}
-	state.owners[index].order = never
-	state.agent = state.agent.note(false, age)
+	state.owners[index].orderAge = never
+	state.agent = state.agent.update(false, age)
 	follow(state)
-	if state.agent.whole().Judge("a", present, rules.oldest) != operator.Permitted {
+	if state.agent.toState().Check("a", modelNow, rules.maxAge) != operator.Permitted {
 		return false
 	}
-	return state.written != never && state.written+modelStart > modelWithin
+	return state.evacuationAge != never && state.evacuationAge+modelStartTime > modelDeadline
 }
 
-// search goes through all states and reports whether a start comes too late in any.
-func (rules modelRules) search() (states int, late bool) {
-	nobody := modelOwner{known: modelKnowledge{age: never}, asked: never, order: never}
-	begin := modelState{written: never, owners: [2]modelOwner{nobody, nobody}, agent: modelKnowledge{age: never}}
+// explore goes through all states and reports whether a start comes too late in any.
+func (rules modelRules) explore() (states int, late bool) {
+	nobody := modelOwner{known: modelEvacuationState{age: never}, readAge: never, orderAge: never}
+	begin := modelState{evacuationAge: never, owners: [2]modelOwner{nobody, nobody}, agent: modelEvacuationState{age: never}}
 	seen := map[modelState]bool{begin: true}
 	open := []modelState{begin}
 	for len(open) > 0 && !late {
 		state := open[len(open)-1]
 		open = open[:len(open)-1]
-		late = state.next(rules, func(after modelState) {
+		late = state.visitNext(rules, func(after modelState) {
 			if !seen[after] {
 				seen[after] = true
 				open = append(open, after)
@@ -192,10 +192,10 @@
 // TestNoStartAfterEvacuation: with the rules that are built no behaviour of the model has a
 // start after the evacuation holds; with each broken one there is such a behaviour.
 func TestNoStartAfterEvacuation(t *testing.T) {
-	const oldest = (modelWithin - modelStart) * modelStep
+	const oldest = (modelDeadline - modelStartTime) * modelStep
 	translated := func(known, heard, delay int8) int8 {
 		uptime := modelUptime - time.Duration(heard+delay)*modelStep
-		return ageOf(present.Add(operator.PeerUptime(ago(known), ago(heard), uptime) - modelUptime))
+		return ageAt(modelNow.Add(operator.PeerUptime(ago(known), ago(heard), uptime) - modelUptime))
 	}
 	tests := map[string]struct {
 		rules modelRules
@@ -206,14 +206,14 @@
 			return translated(0, heard, delay)
 		}, oldest}, true},
 		"the agent does not look at the age":      {modelRules{translated, time.Hour}, true},
-		"the time that a start takes is left out": {modelRules{translated, modelWithin * modelStep}, true},
+		"the time that a start takes is left out": {modelRules{translated, modelDeadline * modelStep}, true},
 		"the agent's word counts as of its arrival at the owner, whenever that read": {modelRules{func(known, heard, _ int8) int8 {
 			return min(known, heard)
 		}, oldest}, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			states, late := test.rules.search()
+			states, late := test.rules.explore()
 			t.Logf("%d states", states)
 			if late != test.late {
 				t.Errorf("a start comes too late: %v", late)
--- a/operator/reader_test.go
+++ b/operator/reader_test.go
@@ -15,18 +15,18 @@
 	"ambertiller.example/ambertiller/standin/wirestore"
 )
 
-// written is what the tests write into the operator's topic.
-type written struct{ store *wirestore.Store }
+// topicWriter is what the tests write into the operator's topic.
+type topicWriter struct{ store *wirestore.Store }
 
-func (by written) evacuate(domain string) {
+func (by topicWriter) evacuate(domain string) {
 	by.store.Put(platform.OperatorTopic, 0, platform.EvacuationKey(domain), []byte("{}"))
 }
 
-func (by written) giveBack(domain string) {
+func (by topicWriter) endEvacuation(domain string) {
 	by.store.Put(platform.OperatorTopic, 0, platform.EvacuationKey(domain), nil)
 }
 
-func (by written) configure() {
+func (by topicWriter) writeConfiguration() {
 	by.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(`{"version":1}`))
 }
 
@@ -34,27 +34,27 @@
 // failure domains that are evacuated.
 func TestReader(t *testing.T) {
 	tests := map[string]struct {
-		before, between func(by written)
+		before, between func(by topicWriter)
 		want            []string
 	}{
-		"nothing was written":         {func(written) {}, func(written) {}, nil},
-		"evacuated before the reader": {func(by written) { by.evacuate("a") }, written.configure, []string{"a"}},
-		"evacuated after it":          {written.configure, func(by written) { by.evacuate("a") }, []string{"a"}},
-		"several": {func(by written) { by.evacuate("b") }, func(by written) {
+		"nothing was written":         {func(topicWriter) {}, func(topicWriter) {}, nil},
+		"evacuated before the reader": {func(by topicWriter) { by.evacuate("a") }, topicWriter.writeConfiguration, []string{"a"}},
+		"evacuated after it":          {topicWriter.writeConfiguration, func(by topicWriter) { by.evacuate("a") }, []string{"a"}},
+		"several": {func(by topicWriter) { by.evacuate("b") }, func(by topicWriter) {
 			by.evacuate("a")
 			by.evacuate("c")
 		}, []string{"a", "b", "c"}},
-		"given back": {func(by written) { by.evacuate("a") }, func(by written) { by.giveBack("a") }, nil},
-		"given back and evacuated again": {func(by written) { by.evacuate("a") }, func(by written) {
-			by.giveBack("a")
+		"given back": {func(by topicWriter) { by.evacuate("a") }, func(by topicWriter) { by.endEvacuation("a") }, nil},
+		"given back and evacuated again": {func(by topicWriter) { by.evacuate("a") }, func(by topicWriter) {
+			by.endEvacuation("a")
 			by.evacuate("a")
 		}, []string{"a"}},
-		"evacuated just before history was dropped": {written.configure, func(by written) {
+		"evacuated just before history was dropped": {topicWriter.writeConfiguration, func(by topicWriter) {
 			by.evacuate("a")
 			by.store.DropHistory()
 		}, []string{"a"}},
-		"given back just before history was dropped": {func(by written) { by.evacuate("a") }, func(by written) {
-			by.giveBack("a")
+		"given back just before history was dropped": {func(by topicWriter) { by.evacuate("a") }, func(by topicWriter) {
+			by.endEvacuation("a")
 			by.store.DropHistory()
 		}, nil},
 	}
@@ -64,20 +64,20 @@
 			store := wirestore.New(1, clock.Now)
 			server := httptest.NewServer(store)
 			t.Cleanup(server.Close)
-			reader := operator.NewReader(platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport()), clock)
-			test.before(written{store})
-			first := readOnce(t, reader)
+			reader := operator.NewReader(platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport()), clock)
+			test.before(topicWriter{store})
+			first := mustRead(t, reader)
 			if !first.AsOf.Equal(clock.Now()) {
 				t.Errorf("known as of %v", first.AsOf)
 			}
-			test.between(written{store})
+			test.between(topicWriter{store})
 			clock.Advance(time.Second)
 			store.Fail(func(string) wirestore.Fault { return wirestore.FaultReset })
 			if _, err := reader.Read(context.Background()); err == nil {
 				t.Error("a read that was broken off found something")
 			}
 			store.Fail(nil)
-			news := readOnce(t, reader)
+			news := mustRead(t, reader)
 			if !news.AsOf.Equal(clock.Now()) || !slices.Equal(news.Evacuations.Domains(), test.want) {
 				t.Errorf("known %v as of %v", news.Evacuations.Domains(), news.AsOf)
 			}
@@ -88,8 +88,8 @@
 	}
 }
 
-// readOnce reads until a read finds something, as its caller does.
-func readOnce(t *testing.T, reader *operator.Reader) operator.News {
+// mustRead reads until a read finds something, as its caller does.
+func mustRead(t *testing.T, reader *operator.Reader) operator.Update {
 	t.Helper()
 	const tries = 3 // one finds that history is gone, the next begins anew
 	for range tries {
@@ -98,5 +98,5 @@
 		}
 	}
 	t.Fatal("the reader found nothing")
-	return operator.News{}
+	return operator.Update{}
 }
--- a/owner/advice.go
+++ b/owner/advice.go
@@ -184,7 +184,7 @@
 	if step.queried == nil || now.After(step.expiresAt) {
 		step.queried, step.tickets = map[incarnation.ID]bool{}, map[incarnation.ID]ticket{}
 	}
-	step.expiresAt = now.Add(advice.Valid)
+	step.expiresAt = now.Add(advice.ValidFor)
 	for _, worker := range workers {
 		step.queried[worker] = true
 		if token, found := advice.Tickets[worker.WorkerID()]; found {
@@ -193,7 +193,7 @@
 	}
 	owner.placementChanges.addAll()
 	owner.log(event.AdviceTaken, slog.String("step", name), slog.Int("asked", len(workers)),
-		slog.Int("good", len(advice.Tickets)), slog.Duration("valid", advice.Valid))
+		slog.Int("good", len(advice.Tickets)), slog.Duration("valid", advice.ValidFor))
 }
 
 // dropAdvice removes all tickets of a step after a worker has refused one.
--- a/owner/advice_test.go
+++ b/owner/advice_test.go
@@ -40,7 +40,7 @@
 	h := newHarness(t)
 	h.attach()
 	now := h.clock.Now()
-	h.owner.options.Advisor = platform.NewAdvisor("127.0.0.1:1", platform.Transport())
+	h.owner.options.Advisor = platform.NewAdvisor("127.0.0.1:1", platform.NewTransport())
 	h.owner.advice.steps["no worker"] = &stepAdvice{timing: adviceTiming(), service: "another", pending: true}
 	h.owner.advice.steps["last"] = &stepAdvice{timing: adviceTiming(), service: "verbale", pending: true}
 	h.owner.advice.queue = []string{"forgotten", "no worker", "last"}
--- a/owner/again_test.go
+++ b/owner/again_test.go
@@ -70,7 +70,7 @@
 			t.Run(name+when, func(t *testing.T) {
 				made := newHarness(t)
 				read := func() {
-					made.owner.applyAgentRecords(platform.Tail{Records: []platform.Record{newRecord(t, "side-1", test.ended)}}, made.clock.Now())
+					made.owner.applyAgentRecords(platform.ReadResult{Records: []platform.Record{newRecord(t, "side-1", test.ended)}}, made.clock.Now())
 				}
 				if before {
 					read()
@@ -195,7 +195,7 @@
 	if len(asked) != 1 {
 		t.Fatalf("asks about %v", asked)
 	}
-	made.owner.handleAdvice(name, known, asked, platform.Advice{Tickets: map[string]string{workerID: "t-1"}, Valid: time.Minute}, nil, now)
+	made.owner.handleAdvice(name, known, asked, platform.Advice{Tickets: map[string]string{workerID: "t-1"}, ValidFor: time.Minute}, nil, now)
 	if best := made.owner.bestWorker(task, made.owner.candidates(made.owner.agentViews(), now), now); best == nil {
 		t.Fatal("no place with a ticket")
 	}
--- a/owner/agents.go
+++ b/owner/agents.go
@@ -121,7 +121,7 @@
 	return next
 }
 
-func (owner *Owner) readAgentRecords(ctx context.Context, part int, next int64) (platform.Tail, error) {
+func (owner *Owner) readAgentRecords(ctx context.Context, part int, next int64) (platform.ReadResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, agentReadWait+readTimeoutMargin)
 	defer cancel()
 	if next < 0 {
@@ -130,7 +130,7 @@
 	return owner.options.Store.Read(ctx, job.TopicAgents, part, next, agentReadWait)
 }
 
-func (owner *Owner) applyAgentRecords(tail platform.Tail, now time.Time) {
+func (owner *Owner) applyAgentRecords(tail platform.ReadResult, now time.Time) {
 	for _, record := range tail.Records {
 		registered := &job.AgentRecord{}
 		if err := proto.Unmarshal(record.Value, registered); err != nil {
--- a/owner/candidacy.go
+++ b/owner/candidacy.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		return generation, err
 	}
-	seat.SetHeldSeats(len(assignment.Parts))
+	seat.SetHeldSeats(len(assignment.Partitions))
 	return assignment.Generation, nil
 }
 
--- a/owner/candidacy_test.go
+++ b/owner/candidacy_test.go
@@ -54,7 +54,7 @@
 		owner := New(Options{
 			Name: fmt.Sprintf("edge-%d", number), Strong: number < strong, Address: fmt.Sprintf("10.0.1.%d:7000", number), Shards: 8,
 			GrantDuration: 6 * time.Second, MemberTimeout: 1500 * time.Millisecond, Clock: clock, Events: event.Discard(),
-			Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport()),
+			Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport()),
 			Dial: func(context.Context, string) (drpc.Conn, error) {
 				dials.Add(1)
 				return nil, errors.New("nobody answers")
--- a/owner/evacuated.go
+++ b/owner/evacuated.go
@@ -20,12 +20,12 @@
 // back. Workers in a domain that is given back may be used again, which requires a full placement pass.
 func (owner *Owner) applyEvacuations(evacuations operator.Evacuations, asOf time.Time) {
 	before := owner.evacuationState.Evacuations()
-	owner.evacuationState.Note(evacuations, asOf)
+	owner.evacuationState.Update(evacuations, asOf)
 	after := owner.evacuationState.Evacuations()
-	for _, domain := range after.Less(before) {
+	for _, domain := range after.Difference(before) {
 		owner.log(event.DomainEvacuated, slog.String("failure_domain", domain), slog.Int64("version", after.Version()))
 	}
-	for _, domain := range before.Less(after) {
+	for _, domain := range before.Difference(after) {
 		owner.log(event.DomainGivenBack, slog.String("failure_domain", domain), slog.Int64("version", after.Version()))
 		owner.placementChanges.addAll()
 	}
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -93,7 +93,7 @@
 		served.Close()
 	})
 	calls := func() *platform.Store {
-		return platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.Transport())
+		return platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.NewTransport())
 	}
 	made.owner = owner.New(owner.Options{
 		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: fleetShards, GrantDuration: 5 * time.Second, MemberTimeout: 1500 * time.Millisecond,
@@ -121,7 +121,7 @@
 		Name: begun.name, Shards: fleetShards, FirstToken: made.clock.Now().UnixMilli(), Clock: made.clock, Events: event.Discard(),
 		EvacuationDeadline: 5 * time.Second,
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
-			return platform.NewWorker(address, of, platform.Transport())
+			return platform.NewWorker(address, of, platform.NewTransport())
 		},
 	})
 	listening, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, begun.agent) })
@@ -235,7 +235,7 @@
 	}
 	machine.sequence++
 	machine.lastHeartbeatAt = now
-	machine.agent.Beat(platform.Heartbeat{
+	machine.agent.HandleHeartbeat(platform.Heartbeat{
 		Incarnation: incarnation.New(machine.worker.ID(), machine.worker.Born()), Service: "verbale",
 		Address: strings.TrimPrefix(machine.server.URL, "http://"), MilliCPU: 8000, MemoryMB: 8000, Sequence: machine.sequence,
 	})
--- a/owner/forget.go
+++ b/owner/forget.go
@@ -59,7 +59,7 @@
 
 // deleteSubmissions drops submissions and cancellations from the store.
 func (owner *Owner) deleteSubmissions(held *shard, old []string, records []platform.Record) {
-	add := platform.Append{Topic: job.TopicJobs, Part: held.number, Records: records}
+	add := platform.Append{Topic: job.TopicJobs, Partition: held.number, Records: records}
 	for tries := 1; held.ctx.Err() == nil; tries++ {
 		ctx, cancel := context.WithTimeout(held.ctx, storeTimeout)
 		_, err := owner.options.Store.Append(ctx, add)
--- a/owner/forget_test.go
+++ b/owner/forget_test.go
@@ -96,8 +96,8 @@
 	ended.Cancel(made.clock.Now().Add(-5 * time.Hour))
 	made.shard.loaded = false
 	made.owner.activateShard(made.shard,
-		platform.Tail{Records: []platform.Record{newRecord(t, job.SubmissionKey(jobID), newSubmission())}},
-		platform.Tail{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, made.clock.Now())
+		platform.ReadResult{Records: []platform.Record{newRecord(t, job.SubmissionKey(jobID), newSubmission())}},
+		platform.ReadResult{Records: []platform.Record{newRecord(t, jobID, ended.Progress())}}, made.clock.Now())
 	made.tick()
 	if made.shard.jobs[jobID] == nil || len(made.shard.tombstones) > 0 {
 		t.Error("a job that was just read as ended is forgotten")
@@ -113,7 +113,7 @@
 	kept := newRecord(t, jobID, ended.Progress())
 	made.store.Put(job.TopicRuns, made.shard.number, jobID, kept.Value)
 	made.shard.loaded = false
-	made.owner.activateShard(made.shard, platform.Tail{}, platform.Tail{Records: []platform.Record{kept}}, made.clock.Now())
+	made.owner.activateShard(made.shard, platform.ReadResult{}, platform.ReadResult{Records: []platform.Record{kept}}, made.clock.Now())
 	made.tick()
 	made.awaitWrites()
 	if _, progress := made.storedRecords(); progress {
--- a/owner/harness_test.go
+++ b/owner/harness_test.go
@@ -46,7 +46,7 @@
 	})
 	return New(Options{
 		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: 8, GrantDuration: 6 * time.Second, MemberTimeout: 1500 * time.Millisecond,
-		Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.Transport()), Clock: clock, Events: event.Discard(),
+		Store: platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport()), Clock: clock, Events: event.Discard(),
 	})
 }
 
@@ -86,7 +86,7 @@
 
 // readRecords has the owner read records of the shard.
 func (h *harness) readRecords(records ...platform.Record) {
-	h.owner.applyRecords(h.shard, platform.Tail{Records: records}, h.clock.Now())
+	h.owner.applyRecords(h.shard, platform.ReadResult{Records: records}, h.clock.Now())
 }
 
 // submit has the owner read the submission of newSubmission.
--- a/owner/membership.go
+++ b/owner/membership.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func (owner *Owner) join(ctx context.Context, heard int64) (platform.Deal, error) {
+func (owner *Owner) join(ctx context.Context, heard int64) (platform.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	return owner.options.Store.Join(ctx, job.OwnersGroup, owner.MemberName(), []string{job.TopicJobs}, owner.options.MemberTimeout, heard)
@@ -75,10 +75,10 @@
 }
 
 // applyAssignment takes up the shards that are dealt to this entry and gives up others.
-func (owner *Owner) applyAssignment(deal platform.Deal, sent, now time.Time) {
+func (owner *Owner) applyAssignment(deal platform.Assignment, sent, now time.Time) {
 	owner.lastJoinAt = sent
 	dealt := map[int]bool{}
-	for _, number := range deal.Parts {
+	for _, number := range deal.Partitions {
 		dealt[number] = true
 	}
 	for number, held := range owner.shards {
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -120,7 +120,7 @@
 	// agentsDropped is set while the entry has left the agents.
 	agentsDropped bool
 	// evacuationState is what is known of evacuations.
-	evacuationState  operator.Knowledge
+	evacuationState  operator.EvacuationState
 	placementChanges placementChanges
 	// workersExamined counts the workers that were looked at for a place, once for each job, since the meters were set.
 	workersExamined int64
--- a/owner/peer.go
+++ b/owner/peer.go
@@ -103,7 +103,7 @@
 	owner.eventLoop.Post(func(now time.Time) {
 		held, owned := owner.shards[int(request.GetShard())]
 		if owned && held.loaded {
-			owner.applyRecords(held, platform.Tail{Records: []platform.Record{record}}, now)
+			owner.applyRecords(held, platform.ReadResult{Records: []platform.Record{record}}, now)
 		}
 	})
 	return &wire.TakenReply{}, nil
@@ -113,7 +113,7 @@
 // store turns away.
 func (owner *Owner) Relay(ctx context.Context, request *wire.RelayRequest) (*wire.RelayReply, error) {
 	add := platform.Append{
-		Topic: job.TopicJobs, Part: int(request.GetShard()),
+		Topic: job.TopicJobs, Partition: int(request.GetShard()),
 		Records: []platform.Record{{Key: request.GetKey(), Value: request.GetValue()}},
 	}
 	_, err := owner.options.Store.Append(ctx, add)
--- a/owner/probation_test.go
+++ b/owner/probation_test.go
@@ -70,7 +70,7 @@
 	h.owner.advice.steps[name] = step
 	answer := func(id string) {
 		h.owner.handleAdvice(name, step, []incarnation.ID{incarnation.New(id, 0)},
-			platform.Advice{Tickets: map[string]string{id: "t-" + id}, Valid: 3 * time.Second}, nil, h.clock.Now())
+			platform.Advice{Tickets: map[string]string{id: "t-" + id}, ValidFor: 3 * time.Second}, nil, h.clock.Now())
 	}
 	answer(workerID)
 	h.clock.Advance(2 * time.Second)
--- a/owner/reconcile_test.go
+++ b/owner/reconcile_test.go
@@ -92,7 +92,7 @@
 			made := newHarness(t)
 			of := made.submit()
 			of.StartRun(of.Tasks()[0], job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, made.clock.Now())
-			registered := platform.Tail{Records: []platform.Record{newRecord(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}})}}
+			registered := platform.ReadResult{Records: []platform.Record{newRecord(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}})}}
 			if before {
 				made.owner.applyAgentRecords(registered, made.clock.Now())
 			}
--- a/owner/registration_test.go
+++ b/owner/registration_test.go
@@ -52,7 +52,7 @@
 		served.Close()
 	})
 	calls := func() *platform.Store {
-		return platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.Transport())
+		return platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.NewTransport())
 	}
 	for number := range ownerCount {
 		scheduling := owner.New(owner.Options{
--- a/owner/remember.go
+++ b/owner/remember.go
@@ -84,7 +84,7 @@
 // all, the next one is lost and the one after it is not.
 func (owner *Owner) retryLearnedAppend(record *learnedRecord, err error) bool {
 	var refused *platform.RefusedError
-	if errors.As(err, &refused) && !refused.Busy() {
+	if errors.As(err, &refused) && !refused.IsRetryable() {
 		owner.log(event.LearnedNotKept, slog.Int64("epoch", record.shard.epoch), slog.Any("error", err))
 		return false
 	}
@@ -97,13 +97,13 @@
 	ctx, cancel := context.WithTimeout(held.ctx, storeTimeout)
 	defer cancel()
 	_, err := owner.options.Store.Append(ctx, platform.Append{
-		Topic: job.TopicInterference, Part: held.number, Records: []platform.Record{{Key: job.InterferenceKey, Value: value}},
+		Topic: job.TopicInterference, Partition: held.number, Records: []platform.Record{{Key: job.InterferenceKey, Value: value}},
 		Producer: producer, Epoch: held.epoch, Sequence: record.nextSequence,
 	})
 	return err
 }
 
-func (owner *Owner) decodeLearned(held *shard, found platform.Tail) []*job.Interference {
+func (owner *Owner) decodeLearned(held *shard, found platform.ReadResult) []*job.Interference {
 	for _, record := range found.Records {
 		if record.Key != job.InterferenceKey {
 			continue
--- a/owner/shard.go
+++ b/owner/shard.go
@@ -124,7 +124,7 @@
 	}
 }
 
-func (owner *Owner) readNewest(held *shard, topic string) (platform.Tail, bool) {
+func (owner *Owner) readNewest(held *shard, topic string) (platform.ReadResult, bool) {
 	for held.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(held.ctx, storeTimeout)
 		found, err := owner.options.Store.Newest(ctx, topic, held.number)
@@ -135,10 +135,10 @@
 		owner.log(event.AppendRetried, slog.String("call", "newest"), slog.Int("shard", held.number), slog.Any("error", err))
 		owner.sleep(held.ctx, storeRetryDelay)
 	}
-	return platform.Tail{}, false
+	return platform.ReadResult{}, false
 }
 
-func (owner *Owner) activateShard(held *shard, jobs, runs platform.Tail, now time.Time) {
+func (owner *Owner) activateShard(held *shard, jobs, runs platform.ReadResult, now time.Time) {
 	handedIn := map[string]bool{}
 	for _, record := range jobs.Records {
 		if job.IsSubmissionKey(record.Key) {
@@ -193,7 +193,7 @@
 	}
 }
 
-func (owner *Owner) applyRecords(held *shard, tail platform.Tail, now time.Time) {
+func (owner *Owner) applyRecords(held *shard, tail platform.ReadResult, now time.Time) {
 	if owner.shards[held.number] != held {
 		return
 	}
--- a/owner/suspended.go
+++ b/owner/suspended.go
@@ -24,5 +24,5 @@
 func (owner *Owner) handleSuspension(duration time.Duration, _ time.Time) {
 	owner.log(event.MachineWasSuspended, slog.Duration("slept", duration))
 	owner.lastJoinAt = owner.lastJoinAt.Add(-duration)
-	owner.evacuationState.Age(duration)
+	owner.evacuationState.Backdate(duration)
 }
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -36,7 +36,7 @@
 	if grants(h) {
 		t.Error("it grants after a long suspension")
 	}
-	h.owner.applyAssignment(platform.Deal{Generation: 3, Parts: []int{h.shard.number}}, h.clock.Now(), h.clock.Now())
+	h.owner.applyAssignment(platform.Assignment{Generation: 3, Partitions: []int{h.shard.number}}, h.clock.Now(), h.clock.Now())
 	if !grants(h) {
 		t.Error("it grants nothing after the store has confirmed its shards")
 	}
--- a/owner/write.go
+++ b/owner/write.go
@@ -66,7 +66,7 @@
 func (owner *Owner) appendUntilStored(held *shard, records []platform.Record) bool {
 	held.sequence++
 	add := platform.Append{
-		Topic: job.TopicRuns, Part: held.number, Records: records,
+		Topic: job.TopicRuns, Partition: held.number, Records: records,
 		Producer: producer, Epoch: held.epoch, Sequence: held.sequence,
 	}
 	began := owner.options.Clock.Now()
@@ -79,7 +79,7 @@
 			return true
 		}
 		var refused *platform.RefusedError
-		if errors.As(err, &refused) && !refused.Busy() {
+		if errors.As(err, &refused) && !refused.IsRetryable() {
 			owner.eventLoop.Post(func(now time.Time) { owner.handleFenced(held, refused, now) })
 			return false
 		}
@@ -109,7 +109,7 @@
 		return
 	}
 	owner.fencedEpochs[held.number] = held.epoch
-	if !refused.Fenced() {
+	if !refused.IsFenced() {
 		// Somebody wrote under this very epoch: only another one helps.
 		owner.leaveBeforeJoin.Store(true)
 	}
