--- a/owner/connection_test.go
+++ b/owner/connection_test.go
@@ -7,94 +7,90 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestUnresponsiveAgentIsReconnected: a connection on which the agent answers nothing is ended,
-// whether it says nothing or speaks on without having heard; one that is answered stays.
+// TestUnresponsiveAgentIsReconnected: a connection on which the agent acknowledges nothing is closed,
+// whether the agent sends nothing or sends messages without receiving any. A connection with
+// acknowledgements stays open.
 func TestUnresponsiveAgentIsReconnected(t *testing.T) {
 	tests := map[string]struct {
-		hears, speaks bool
-		ended         bool
+		receives, sends bool
+		closed          bool
 	}{
-		"it answers":                  {true, true, false},
-		"it says nothing":             {false, false, true},
-		"it speaks but does not hear": {false, true, true},
+		"receives and sends":      {true, true, false},
+		"sends nothing":           {false, false, true},
+		"sends without receiving": {false, true, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			made.submit()
-			made.attach()
-			ended := false
-			made.agent.conn.cancel = func() { ended = true }
+			h := newHarness(t)
+			h.submit()
+			h.attach()
+			closed := false
+			h.agent.conn.cancel = func() { closed = true }
 			for range 60 {
-				made.tick()
-				handled := made.handledSequence
-				made.takeSent()
-				if !test.hears {
-					made.handledSequence = handled
+				h.tick()
+				handled := h.handledSequence
+				h.takeSent()
+				if !test.receives {
+					h.handledSequence = handled
 				}
-				if test.speaks {
-					made.receive(&wire.AgentMessage{})
+				if test.sends {
+					h.receive(&wire.AgentMessage{})
 				}
-				made.clock.Advance(100 * time.Millisecond)
-				made.owner.lastJoinAt = made.clock.Now()
+				h.clock.Advance(100 * time.Millisecond)
+				h.owner.lastJoinAt = h.clock.Now()
 			}
-			if ended != test.ended {
-				t.Errorf("ended: %v", ended)
+			if closed != test.closed {
+				t.Errorf("closed: %v", closed)
 			}
 		})
 	}
 }
 
-// TestAcquiringShardKeepsOldAgentsConnected: an agent of an earlier build answers an owner without
-// claims each 3 s. It is not taken for silent by an owner that has just taken a shard, nor
-// by one whose shard is still to be read.
+// TestAcquiringShardKeepsOldAgentsConnected: an agent of an earlier version acknowledges the messages of an
+// owner without claims only every 3 s. An owner that has just acquired a shard, or has not loaded it yet,
+// must not close the connection as unresponsive.
 func TestAcquiringShardKeepsOldAgentsConnected(t *testing.T) {
-	made := newHarness(t)
-	made.shard.loaded = false
-	made.attach()
-	made.agent.conn.cancel = func() { t.Error("cut off") }
+	h := newHarness(t)
+	h.shard.loaded = false
+	h.attach()
+	h.agent.conn.cancel = func() { t.Error("connection closed") }
 	for range 10 {
 		for range idleSendInterval / grantInterval {
-			made.clock.Advance(grantInterval)
-			made.owner.lastJoinAt = made.clock.Now()
-			made.tick()
+			h.clock.Advance(grantInterval)
+			h.owner.lastJoinAt = h.clock.Now()
+			h.tick()
 		}
-		made.takeSent()
-		made.receive(&wire.AgentMessage{})
+		h.takeSent()
+		h.receive(&wire.AgentMessage{})
 	}
 }
 
-// The story. An agent's process ended and came back, and its owner connected to it anew. The owner
-// granted its runs time before it had heard the new process, on the clock of the one before, which
-// had been up for longer: the grant was as much too long. The path to the agent was then lost. The owner took
-// the runs for over after 5.8 s and started their tasks elsewhere; the agent had them go on.
-//
-// The evidence: in logs of real processes an agent came back 17 s after its first start. Owners
-// attached, the paths were held up 1.2 s later, and runs went on there for 11 s after their
-// tasks had been started elsewhere.
-
-// TestGrantWaitsForFirstMessage has an owner speak first on a connection to an agent that may
-// be another process than the one that it heard before.
+// TestGrantWaitsForFirstMessage: an owner must not grant time on a new connection before the agent's first
+// message. The agent may have been restarted, and a grant on the clock of the previous process, which had
+// been up for longer, is too long by the difference. If the connection is lost then, the owner releases the
+// runs after 5.8 s and starts their tasks elsewhere, while the agent lets the runs continue. With an agent
+// that restarted 17 s after its first start, and whose connection was lost 1.2 s after the owner had made it,
+// runs continued for 11 s beside the second runs of their tasks.
 func TestGrantWaitsForFirstMessage(t *testing.T) {
-	made := newHarness(t)
-	made.attach()
-	made.receive(&wire.AgentMessage{UptimeNanos: int64(time.Hour)})
-	made.tick()
-	made.takeSent()
-	made.owner.handleConnected(made.agent, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
-	made.tick()
-	for _, message := range made.takeSent() {
-		if granted := time.Duration(message.GetGrantUntilNanos()); granted > 0 {
-			t.Errorf("runs were granted time until %v before the agent was heard", granted)
+	h := newHarness(t)
+	h.attach()
+	h.receive(&wire.AgentMessage{UptimeNanos: int64(time.Hour)})
+	h.tick()
+	h.takeSent()
+	h.owner.handleConnected(h.agent, &agentConn{outbox: make(chan *wire.OwnerMessage, 64), cancel: func() {}})
+	h.tick()
+	for _, message := range h.takeSent() {
+		if grantedUntil := time.Duration(message.GetGrantUntilNanos()); grantedUntil > 0 {
+			t.Errorf("grant until %v before the agent's first message", grantedUntil)
 		}
 	}
-	made.receive(&wire.AgentMessage{UptimeNanos: int64(time.Second)})
-	made.tick()
-	granted := time.Duration(0)
-	for _, message := range made.takeSent() {
-		granted = max(granted, time.Duration(message.GetGrantUntilNanos()))
+	h.receive(&wire.AgentMessage{UptimeNanos: int64(time.Second)})
+	h.tick()
+	grantedUntil := time.Duration(0)
+	for _, message := range h.takeSent() {
+		grantedUntil = max(grantedUntil, time.Duration(message.GetGrantUntilNanos()))
 	}
-	if want := time.Second + made.owner.options.GrantDuration; granted != want {
-		t.Errorf("runs were granted time until %v once the agent was heard, want %v", granted, want)
+	if want := time.Second + h.owner.options.GrantDuration; grantedUntil != want {
+		t.Errorf("grant until %v after the agent's first message, want %v", grantedUntil, want)
 	}
 }
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -32,20 +32,19 @@
 
 const (
 	fleetShards = 8
-	// fleetTick is how much time passes at once, fleetTickPause how long the processes then have
-	// to get on with it.
+	// fleetTick is how far the fake clock advances at a time. fleetTickPause is the real time that the
+	// processes then get to react.
 	fleetTick      = 2 * time.Millisecond
 	fleetTickPause = time.Millisecond
-	// heartbeatInterval is how often a worker sends a heartbeat, restartDelay how long a worker that has
-	// crashed is away.
+	// heartbeatInterval is how often a worker sends heartbeats. restartDelay is how long after a crash a
+	// worker restarts.
 	heartbeatInterval = 1100 * time.Millisecond
 	restartDelay      = 3 * time.Second
-	// taskDuration is what a task of the fleet works.
+	// taskDuration is how long a task of the fleet runs.
 	taskDuration = 800 * time.Millisecond
 )
 
-// fleet is an owner and some machines, each with an agent and a worker, over a stand-in for
-// the store.
+// fleet is an owner and some machines, each with an agent and a worker, which share a fake store.
 type fleet struct {
 	t        *testing.T
 	clock    *clockwork.FakeClock
@@ -54,17 +53,17 @@
 	machines []*machine
 }
 
-// machine is one worker after the other at one address, and the agent beside them.
+// machine runs one worker at a time, always at the same address, and an agent.
 type machine struct {
 	name   string
 	fleet  *fleet
 	agent  *agent.Agent
 	server *httptest.Server
-	// relay is what owners reach the agent by.
+	// relay forwards connections of owners to the agent.
 	relay *relay.Relay
-	// reportsStartTime has the worker say when it started, and start again under its id.
+	// reportsStartTime is set if the worker reports its start time, and keeps its ID when it restarts.
 	reportsStartTime bool
-	// crashingTasks are the tasks that bring a worker down.
+	// crashingTasks are the tasks whose start crashes the worker.
 	crashingTasks map[string]bool
 
 	mu              sync.Mutex
@@ -72,73 +71,74 @@
 	incarnations    int
 	sequence        int64
 	lastHeartbeatAt time.Time
-	downAt          time.Time // zero while it is up
-	// startedAt is when the runs of the present life began, started counts the starts of each
-	// task on all lives.
+	downAt          time.Time // when the worker crashed; zero while it is up
+	// startedAt is when the runs of the current incarnation started. startCounts counts the starts of each
+	// task on all incarnations.
 	startedAt   map[string]time.Time
 	startCounts map[string]int
-	// acknowledged holds the tasks whose run the worker was told to forget as done.
+	// acknowledged holds the tasks of which the worker was told to forget a run as done.
 	acknowledged   map[string]bool
 	acknowledgedMu sync.Mutex
 }
 
-func newFleet(t *testing.T, machines int, crashers ...string) *fleet {
+func newFleet(t *testing.T, machineCount int, crashingTasks ...string) *fleet {
 	clock := clockwork.NewFakeClock()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	made := &fleet{t: t, clock: clock, store: wirestore.New(fleetShards, clock.Now)}
-	served := httptest.NewServer(made.store)
+	f := &fleet{t: t, clock: clock, store: wirestore.New(fleetShards, clock.Now)}
+	server := httptest.NewServer(f.store)
 	t.Cleanup(func() {
-		served.CloseClientConnections()
-		served.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
-	calls := func() *platform.Store {
-		return platform.NewStore(strings.TrimPrefix(served.URL, "http://"), platform.NewTransport())
+	newStore := func() *platform.Store {
+		return platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport())
 	}
-	made.owner = owner.New(owner.Options{
+	f.owner = owner.New(owner.Options{
 		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: fleetShards, GrantDuration: 5 * time.Second, MemberTimeout: 1500 * time.Millisecond,
-		JobRetention: time.Minute, Store: calls(), Dial: rpc.DialOne, Clock: clock, Events: event.Discard(),
+		JobRetention: time.Minute, Store: newStore(), Dial: rpc.DialOne, Clock: clock, Events: event.Discard(),
 	})
-	for number := range machines {
-		made.machines = append(made.machines, made.newMachine(ctx, calls(), number, crashers))
+	for number := range machineCount {
+		f.machines = append(f.machines, f.newMachine(ctx, newStore(), number, crashingTasks))
 	}
-	go made.owner.Run(ctx)
-	return made
+	go f.owner.Run(ctx)
+	return f
 }
 
-func (made *fleet) newMachine(ctx context.Context, store *platform.Store, number int, crashers []string) *machine {
-	begun := &machine{name: fmt.Sprintf("side-%d", number), fleet: made, reportsStartTime: number%2 == 1, crashingTasks: map[string]bool{}, startCounts: map[string]int{}, acknowledged: map[string]bool{}}
-	for _, task := range crashers {
-		begun.crashingTasks[task] = true
+func (f *fleet) newMachine(ctx context.Context, store *platform.Store, number int, crashingTasks []string) *machine {
+	machine := &machine{name: fmt.Sprintf("side-%d", number), fleet: f, reportsStartTime: number%2 == 1, crashingTasks: map[string]bool{}, startCounts: map[string]int{}, acknowledged: map[string]bool{}}
+	for _, task := range crashingTasks {
+		machine.crashingTasks[task] = true
 	}
-	begun.startWorker()
-	begun.server = httptest.NewServer(begun)
-	made.t.Cleanup(func() {
-		begun.server.CloseClientConnections()
-		begun.server.Close()
+	machine.startWorker()
+	machine.server = httptest.NewServer(machine)
+	f.t.Cleanup(func() {
+		machine.server.CloseClientConnections()
+		machine.server.Close()
 	})
-	begun.agent = agent.New(agent.Options{
-		Name: begun.name, Shards: fleetShards, FirstToken: made.clock.Now().UnixMilli(), Clock: made.clock, Events: event.Discard(),
+	machine.agent = agent.New(agent.Options{
+		Name: machine.name, Shards: fleetShards, FirstToken: f.clock.Now().UnixMilli(), Clock: f.clock, Events: event.Discard(),
 		EvacuationDeadline: 5 * time.Second,
-		Connect: func(address string, of incarnation.ID) *platform.Worker {
-			return platform.NewWorker(address, of, platform.NewTransport())
+		Connect: func(address string, id incarnation.ID) *platform.Worker {
+			return platform.NewWorker(address, id, platform.NewTransport())
 		},
 	})
-	listening, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, begun.agent) })
+	server, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, machine.agent) })
 	if err != nil {
-		made.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	go func() { _ = listening.Serve(ctx) }()
-	go begun.agent.Run(ctx)
-	begun.relay, err = relay.New(ctx, listening.Address())
+	go func() { _ = server.Serve(ctx) }()
+	go machine.agent.Run(ctx)
+	machine.relay, err = relay.New(ctx, server.Address())
 	if err != nil {
-		made.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	go begun.agent.Register(ctx, store, begun.relay.Address())
-	return begun
+	go machine.agent.Register(ctx, store, machine.relay.Address())
+	return machine
 }
 
-// startWorker begins the next life of the worker: under the id of the one before where it says when it started.
+// startWorker starts the next incarnation of the worker. It has the same ID as the previous one if the worker
+// reports its start time.
 func (machine *machine) startWorker() {
 	machine.incarnations++
 	switch {
@@ -154,19 +154,19 @@
 	machine.sequence, machine.lastHeartbeatAt, machine.downAt = 0, time.Time{}, time.Time{}
 }
 
-// recordAcknowledged takes note of ends that the worker was told to forget.
+// recordAcknowledged records the tasks of which the worker is told to forget a run as done.
 func (machine *machine) recordAcknowledged(change wireworker.Change) {
 	if change.Kind == wireworker.Noted && change.How == "done" {
-		// The worker is called with the machine's lock held, or by no one who holds it.
+		// The caller may or may not hold machine.mu, so the field has a lock of its own.
 		machine.acknowledgedMu.Lock()
 		defer machine.acknowledgedMu.Unlock()
 		machine.acknowledged[change.Task] = true
 	}
 }
 
-// ServeHTTP is the worker's address. A start of a task that brings workers down is taken, and
-// the worker with all its connections is gone.
-func (machine *machine) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
+// ServeHTTP passes requests on to the worker. After the start of a task that crashes workers, the worker
+// and all its connections are gone.
+func (machine *machine) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -180,20 +180,21 @@
 	request.Body = io.NopCloser(bytes.NewReader(body))
 	before := len(worker.Starts())
 	if request.URL.Path != "/v1/run-start" {
-		worker.ServeHTTP(answer, request)
+		worker.ServeHTTP(response, request)
 		return
 	}
-	kept := httptest.NewRecorder()
-	worker.ServeHTTP(kept, request)
+	recorded := httptest.NewRecorder()
+	worker.ServeHTTP(recorded, request)
 	if machine.recordStarts(worker, before) {
 		go machine.server.CloseClientConnections()
 		panic(http.ErrAbortHandler)
 	}
-	answer.WriteHeader(kept.Code)
-	_, _ = answer.Write(kept.Body.Bytes())
+	response.WriteHeader(recorded.Code)
+	_, _ = response.Write(recorded.Body.Bytes())
 }
 
-// recordStarts takes note of what a worker has started, and reports whether that brings it down.
+// recordStarts records the tasks that a worker has started, and reports whether the worker is down or was
+// replaced.
 func (machine *machine) recordStarts(worker *wireworker.Worker, before int) bool {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
@@ -202,7 +203,7 @@
 	}
 	now := machine.fleet.clock.Now()
 	for _, start := range worker.Starts()[before:] {
-		if _, runs := worker.Running(start.Task); !runs {
+		if _, running := worker.Running(start.Task); !running {
 			continue
 		}
 		machine.startCounts[start.Task]++
@@ -214,7 +215,7 @@
 	return !machine.downAt.IsZero()
 }
 
-// tick has the worker come back, send heartbeats, and end what has worked long enough.
+// tick restarts a crashed worker when that is due, ends runs after taskDuration, and sends heartbeats.
 func (machine *machine) tick(now time.Time) {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
@@ -224,8 +225,8 @@
 		}
 		machine.startWorker()
 	}
-	for task, begun := range machine.startedAt {
-		if now.Sub(begun) >= taskDuration {
+	for task, startedAt := range machine.startedAt {
+		if now.Sub(startedAt) >= taskDuration {
 			machine.worker.End(task, "done")
 			delete(machine.startedAt, task)
 		}
@@ -241,31 +242,31 @@
 	})
 }
 
-// submit hands a job of one step in.
-func (made *fleet) submit(id string, tasks int32) {
+// submit appends a job with one step to the store.
+func (f *fleet) submit(id string, tasks int32) {
 	value, err := proto.Marshal(&job.Submission{
-		Id: id, Queue: "r-1", Service: "verbale", Attempts: 3, Extension: 4, TargetLatencyMs: 1000, SubmittedMs: made.clock.Now().UnixMilli(),
+		Id: id, Queue: "r-1", Service: "verbale", Attempts: 3, Extension: 4, TargetLatencyMs: 1000, SubmittedMs: f.clock.Now().UnixMilli(),
 		Steps: []*job.StepSpec{{Count: tasks, MilliCpu: 500, MemoryMb: 100, EstimateMs: taskDuration.Milliseconds()}},
 	})
 	if err != nil {
-		made.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	made.store.Put(job.TopicJobs, job.ShardOf(id, fleetShards), job.SubmissionKey(id), value)
+	f.store.Put(job.TopicJobs, job.ShardOf(id, fleetShards), job.SubmissionKey(id), value)
 }
 
-// state returns what a client is told of a job.
-func (made *fleet) state(id string) job.State {
-	reply, err := made.owner.JobState(context.Background(), &wire.JobStateRequest{Id: id, Shard: int32(job.ShardOf(id, fleetShards))})
+// state returns the state of a job as clients see it.
+func (f *fleet) state(id string) job.State {
+	reply, err := f.owner.JobState(context.Background(), &wire.JobStateRequest{Id: id, Shard: int32(job.ShardOf(id, fleetShards))})
 	if err != nil {
 		return job.State_STATE_QUEUED
 	}
 	return reply.GetState()
 }
 
-// startCount counts the starts of a task on all workers.
-func (made *fleet) startCount(task string) int {
+// startCount returns the number of starts of a task on all workers.
+func (f *fleet) startCount(task string) int {
 	count := 0
-	for _, machine := range made.machines {
+	for _, machine := range f.machines {
 		machine.mu.Lock()
 		count += machine.startCounts[task]
 		machine.mu.Unlock()
@@ -273,10 +274,10 @@
 	return count
 }
 
-// incarnationCount counts the lives of all workers.
-func (made *fleet) incarnationCount() int {
+// incarnationCount returns the number of incarnations of all workers.
+func (f *fleet) incarnationCount() int {
 	count := 0
-	for _, machine := range made.machines {
+	for _, machine := range f.machines {
 		machine.mu.Lock()
 		count += machine.incarnations
 		machine.mu.Unlock()
@@ -284,18 +285,18 @@
 	return count
 }
 
-// advanceUntil lets time pass until what is waited for holds, most of it at most.
-func (made *fleet) advanceUntil(most time.Duration, holds func() bool) bool {
-	for end := made.clock.Now().Add(most); made.clock.Now().Before(end); {
-		made.owner.UpdateEvacuations(operator.NewEvacuations(1, nil), made.clock.Now())
+// advanceUntil advances the clock until a condition holds, and reports whether it did before the timeout.
+func (f *fleet) advanceUntil(timeout time.Duration, condition func() bool) bool {
+	for end := f.clock.Now().Add(timeout); f.clock.Now().Before(end); {
+		f.owner.UpdateEvacuations(operator.NewEvacuations(1, nil), f.clock.Now())
 		for range 50 {
-			made.clock.Advance(fleetTick)
+			f.clock.Advance(fleetTick)
 			time.Sleep(fleetTickPause)
-			for _, machine := range made.machines {
-				machine.tick(made.clock.Now())
+			for _, machine := range f.machines {
+				machine.tick(f.clock.Now())
 			}
 		}
-		if holds() {
+		if condition() {
 			return true
 		}
 	}
--- a/owner/membership_test.go
+++ b/owner/membership_test.go
@@ -10,49 +10,52 @@
 	"ambertiller.example/ambertiller/standin/wirestore"
 )
 
-// runOwner starts an owner whose clock stands still but for what until lets pass.
+// runOwner starts an owner whose clock only advances in advanceUntil.
 func runOwner(t *testing.T, clock *clockwork.FakeClock, store *wirestore.Store) (*Owner, context.CancelFunc) {
-	started := newOwner(t, clock, store)
+	o := newOwner(t, clock, store)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go started.Run(ctx)
-	return started, cancel
+	go o.Run(ctx)
+	return o, cancel
 }
 
-func advanceUntil(t *testing.T, clock *clockwork.FakeClock, holds func() bool) {
+// advanceUntil advances the clock until a condition holds. It fails the test if that takes more than 30 s
+// of the clock.
+func advanceUntil(t *testing.T, clock *clockwork.FakeClock, condition func() bool) {
 	t.Helper()
 	for range 3000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		clock.Advance(10 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("what was waited for did not happen")
+	t.Fatal("the condition did not become true within 30 s")
 }
 
-func ownedEpochs(asked *Owner) map[int]int64 {
-	found := map[int]int64{}
-	asked.eventLoop.Ask(context.Background(), func(time.Time) {
-		for number, held := range asked.shards {
-			if held.loaded {
-				found[number] = held.epoch
+// ownedEpochs returns the epochs of the shards that an owner has loaded.
+func ownedEpochs(o *Owner) map[int]int64 {
+	epochs := map[int]int64{}
+	o.eventLoop.Ask(context.Background(), func(time.Time) {
+		for number, s := range o.shards {
+			if s.loaded {
+				epochs[number] = s.epoch
 			}
 		}
 	})
-	return found
+	return epochs
 }
 
-// TestRestartedOwnerGetsLaterEpoch: a process that comes back before it was
-// missed must not write under the epoch of its earlier life. The case that forced
-// it: its appends were refused by their sequence and the shards had no owner.
+// TestRestartedOwnerGetsLaterEpoch: a process that restarts before its member timeout must not write under
+// the epoch that it had before. Otherwise its appends are refused because of their sequence numbers, and
+// the shards have no owner.
 func TestRestartedOwnerGetsLaterEpoch(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	first, kill := runOwner(t, clock, store)
+	first, stop := runOwner(t, clock, store)
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(first)) == 8 })
 	before := ownedEpochs(first)
-	kill()
+	stop()
 	second, _ := runOwner(t, clock, store)
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(second)) == 8 })
 	for number, epoch := range ownedEpochs(second) {
@@ -62,14 +65,14 @@
 	}
 }
 
-// TestNoJoinAfterLeave: the case that forced it brought a stopping entry its
-// shards back, and nobody scheduled them.
+// TestNoJoinAfterLeave: an entry that shuts down must not join after it has left the group. Otherwise it
+// gets its shards back, and nobody schedules their jobs.
 func TestNoJoinAfterLeave(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	only, _ := runOwner(t, clock, store)
-	advanceUntil(t, clock, func() bool { return len(ownedEpochs(only)) == 8 })
-	if err := only.Leave(context.Background()); err != nil {
+	o, _ := runOwner(t, clock, store)
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(o)) == 8 })
+	if err := o.Leave(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	joins := store.Calls("/v1/log-join")
@@ -79,16 +82,16 @@
 	if got := store.Calls("/v1/log-join"); got != joins {
 		t.Errorf("%d joins after the leave", got-joins)
 	}
-	if got := ownedEpochs(only); len(got) != 0 {
-		t.Errorf("it still owns %v", got)
+	if got := ownedEpochs(o); len(got) != 0 {
+		t.Errorf("owned after the leave: %v", got)
 	}
 }
 
-// TestShardsMoveFromSilentOwner runs two owners and silences one.
+// TestShardsMoveFromSilentOwner: if one of two owners stops, the other one takes over its shards.
 func TestShardsMoveFromSilentOwner(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
-	first, kill := runOwner(t, clock, store)
+	first, stop := runOwner(t, clock, store)
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(first)) == 8 })
 	second := newOwner(t, clock, store)
 	second.options.Name = "edge-2"
@@ -96,12 +99,12 @@
 	t.Cleanup(cancel)
 	go second.Run(ctx)
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(first)) == 4 && len(ownedEpochs(second)) == 4 })
-	kill()
+	stop()
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(second)) == 8 })
 }
 
-// TestAppendsSurviveStoreFaults: appends that were done and not answered are neither
-// repeated nor lost.
+// TestAppendsSurviveStoreFaults: owners acquire and load their shards although the store is busy, resets
+// connections and loses answers. An append that was done but not answered is neither repeated nor lost.
 func TestAppendsSurviveStoreFaults(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
@@ -113,6 +116,6 @@
 		count++
 		return []wirestore.Fault{wirestore.FaultLost, wirestore.FaultReset, wirestore.FaultBusy, wirestore.FaultNone}[count%4]
 	})
-	only, _ := runOwner(t, clock, store)
-	advanceUntil(t, clock, func() bool { return len(ownedEpochs(only)) == 8 })
+	o, _ := runOwner(t, clock, store)
+	advanceUntil(t, clock, func() bool { return len(ownedEpochs(o)) == 8 })
 }
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -11,114 +11,113 @@
 )
 
 func TestStartIsStoredBeforeOrder(t *testing.T) {
-	made := newHarness(t)
-	made.submit()
-	made.attach()
-	made.tick()
-	if got := startOrders(made.takeSent()); len(got) != 0 {
-		t.Fatalf("ordered before the store had it: %v", got)
-	}
-	made.awaitWrites()
-	if _, kept := made.store.Newest(job.TopicRuns, made.shard.number, jobID); !kept {
+	h := newHarness(t)
+	h.submit()
+	h.attach()
+	h.tick()
+	if got := startOrders(h.takeSent()); len(got) != 0 {
+		t.Fatalf("ordered before the start was in the store: %v", got)
+	}
+	h.awaitWrites()
+	if _, stored := h.store.Newest(job.TopicRuns, h.shard.number, jobID); !stored {
 		t.Fatal("the start is not in the store")
 	}
-	made.tick()
-	if got := startOrders(made.takeSent()); len(got) != 1 || got[0].GetTask() != firstTask || got[0].GetEpoch() != 3 {
-		t.Errorf("ordered: %v", got)
+	h.tick()
+	if got := startOrders(h.takeSent()); len(got) != 1 || got[0].GetTask() != firstTask || got[0].GetEpoch() != 3 {
+		t.Errorf("start orders: %v", got)
 	}
 }
 
 func TestEndIsStoredBeforeAcknowledged(t *testing.T) {
-	made := newHarness(t)
-	of := made.submit()
-	made.attachAndStart()
-	made.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 4, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
-	if of.State() != job.State_STATE_COMPLETED {
-		t.Fatalf("state %v", of.State())
-	}
-	if shown := made.shard.visibleState(of); shown != job.State_STATE_RUNNING {
-		t.Errorf("shown as %v before the store had it", shown)
-	}
-	made.tick()
-	for _, message := range made.takeSent() {
+	h := newHarness(t)
+	j := h.submit()
+	h.attachAndStart()
+	h.receive(&wire.AgentMessage{Ends: []*wire.RunEnd{{Worker: workerID, Number: 4, Task: firstTask, Attempt: 1, Reason: wire.EndReason_END_DONE}}})
+	if j.State() != job.State_STATE_COMPLETED {
+		t.Fatalf("state %v", j.State())
+	}
+	if visible := h.shard.visibleState(j); visible != job.State_STATE_RUNNING {
+		t.Errorf("shown as %v before the end was in the store", visible)
+	}
+	h.tick()
+	for _, message := range h.takeSent() {
 		if len(message.GetSeen()) > 0 {
-			t.Error("seen before the store had it")
+			t.Error("acknowledged before the end was in the store")
 		}
 	}
-	made.awaitWrites()
-	made.tick()
-	seen := 0
-	for _, message := range made.takeSent() {
-		seen += len(message.GetSeen())
+	h.awaitWrites()
+	h.tick()
+	acknowledged := 0
+	for _, message := range h.takeSent() {
+		acknowledged += len(message.GetSeen())
 	}
-	if seen != 1 || made.shard.visibleState(of) != job.State_STATE_COMPLETED {
-		t.Errorf("seen %d, shown %v", seen, made.shard.visibleState(of))
+	if acknowledged != 1 || h.shard.visibleState(j) != job.State_STATE_COMPLETED {
+		t.Errorf("%d acknowledgements, shown as %v", acknowledged, h.shard.visibleState(j))
 	}
 }
 
-// TestCancellationReadBeforeItsJob: the newest records come in the order of keys.
-// The case that forced it: after the store had dropped its history a job ran on
-// that had been cancelled.
+// TestCancellationReadBeforeItsJob: after the store has compacted its log, the newest records are read in
+// the order of their keys, so a cancellation may come before its job. The job must be cancelled all the
+// same.
 func TestCancellationReadBeforeItsJob(t *testing.T) {
-	made := newHarness(t)
-	made.readRecords(
+	h := newHarness(t)
+	h.readRecords(
 		newRecord(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}),
 		newRecord(t, job.SubmissionKey(jobID), newSubmission()),
 	)
-	if got := made.shard.jobs[jobID].State(); got != job.State_STATE_CANCELLED {
+	if got := h.shard.jobs[jobID].State(); got != job.State_STATE_CANCELLED {
 		t.Errorf("state %v", got)
 	}
 }
 
-// TestEndedJobsArePruned: an ended job is known for as long as it must be, and
-// then dropped from the store too.
+// TestEndedJobsArePruned: an ended job is kept for the retention time and then also deleted from the store.
 func TestEndedJobsArePruned(t *testing.T) {
-	made := newHarness(t)
-	made.owner.options.JobRetention = 2 * time.Minute
-	of := made.submit()
-	made.owner.cancelJob(made.shard, of, made.clock.Now())
-	made.tick()
-	made.awaitWrites()
-	made.clock.Advance(2*time.Minute + 30*time.Second)
-	made.tick()
-	if made.shard.jobs[jobID] == nil {
-		t.Fatal("forgotten too early")
-	}
-	made.clock.Advance(time.Minute)
-	made.tick()
-	made.owner.eventLoop.RunOne(made.clock.Now()) // What was handed in is dropped.
-	made.tick()
-	made.awaitWrites()
-	if made.shard.jobs[jobID] != nil {
-		t.Error("not forgotten")
-	}
-	if _, kept := made.store.Newest(job.TopicRuns, made.shard.number, jobID); kept {
+	h := newHarness(t)
+	h.owner.options.JobRetention = 2 * time.Minute
+	j := h.submit()
+	h.owner.cancelJob(h.shard, j, h.clock.Now())
+	h.tick()
+	h.awaitWrites()
+	h.clock.Advance(2*time.Minute + 30*time.Second)
+	h.tick()
+	if h.shard.jobs[jobID] == nil {
+		t.Fatal("pruned too early")
+	}
+	h.clock.Advance(time.Minute)
+	h.tick()
+	h.owner.eventLoop.RunOne(h.clock.Now()) // The submission has been deleted.
+	h.tick()
+	h.awaitWrites()
+	if h.shard.jobs[jobID] != nil {
+		t.Error("not pruned")
+	}
+	if _, stored := h.store.Newest(job.TopicRuns, h.shard.number, jobID); stored {
 		t.Error("its progress is still in the store")
 	}
 }
 
-// TestTakenJobIsAddedOnce: what a gateway tells and what the store's read brings is
-// one job, and a cancellation that is told stops it.
+// TestTakenJobIsAddedOnce: a job that another entry announces and that is then read from the store is added
+// once. A cancellation that is announced takes effect.
 func TestTakenJobIsAddedOnce(t *testing.T) {
-	made := newHarness(t)
-	tell := func(handed platform.Record) {
-		request := &wire.TakenRequest{Shard: int32(made.shard.number), Key: handed.Key, Value: handed.Value}
-		if _, err := made.owner.Taken(context.Background(), request); err != nil {
+	h := newHarness(t)
+	notify := func(record platform.Record) {
+		request := &wire.TakenRequest{Shard: int32(h.shard.number), Key: record.Key, Value: record.Value}
+		if _, err := h.owner.Taken(context.Background(), request); err != nil {
 			t.Fatal(err)
 		}
-		made.owner.eventLoop.RunOne(made.clock.Now())
+		h.owner.eventLoop.RunOne(h.clock.Now())
 	}
-	handed := newRecord(t, job.SubmissionKey(jobID), newSubmission())
-	tell(handed)
-	first := made.shard.jobs[jobID]
+	record := newRecord(t, job.SubmissionKey(jobID), newSubmission())
+	notify(record)
+	first := h.shard.jobs[jobID]
 	if first == nil {
-		t.Fatal("not taken up")
+		t.Fatal("not added")
 	}
-	made.readRecords(handed)
-	if made.shard.jobs[jobID] != first {
-		t.Error("taken up twice")
+	h.readRecords(record)
+	if h.shard.jobs[jobID] != first {
+		t.Error("added twice")
 	}
-	tell(newRecord(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
+	notify(newRecord(t, job.CancellationKey(jobID), &job.Cancellation{Id: jobID}))
 	if first.State() != job.State_STATE_CANCELLED {
 		t.Errorf("state %v", first.State())
 	}
