--- a/owner/learned_store_test.go
+++ b/owner/learned_store_test.go
@@ -35,14 +35,14 @@
 	s := h.addInterferenceShard(ctx, 4)
 	s.learned.update(h.agent, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
 	go h.owner.persistLearned(s)
-	h.owner.eventLoop.RunOne(h.clock.Now()) // The store has no estimates yet.
+	h.owner.eventLoop.RunNext(h.clock.Now()) // The store has no estimates yet.
 	for range 2 {
 		// The estimates are unchanged the second time, so they are not written again.
 		if err := h.clock.BlockUntilContext(ctx, 1); err != nil {
 			t.Fatal(err)
 		}
 		h.clock.Advance(learnedWriteInterval)
-		h.owner.eventLoop.RunOne(h.clock.Now())
+		h.owner.eventLoop.RunNext(h.clock.Now())
 	}
 	if err := h.clock.BlockUntilContext(ctx, 1); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	nextShard := next.addInterferenceShard(ctx, 5)
 	next.agent.learnedSentAt = next.clock.Now()
 	go next.owner.persistLearned(nextShard)
-	next.owner.eventLoop.RunOne(next.clock.Now())
+	next.owner.eventLoop.RunNext(next.clock.Now())
 	weight, readings := learnedWeight(nextShard.learned.meansExcluding(next.agent))
 	if weight != 0.5 || readings != maxStoredReadings {
 		t.Errorf("the next owner has a weight of %v with %d readings", weight, readings)
--- a/owner/membership.go
+++ b/owner/membership.go
@@ -41,8 +41,8 @@
 		lostAt = time.Time{}
 		changed := assignment.Generation != generation
 		generation = assignment.Generation
-		if !owner.eventLoop.Ask(ctx, func(now time.Time) {
-			owner.applyAssignment(assignment, sentAt.Add(min(suspendedBefore-owner.eventLoop.Suspended(), 0)), now)
+		if !owner.eventLoop.Call(ctx, func(now time.Time) {
+			owner.applyAssignment(assignment, sentAt.Add(min(suspendedBefore-owner.eventLoop.SuspendedFor(), 0)), now)
 		}) {
 			return
 		}
--- a/owner/membership_test.go
+++ b/owner/membership_test.go
@@ -36,7 +36,7 @@
 // ownedEpochs returns the epochs of the shards that an owner has loaded.
 func ownedEpochs(o *Owner) map[int]int64 {
 	epochs := map[int]int64{}
-	o.eventLoop.Ask(context.Background(), func(time.Time) {
+	o.eventLoop.Call(context.Background(), func(time.Time) {
 		for number, s := range o.shards {
 			if s.loaded {
 				epochs[number] = s.epoch
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -50,8 +50,8 @@
 
 // recordJobEnd counts a job that has ended, and records the time since it was submitted.
 func (m *metrics) recordJobEnd(ctx context.Context, j *job.Job) {
-	m.jobsEnded.Add(ctx, 1, telemetry.By("state", j.State().String()))
-	m.jobDuration.Record(ctx, j.EndedAt().Sub(time.UnixMilli(j.Submission().GetSubmittedMs())).Seconds(), telemetry.By("queue", j.Submission().GetQueue()))
+	m.jobsEnded.Add(ctx, 1, telemetry.WithAttribute("state", j.State().String()))
+	m.jobDuration.Record(ctx, j.EndedAt().Sub(time.UnixMilli(j.Submission().GetSubmittedMs())).Seconds(), telemetry.WithAttribute("queue", j.Submission().GetQueue()))
 }
 
 // gaugeInterval is how often the gauges are recorded. Metrics are collected every few seconds.
--- a/owner/peer.go
+++ b/owner/peer.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read the shard to its end")
 	}
-	owner.eventLoop.Ask(ctx, func(now time.Time) { owner.applyRecords(s, tail, now) })
+	owner.eventLoop.Call(ctx, func(now time.Time) { owner.applyRecords(s, tail, now) })
 	reply, s, _ = owner.findJob(ctx, request.GetId())
 	if s == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
@@ -47,7 +47,7 @@
 	reply := &wire.JobStateReply{}
 	var loaded *shard
 	nextOffset := int64(0)
-	ok := owner.eventLoop.Ask(ctx, func(time.Time) {
+	ok := owner.eventLoop.Call(ctx, func(time.Time) {
 		s, j := owner.loadedJob(id)
 		if s == nil {
 			return
@@ -77,7 +77,7 @@
 // which no task has started yet.
 func (owner *Owner) Pending(ctx context.Context, request *wire.PendingRequest) (*wire.PendingReply, error) {
 	reply := &wire.PendingReply{}
-	ok := owner.eventLoop.Ask(ctx, func(time.Time) {
+	ok := owner.eventLoop.Call(ctx, func(time.Time) {
 		for _, s := range owner.shards {
 			if !s.loaded {
 				continue
--- a/owner/prune_test.go
+++ b/owner/prune_test.go
@@ -80,7 +80,7 @@
 // runPending gives calls to the store time to return, and runs what they have posted to the event loop.
 func (h *harness) runPending() {
 	time.Sleep(2 * time.Millisecond)
-	for h.owner.eventLoop.RunAny(h.clock.Now()) {
+	for h.owner.eventLoop.TryRunNext(h.clock.Now()) {
 	}
 }
 
--- a/owner/runs.go
+++ b/owner/runs.go
@@ -106,7 +106,7 @@
 		return
 	}
 	owner.logRun(event.RunNotStarted, run, slog.String("worker", run.place.Incarnation.WorkerID()), slog.String("outcome", result.GetOutcome().String()))
-	owner.metrics.startsRefused.Add(owner.ctx, 1, telemetry.By("outcome", result.GetOutcome().String()))
+	owner.metrics.startsRefused.Add(owner.ctx, 1, telemetry.WithAttribute("outcome", result.GetOutcome().String()))
 	j := run.task.Job()
 	if result.GetOutcome() == wire.StartOutcome_START_NO_ROOM {
 		run.task.AddRefusal()
@@ -183,7 +183,7 @@
 	owner.log(event.RunEnded, slog.String("task", end.GetTask()), slog.Int("attempt", int(end.GetAttempt())),
 		slog.String("worker", end.GetWorker()), slog.String("how", end.GetReason().String()), slog.Duration("ran", now.Sub(task.StartedAt())),
 		slog.Duration("recorded", storeLatency))
-	owner.metrics.runsEnded.Add(owner.ctx, 1, telemetry.By("reason", end.GetReason().String()))
+	owner.metrics.runsEnded.Add(owner.ctx, 1, telemetry.WithAttribute("reason", end.GetReason().String()))
 	if reason.IsCrash() && task.State() == job.TaskState_TASK_FAILED {
 		owner.log(event.TaskGivenUp, slog.String("task", end.GetTask()), slog.Int("crashes", task.Crashes()), slog.Int("doubts", task.AmbiguousCrashes()))
 	}
@@ -254,7 +254,7 @@
 	j := run.task.Job()
 	owner.logRun(event.RunLost, run, slog.String("worker", run.place.Incarnation.WorkerID()), slog.Int64("born", run.place.Incarnation.StartedMs()), slog.String("reason", reason), slog.Duration("after", now.Sub(run.task.StartedAt())),
 		slog.Bool("attached", view.conn != nil), slog.Duration("unheard", now.Sub(view.lastMessageAt)), slog.Bool("inherited", run.inherited))
-	owner.metrics.runsLost.Add(owner.ctx, 1, telemetry.By("reason", reason))
+	owner.metrics.runsLost.Add(owner.ctx, 1, telemetry.WithAttribute("reason", reason))
 	j.Requeue(run.task, now)
 	owner.markRunOver(run.shard, j, view)
 	run.shard.removeIfSettled(j)
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -85,7 +85,7 @@
 	}
 	h.clock.Advance(time.Minute)
 	h.tick()
-	h.owner.eventLoop.RunOne(h.clock.Now()) // The submission has been deleted.
+	h.owner.eventLoop.RunNext(h.clock.Now()) // The submission has been deleted.
 	h.tick()
 	h.awaitWrites()
 	if h.shard.jobs[jobID] != nil {
@@ -105,7 +105,7 @@
 		if _, err := h.owner.Taken(context.Background(), request); err != nil {
 			t.Fatal(err)
 		}
-		h.owner.eventLoop.RunOne(h.clock.Now())
+		h.owner.eventLoop.RunNext(h.clock.Now())
 	}
 	record := newRecord(t, job.SubmissionKey(jobID), newSubmission())
 	notify(record)
