--- a/budget/budget.go
+++ b/budget/budget.go
@@ -1,9 +1,9 @@
-// Package budget bounds retries, so that they cannot multiply a load that is
-// already too much.
+// Package budget limits retries with a token bucket, so that retries do not
+// multiply the load of a system that is already overloaded.
 //
-// Each first try adds a fraction of a token and each retry takes a whole one.
-// While few requests fail, every failure can be retried; when most fail, the
-// retries stay at the stated ratio of the first tries.
+// Each first attempt adds a fraction of a token and each retry takes a whole one.
+// While few requests fail, every failure can be retried. When most of them fail,
+// the number of retries is limited to a fixed ratio of the first attempts.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 
 import "sync"
 
-// Budget is a store of retries. It may be used by many goroutines.
+// Budget holds the tokens for retries. It is safe for concurrent use.
 type Budget struct {
 	mu        sync.Mutex
 	ratio     float64
@@ -22,33 +22,33 @@
 	tokens    float64
 }
 
-// New returns a full budget: ratio retries for each first try, and at most
-// burst retries saved up.
+// New returns a full budget. ratio is the number of retries allowed per first
+// attempt, and burst the maximum number of tokens it holds.
 func New(ratio float64, burst int) *Budget {
 	return &Budget{ratio: ratio, maxTokens: float64(burst), tokens: float64(burst)}
 }
 
-// SetRatio changes the number of retries for each first try.
-func (retries *Budget) SetRatio(ratio float64) {
-	retries.mu.Lock()
-	defer retries.mu.Unlock()
-	retries.ratio = ratio
+// SetRatio changes the number of retries allowed per first attempt.
+func (b *Budget) SetRatio(ratio float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.ratio = ratio
 }
 
-// Deposit counts a first try.
-func (retries *Budget) Deposit() {
-	retries.mu.Lock()
-	defer retries.mu.Unlock()
-	retries.tokens = min(retries.maxTokens, retries.tokens+retries.ratio)
+// Deposit adds the tokens of one first attempt.
+func (b *Budget) Deposit() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.tokens = min(b.maxTokens, b.tokens+b.ratio)
 }
 
-// Withdraw takes a retry and reports whether there was one.
-func (retries *Budget) Withdraw() bool {
-	retries.mu.Lock()
-	defer retries.mu.Unlock()
-	if retries.tokens < 1 {
+// Withdraw takes the token of one retry and reports whether there was one.
+func (b *Budget) Withdraw() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.tokens < 1 {
 		return false
 	}
-	retries.tokens--
+	b.tokens--
 	return true
 }
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/budget"
 )
 
-// TestRetriesStayAtRatio: when every request fails, retries stay at the
-// ratio of the first tries, beyond what was saved up.
+// TestRetriesStayAtRatio tests that when every request fails, the number of retries
+// is the initial burst plus the ratio of the first attempts.
 func TestRetriesStayAtRatio(t *testing.T) {
 	tests := map[string]struct {
 		ratio       float64
@@ -29,7 +29,7 @@
 				}
 			}
 			if sent > test.want || sent < test.want-test.burst-2 {
-				t.Errorf("%d retries", sent)
+				t.Errorf("%d retries are outside the expected range", sent)
 			}
 		})
 	}
