--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -8,7 +8,8 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// taskLifecycle returns the records of a task's life, as batches of one record.
+// taskLifecycle returns the records of a task from its creation to its removal,
+// each in a batch of its own.
 func taskLifecycle(number int) []*record.Batch {
 	id := fmt.Sprintf("8f0b8b4e-6f0e-4c55-9a3e-%012d", number)
 	worker := fmt.Sprintf("worker-%03d", number%550)
@@ -26,23 +27,24 @@
 	return batches
 }
 
-// newRunningState holds tasks that run.
+// newRunningState returns a state with the given number of running tasks.
 func newRunningState(tb testing.TB, tasks int) *state.State {
 	tb.Helper()
-	folded := state.New()
+	st := state.New()
 	for number := range tasks {
 		for _, batch := range taskLifecycle(number)[:3] {
-			if _, err := folded.Apply(folded.NextOffset(), batch); err != nil {
+			if _, err := st.Apply(st.NextOffset(), batch); err != nil {
 				tb.Fatal(err)
 			}
 		}
 	}
-	return folded
+	return st
 }
 
-// BenchmarkFold folds one record, among tasks at the two-year size.
+// BenchmarkFold applies one record to a state with 5,000 running tasks, the size
+// expected after two years.
 func BenchmarkFold(b *testing.B) {
-	folded := newRunningState(b, 5000)
+	st := newRunningState(b, 5000)
 	number := 1_000_000
 	var batches []*record.Batch
 	b.ReportAllocs()
@@ -55,7 +57,7 @@
 			}
 			b.StartTimer()
 		}
-		if _, err := folded.Apply(folded.NextOffset(), batches[0]); err != nil {
+		if _, err := st.Apply(st.NextOffset(), batches[0]); err != nil {
 			b.Fatal(err)
 		}
 		batches = batches[1:]
@@ -63,12 +65,12 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "records/s")
 }
 
-// BenchmarkSnapshot and BenchmarkRestore are per 1,000 tasks.
+// BenchmarkSnapshot encodes a state with 1,000 running tasks.
 func BenchmarkSnapshot(b *testing.B) {
-	folded := newRunningState(b, 1000)
+	st := newRunningState(b, 1000)
 	b.ReportAllocs()
 	for b.Loop() {
-		data, err := folded.Snapshot()
+		data, err := st.Snapshot()
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -76,6 +78,7 @@
 	}
 }
 
+// BenchmarkRestore decodes a snapshot with 1,000 running tasks.
 func BenchmarkRestore(b *testing.B) {
 	data, err := newRunningState(b, 1000).Snapshot()
 	if err != nil {
--- a/state/claim.go
+++ b/state/claim.go
@@ -2,24 +2,25 @@
 
 import "ambertiller.example/ambertiller/record"
 
-// ClaimPhase says how far a claimed request has come.
+// ClaimPhase is the phase of a claim on a request that must not be repeated.
 type ClaimPhase int32
 
-// The phases of a claim. A released claim is removed.
+// The phases of a claim. The outcome of the request is known in ClaimFinished and
+// not known in ClaimUnknown. A released claim is removed instead.
 const (
 	ClaimHeld ClaimPhase = iota + 1
 	ClaimFinished
 	ClaimUnknown
 )
 
-// Claim returns the claim on a key, nil when nobody holds or held it.
-func (folded *State) Claim(key string) *record.ClaimState { return folded.claims[key] }
+// Claim returns the claim on a key, or nil if there is none.
+func (s *State) Claim(key string) *record.ClaimState { return s.claims[key] }
 
-// ClaimKeysWrittenBefore returns up to limit keys of ended claims that were
-// written before the time, in Unix nanoseconds.
-func (folded *State) ClaimKeysWrittenBefore(unixNano int64, limit int) []string {
+// ClaimKeysWrittenBefore returns up to limit keys of claims, in whatever phase,
+// that were acquired before the given time in Unix nanoseconds.
+func (s *State) ClaimKeysWrittenBefore(unixNano int64, limit int) []string {
 	var keys []string
-	for key, claim := range folded.claims {
+	for key, claim := range s.claims {
 		if len(keys) == limit {
 			break
 		}
@@ -30,26 +31,26 @@
 	return keys
 }
 
-func (folded *State) acquireClaim(claim *record.Claim, written int64) Reason {
+func (s *State) acquireClaim(claim *record.Claim, writtenNanos int64) Reason {
 	if !isValidName(claim.GetKey()) || !isValidName(claim.GetHolder()) {
 		return ReasonInvalid
 	}
-	if _, taken := folded.claims[claim.GetKey()]; taken {
+	if _, taken := s.claims[claim.GetKey()]; taken {
 		return ReasonExists
 	}
-	folded.claims[claim.GetKey()] = &record.ClaimState{
+	s.claims[claim.GetKey()] = &record.ClaimState{
 		Key:             claim.GetKey(),
 		Holder:          claim.GetHolder(),
 		Service:         claim.GetService(),
 		Phase:           int32(ClaimHeld),
-		WrittenUnixNano: written,
+		WrittenUnixNano: writtenNanos,
 	}
 	return ""
 }
 
-// heldClaim finds the claim that the holder holds and has not ended.
-func (folded *State) heldClaim(key, holder string) (*record.ClaimState, Reason) {
-	claim, found := folded.claims[key]
+// heldClaim returns the claim on a key if the holder has it and it has not ended.
+func (s *State) heldClaim(key, holder string) (*record.ClaimState, Reason) {
+	claim, found := s.claims[key]
 	if !found {
 		return nil, ReasonUnknown
 	}
@@ -62,16 +63,16 @@
 	return claim, ""
 }
 
-func (folded *State) releaseClaim(release *record.ClaimRelease) Reason {
-	if _, reason := folded.heldClaim(release.GetKey(), release.GetHolder()); reason != "" {
+func (s *State) releaseClaim(release *record.ClaimRelease) Reason {
+	if _, reason := s.heldClaim(release.GetKey(), release.GetHolder()); reason != "" {
 		return reason
 	}
-	delete(folded.claims, release.GetKey())
+	delete(s.claims, release.GetKey())
 	return ""
 }
 
-func (folded *State) finishClaim(finish *record.ClaimFinish) Reason {
-	claim, reason := folded.heldClaim(finish.GetKey(), finish.GetHolder())
+func (s *State) finishClaim(finish *record.ClaimFinish) Reason {
+	claim, reason := s.heldClaim(finish.GetKey(), finish.GetHolder())
 	if reason != "" {
 		return reason
 	}
@@ -83,10 +84,10 @@
 	return ""
 }
 
-func (folded *State) forgetClaim(forget *record.ClaimForget) Reason {
-	if _, found := folded.claims[forget.GetKey()]; !found {
+func (s *State) forgetClaim(forget *record.ClaimForget) Reason {
+	if _, found := s.claims[forget.GetKey()]; !found {
 		return ReasonUnknown
 	}
-	delete(folded.claims, forget.GetKey())
+	delete(s.claims, forget.GetKey())
 	return ""
 }
--- a/state/example_test.go
+++ b/state/example_test.go
@@ -7,14 +7,15 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// Two operators publish from the same version; the first in the log wins.
+// Two operators publish a document based on the same version. The one whose record
+// comes first in the log is accepted.
 func ExampleState() {
-	folded := state.New()
+	st := state.New()
 	for offset, author := range []string{"anna", "bruno"} {
 		rec := &record.Record{Id: author, Format: state.FirstFormat, Body: &record.Record_Publish{
 			Publish: &record.Publish{Document: "config", BasedOn: 0, Author: author},
 		}}
-		outcomes, err := folded.Apply(int64(offset), &record.Batch{Id: author, Records: []*record.Record{rec}})
+		outcomes, err := st.Apply(int64(offset), &record.Batch{Id: author, Records: []*record.Record{rec}})
 		if err != nil {
 			fmt.Println(err)
 			return
--- a/state/property_test.go
+++ b/state/property_test.go
@@ -10,7 +10,7 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// drawRecord draws a change that may or may not be valid.
+// drawRecord draws a record that is valid for some states only.
 func drawRecord(t *rapid.T, number int) *record.Record {
 	task := fmt.Sprintf("task-%d", rapid.IntRange(1, 3).Draw(t, "task"))
 	worker := fmt.Sprintf("worker-%d", rapid.IntRange(1, 2).Draw(t, "worker"))
@@ -42,13 +42,14 @@
 	return rec
 }
 
-// TestStateInvariants draws histories: whatever comes, a task is held by
-// at most one worker, attempts and versions only grow, an ended task stays
-// ended, nothing is lost into a suspicion that is over, and a state that goes
-// through a snapshot at any point ends up the same.
+// TestStateInvariants applies random records and checks after each that a task is
+// held by at most one worker, that attempts and versions never decrease, that an
+// ended task no longer changes, and that no new attempt begins while one is
+// placed. A second state, restored from a snapshot at a random point, must end up
+// equal.
 func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		folded, other := state.New(), state.New()
+		st, other := state.New(), state.New()
 		count := rapid.IntRange(1, 60).Draw(t, "count")
 		snapshotAt := rapid.IntRange(0, count).Draw(t, "snapshot at")
 		for number := range count {
@@ -56,22 +57,22 @@
 				other = restoreFromSnapshot(t, other)
 			}
 			rec := drawRecord(t, number)
-			before := summarise(folded)
+			before := summarise(st)
 			batch := newBatch(fmt.Sprint("batch-", number), rec)
-			if _, err := folded.Apply(folded.NextOffset(), batch); err != nil {
+			if _, err := st.Apply(st.NextOffset(), batch); err != nil {
 				t.Fatal(err)
 			}
 			if _, err := other.Apply(other.NextOffset(), batch); err != nil {
 				t.Fatal(err)
 			}
-			checkInvariants(t, before, folded, rec)
+			checkInvariants(t, before, st, rec)
 		}
-		requireEqualStates(t, folded, other)
+		requireEqualStates(t, st, other)
 	})
 }
 
-func restoreFromSnapshot(t *rapid.T, folded *state.State) *state.State {
-	data, err := folded.Snapshot()
+func restoreFromSnapshot(t *rapid.T, st *state.State) *state.State {
+	data, err := st.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,45 +83,47 @@
 	return restored
 }
 
+// taskSummary holds the values of a task that checkInvariants compares.
 type taskSummary struct {
 	version, attempt uint64
 	phase            state.Phase
 }
 
-func summarise(folded *state.State) map[string]taskSummary {
-	all := map[string]taskSummary{}
-	for _, task := range folded.Tasks() {
-		all[task.ID()] = taskSummary{task.Version(), task.Attempt(), task.Phase()}
+func summarise(st *state.State) map[string]taskSummary {
+	summaries := map[string]taskSummary{}
+	for _, task := range st.Tasks() {
+		summaries[task.ID()] = taskSummary{task.Version(), task.Attempt(), task.Phase()}
 	}
-	return all
+	return summaries
 }
 
-func checkInvariants(t *rapid.T, before map[string]taskSummary, folded *state.State, rec *record.Record) {
+// checkInvariants compares the state after a record with the tasks before it.
+func checkInvariants(t *rapid.T, before map[string]taskSummary, st *state.State, rec *record.Record) {
 	holders := map[string]int{}
-	for _, worker := range folded.Workers() {
-		for _, task := range folded.TasksOnWorker(worker) {
+	for _, worker := range st.Workers() {
+		for _, task := range st.TasksOnWorker(worker) {
 			holders[task.ID()]++
 			if !task.Phase().IsPlaced() || task.Worker() != worker {
-				t.Fatalf("%s is listed on %s but is %s on %s", task.ID(), worker, task.Phase(), task.Worker())
+				t.Fatalf("task %s is indexed under worker %s but is %s on %s", task.ID(), worker, task.Phase(), task.Worker())
 			}
 		}
 	}
-	for _, task := range folded.Tasks() {
+	for _, task := range st.Tasks() {
 		was, known := before[task.ID()]
 		if want := 0; task.Phase().IsPlaced() {
 			want = 1
 			if holders[task.ID()] != want {
-				t.Fatalf("%s is held %d times", task.ID(), holders[task.ID()])
+				t.Fatalf("task %s is held by %d workers, want 1", task.ID(), holders[task.ID()])
 			}
 		}
 		if known && (task.Version() < was.version || task.Attempt() < was.attempt) {
-			t.Fatalf("%s went back after %v", task.ID(), rec)
+			t.Fatalf("version or attempt of task %s decreased after record %v", task.ID(), rec)
 		}
 		if known && was.phase.IsTerminal() && task.Version() != was.version {
-			t.Fatalf("%s changed after its end by %v", task.ID(), rec)
+			t.Fatalf("ended task %s was changed by record %v", task.ID(), rec)
 		}
 		if known && was.phase.IsPlaced() && task.Attempt() != was.attempt {
-			t.Fatalf("%s got a new attempt while one was placed, by %v", task.ID(), rec)
+			t.Fatalf("task %s got a new attempt while one was placed, by record %v", task.ID(), rec)
 		}
 	}
 }
@@ -135,6 +138,6 @@
 		t.Fatal(err)
 	}
 	if string(a) != string(b) {
-		t.Fatal("a state that went through a snapshot differs")
+		t.Fatal("the state restored from a snapshot differs from the original")
 	}
 }
--- a/state/query.go
+++ b/state/query.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Task returns a task, nil when there is none of that ID.
-func (folded *State) Task(id string) *Task { return folded.tasks[id] }
+// Task returns the task with an ID, or nil if there is none.
+func (s *State) Task(id string) *Task { return s.tasks[id] }
 
-// TaskCount returns the number of tasks that are kept, ended ones included.
-func (folded *State) TaskCount() int { return len(folded.tasks) }
+// TaskCount returns the number of tasks, including ended ones that are still kept.
+func (s *State) TaskCount() int { return len(s.tasks) }
 
 // PendingCount returns the number of tasks that wait for a worker.
-func (folded *State) PendingCount() int { return len(folded.pendingTasks) }
+func (s *State) PendingCount() int { return len(s.pendingTasks) }
 
 // PendingCountOfKind returns the number of tasks of a kind that wait for a worker.
-func (folded *State) PendingCountOfKind(kind string) int { return folded.pendingByKind[kind] }
+func (s *State) PendingCountOfKind(kind string) int { return s.pendingByKind[kind] }
 
-// Pending returns the tasks that wait for a worker: by falling priority, then
-// oldest first.
-func (folded *State) Pending() []*Task {
-	return slices.SortedFunc(maps.Values(folded.pendingTasks), func(a, b *Task) int {
+// Pending returns the tasks that wait for a worker, by descending priority and
+// within a priority oldest first.
+func (s *State) Pending() []*Task {
+	return slices.SortedFunc(maps.Values(s.pendingTasks), func(a, b *Task) int {
 		return cmp.Or(
 			cmp.Compare(b.Spec().GetPriority(), a.Spec().GetPriority()),
 			a.CreatedAt().Compare(b.CreatedAt()),
@@ -31,16 +31,16 @@
 	})
 }
 
-// TasksOnWorker returns the tasks that a worker holds, by ID.
-func (folded *State) TasksOnWorker(worker string) []*Task {
-	return slices.SortedFunc(maps.Values(folded.tasksByWorker[worker]), compareByID)
+// TasksOnWorker returns the tasks that a worker holds, sorted by ID.
+func (s *State) TasksOnWorker(worker string) []*Task {
+	return slices.SortedFunc(maps.Values(s.tasksByWorker[worker]), compareByID)
 }
 
 // Workers returns the names of the workers that hold tasks, sorted.
-func (folded *State) Workers() []string {
+func (s *State) Workers() []string {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(folded.tasksByWorker)) {
-		if len(folded.tasksByWorker[name]) > 0 {
+	for _, name := range slices.Sorted(maps.Keys(s.tasksByWorker)) {
+		if len(s.tasksByWorker[name]) > 0 {
 			names = append(names, name)
 		}
 	}
@@ -48,16 +48,16 @@
 }
 
 // Tasks returns every task, oldest first.
-func (folded *State) Tasks() []*Task {
-	return slices.SortedFunc(maps.Values(folded.tasks), func(a, b *Task) int {
+func (s *State) Tasks() []*Task {
+	return slices.SortedFunc(maps.Values(s.tasks), func(a, b *Task) int {
 		return cmp.Or(a.CreatedAt().Compare(b.CreatedAt()), compareByID(a, b))
 	})
 }
 
-// EndedTaskIDs returns up to limit IDs of tasks that ended before the time.
-func (folded *State) EndedTaskIDs(before time.Time, limit int) []string {
+// EndedTaskIDs returns up to limit IDs of tasks that ended before the given time.
+func (s *State) EndedTaskIDs(before time.Time, limit int) []string {
 	var ids []string
-	for id, task := range folded.endedTasks {
+	for id, task := range s.endedTasks {
 		if len(ids) == limit {
 			break
 		}
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -10,25 +10,25 @@
 	"ambertiller.example/ambertiller/record"
 )
 
-// Snapshot encodes the state. The encoding holds everything that Apply looks
-// at, so that a restored state goes on as the original would.
-func (folded *State) Snapshot() ([]byte, error) {
+// Snapshot encodes the state. The encoding holds everything that Apply depends
+// on, so that a restored state continues exactly as the original would.
+func (s *State) Snapshot() ([]byte, error) {
 	snapshot := &record.Snapshot{
-		NextOffset:    folded.nextOffset,
-		Format:        folded.format,
-		RecentBatches: folded.recentBatchIDs,
+		NextOffset:    s.nextOffset,
+		Format:        s.format,
+		RecentBatches: s.recentBatchIDs,
 	}
-	for _, id := range slices.Sorted(maps.Keys(folded.tasks)) {
-		snapshot.Tasks = append(snapshot.Tasks, folded.tasks[id].stored)
+	for _, id := range slices.Sorted(maps.Keys(s.tasks)) {
+		snapshot.Tasks = append(snapshot.Tasks, s.tasks[id].stored)
 	}
-	for _, key := range slices.Sorted(maps.Keys(folded.claims)) {
-		snapshot.Claims = append(snapshot.Claims, folded.claims[key])
+	for _, key := range slices.Sorted(maps.Keys(s.claims)) {
+		snapshot.Claims = append(snapshot.Claims, s.claims[key])
 	}
-	for _, name := range slices.Sorted(maps.Keys(folded.documents)) {
-		snapshot.Documents = append(snapshot.Documents, folded.documents[name]...)
+	for _, name := range slices.Sorted(maps.Keys(s.documents)) {
+		snapshot.Documents = append(snapshot.Documents, s.documents[name]...)
 	}
-	for _, name := range slices.Sorted(maps.Keys(folded.workers)) {
-		snapshot.Workers = append(snapshot.Workers, folded.workers[name])
+	for _, name := range slices.Sorted(maps.Keys(s.workers)) {
+		snapshot.Workers = append(snapshot.Workers, s.workers[name])
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	if err != nil {
@@ -37,35 +37,36 @@
 	return data, nil
 }
 
-// Restore decodes a snapshot for a reader that knows formats up to known.
-func Restore(data []byte, known uint32) (*State, error) {
+// Restore decodes a snapshot for a reader that supports formats up to maxFormat. It
+// returns a FormatError if the snapshot was taken at a higher format.
+func Restore(data []byte, maxFormat uint32) (*State, error) {
 	snapshot := &record.Snapshot{}
 	if err := proto.Unmarshal(data, snapshot); err != nil {
 		return nil, errors.Wrap(err, "decode snapshot")
 	}
-	if snapshot.GetFormat() > known {
-		return nil, &FormatError{required: snapshot.GetFormat(), supported: known}
+	if snapshot.GetFormat() > maxFormat {
+		return nil, &FormatError{required: snapshot.GetFormat(), supported: maxFormat}
 	}
-	folded := NewForFormat(known)
-	folded.nextOffset = snapshot.GetNextOffset()
-	folded.format = snapshot.GetFormat()
-	folded.recentBatchIDs = snapshot.GetRecentBatches()
-	for _, id := range folded.recentBatchIDs {
-		folded.recentBatchSet[id] = struct{}{}
+	s := NewForFormat(maxFormat)
+	s.nextOffset = snapshot.GetNextOffset()
+	s.format = snapshot.GetFormat()
+	s.recentBatchIDs = snapshot.GetRecentBatches()
+	for _, id := range s.recentBatchIDs {
+		s.recentBatchSet[id] = struct{}{}
 	}
-	for _, kept := range snapshot.GetTasks() {
-		task := &Task{stored: kept}
-		folded.tasks[task.ID()] = task
-		folded.updateIndexes(task)
+	for _, stored := range snapshot.GetTasks() {
+		task := &Task{stored: stored}
+		s.tasks[task.ID()] = task
+		s.updateIndexes(task)
 	}
 	for _, claim := range snapshot.GetClaims() {
-		folded.claims[claim.GetKey()] = claim
+		s.claims[claim.GetKey()] = claim
 	}
 	for _, document := range snapshot.GetDocuments() {
-		folded.documents[document.GetName()] = append(folded.documents[document.GetName()], document)
+		s.documents[document.GetName()] = append(s.documents[document.GetName()], document)
 	}
 	for _, worker := range snapshot.GetWorkers() {
-		folded.workers[worker.GetWorker()] = worker
+		s.workers[worker.GetWorker()] = worker
 	}
-	return folded, nil
+	return s, nil
 }
--- a/state/state.go
+++ b/state/state.go
@@ -1,29 +1,30 @@
-// Package state folds the records of the log into the state that every entry
-// decides from.
+// Package state is the replicated state machine that every entry makes its
+// decisions from. Applying the records of the log in order yields the state.
 //
-// The fold is deterministic: two instances that apply the same batches in the
+// Applying is deterministic: two instances that apply the same batches in the
 // same order hold the same state, whatever their build, clock or history. It
-// reads no clock and parses no document. Each record is checked against the
-// state at its own place in the log; the first valid one wins and a later one
-// that was based on an older version is lost. So several entries can propose
-// changes at the same time without a leader, and each learns from the fold
-// whether its own proposal took effect.
+// reads no clock and parses no document. Each record is validated against the
+// state at its own offset in the log. Of several changes based on the same
+// version, the first valid one is accepted and the later ones are rejected.
+// Several entries can therefore propose changes concurrently without a leader,
+// and each learns from the outcome whether its own proposal took effect.
 //
 // # Formats
 //
-// A record names the format it needs. A record whose format is above the
-// state's is passed over by every reader. FormatRaise lifts the state's
-// format; a reader that does not know the new format stops there with
-// [FormatError] and must not decide. So an old reader can fall behind a newer
-// one, but never diverge from it.
+// Each record states the format that it requires. Every reader skips a record
+// whose format is above the current format of the state. A FormatRaise record
+// raises the format of the state. A reader that does not support the new format
+// stops there with a [FormatError] and must not make decisions any more. An old
+// reader can thus fall behind a newer one, but never diverge from it.
 //
 // # Usage
 //
-//	folded := state.New()
-//	outcomes, err := folded.Apply(offset, batch)
-//	for _, task := range folded.Pending() { ... }
+//	st := state.New()
+//	outcomes, err := st.Apply(offset, batch)
+//	for _, task := range st.Pending() { ... }
 //
-// A State is not safe for concurrent use; package journal guards one.
+// A State is not safe for concurrent use; package changelog guards one with a
+// mutex.
 package state
 
 import (
@@ -32,49 +33,59 @@
 	"ambertiller.example/ambertiller/record"
 )
 
-// LatestFormat is the newest record format that this build knows.
+// LatestFormat is the newest record format that this build supports.
 const LatestFormat uint32 = 1
 
 // FirstFormat is the format of an empty log.
 const FirstFormat uint32 = 1
 
 const (
-	// maxRecentBatches bounds how many batch IDs are remembered to pass over a
-	// second copy of an append. A copy can only follow closely: its writer
-	// gives up after seconds, in which the log takes some hundred batches.
+	// maxRecentBatches bounds how many batch IDs are kept to detect duplicate
+	// appends. A duplicate follows its original closely: its writer stops
+	// retrying after seconds, in which the log receives a few hundred batches.
 	maxRecentBatches = 4096
-	// maxDocumentVersions bounds the versions of each document that are kept.
+	// maxDocumentVersions is the number of versions kept of each document.
 	maxDocumentVersions = 20
-	// maxNameBytes bounds every name and key.
+	// maxNameBytes bounds the length of every name and key.
 	maxNameBytes = 256
-	// MaxResultBytes bounds the result of a task that the log keeps.
+	// MaxResultBytes bounds the result of a task that is kept in the log.
 	MaxResultBytes = 16 << 10
-	// MaxCheckpointBytes bounds a checkpoint reference.
+	// MaxCheckpointBytes bounds the size of a checkpoint reference.
 	MaxCheckpointBytes = 16 << 10
-	// MaxInputBytes bounds the input of a task.
+	// MaxInputBytes bounds the size of a task's input.
 	MaxInputBytes = 64 << 10
-	// MaxDocumentBytes bounds a configuration or policy.
+	// MaxDocumentBytes bounds the size of a configuration or policy document.
 	MaxDocumentBytes = 256 << 10
-	// maxStartFailures ends a task that no worker could start.
+	// maxStartFailures is the number of failed starts after which a task fails.
 	maxStartFailures = 5
 )
 
-// Reason says why a record was lost.
+// Reason is the reason why a record was rejected.
 type Reason string
 
-// The reasons for losing.
+// The rejection reasons.
 const (
-	ReasonExists    Reason = "exists"
-	ReasonStale     Reason = "stale version"
-	ReasonUnknown   Reason = "unknown subject"
-	ReasonPhase     Reason = "wrong phase"
-	ReasonHolder    Reason = "other holder"
-	ReasonFormat    Reason = "format not raised"
+	// ReasonExists rejects the creation of what exists: a task, a claim or a suspicion.
+	ReasonExists Reason = "exists"
+	// ReasonStale rejects a change based on a version, attempt or suspicion that is
+	// not the current one, and the raise to a format that is not higher.
+	ReasonStale Reason = "stale version"
+	// ReasonUnknown rejects a change to a task or claim that does not exist.
+	ReasonUnknown Reason = "unknown subject"
+	// ReasonPhase rejects a change that the phase of the task or claim, or the state
+	// of the worker, does not allow.
+	ReasonPhase Reason = "wrong phase"
+	// ReasonHolder rejects a change to a claim that another holder has.
+	ReasonHolder Reason = "other holder"
+	// ReasonFormat rejects a record that requires a format above the current one.
+	ReasonFormat Reason = "format not raised"
+	// ReasonDuplicate rejects the records of a batch that was applied before.
 	ReasonDuplicate Reason = "duplicate batch"
-	ReasonInvalid   Reason = "invalid"
+	// ReasonInvalid rejects a record without a known body or with a field out of bounds.
+	ReasonInvalid Reason = "invalid"
 )
 
-// Outcome says what became of one record.
+// Outcome tells whether one record was accepted, and if not, why.
 type Outcome struct {
 	recordID string
 	reason   Reason
@@ -86,21 +97,22 @@
 // Accepted reports whether the record took effect.
 func (outcome Outcome) Accepted() bool { return outcome.reason == "" }
 
-// Reason returns why the record was lost, empty when it was accepted.
+// Reason returns why the record was rejected. It is empty for an accepted record.
 func (outcome Outcome) Reason() Reason { return outcome.reason }
 
-// FormatError says that the log needs a newer build.
+// FormatError reports that the log or a snapshot requires a record format that
+// this build does not support.
 type FormatError struct {
 	required  uint32
 	supported uint32
 }
 
 // Error implements error.
-func (format *FormatError) Error() string {
-	return fmt.Sprintf("the log holds records of format %d and this build knows %d; replace it by a newer build", format.required, format.supported)
+func (e *FormatError) Error() string {
+	return fmt.Sprintf("the log holds records of format %d and this build knows %d; replace it by a newer build", e.required, e.supported)
 }
 
-// State is the fold of the log up to an offset.
+// State is the result of applying the log up to an offset.
 type State struct {
 	nextOffset     int64
 	format         uint32
@@ -121,12 +133,12 @@
 // New returns the state of an empty log.
 func New() *State { return NewForFormat(LatestFormat) }
 
-// NewForFormat returns the state of an empty log for a reader that knows formats
-// up to known. Tests use it to stand an old build beside a new one.
-func NewForFormat(known uint32) *State {
+// NewForFormat returns the state of an empty log for a reader that supports
+// formats up to maxFormat. Tests use it to run an old build next to a new one.
+func NewForFormat(maxFormat uint32) *State {
 	return &State{
 		format:         FirstFormat,
-		maxFormat:      known,
+		maxFormat:      maxFormat,
 		tasks:          map[string]*Task{},
 		claims:         map[string]*record.ClaimState{},
 		documents:      map[string][]*record.Document{},
@@ -139,64 +151,67 @@
 	}
 }
 
-// NextOffset returns the first offset that is not folded in.
-func (folded *State) NextOffset() int64 { return folded.nextOffset }
+// NextOffset returns the offset of the next entry to apply.
+func (s *State) NextOffset() int64 { return s.nextOffset }
 
-// RecordFormat returns the format that records may need.
-func (folded *State) RecordFormat() uint32 { return folded.format }
+// RecordFormat returns the highest format that a record may require at present.
+func (s *State) RecordFormat() uint32 { return s.format }
 
-// Skip moves past an entry of the log that holds no readable batch.
-func (folded *State) Skip(offset int64) {
-	if offset >= folded.nextOffset {
-		folded.nextOffset = offset + 1
+// Skip advances past a log entry that does not decode as a batch.
+func (s *State) Skip(offset int64) {
+	if offset >= s.nextOffset {
+		s.nextOffset = offset + 1
 	}
 }
 
-// Apply folds the batch at an offset and returns an outcome for each record.
-// A batch below Next has been folded before and is passed over. After a
-// FormatError the state stays before the batch.
-func (folded *State) Apply(offset int64, batch *record.Batch) ([]Outcome, error) {
-	if offset < folded.nextOffset {
+// Apply applies the batch at an offset and returns an outcome for each record.
+// A batch below NextOffset has been applied already and is skipped, without
+// outcomes. On a FormatError the state is unchanged.
+func (s *State) Apply(offset int64, batch *record.Batch) ([]Outcome, error) {
+	if offset < s.nextOffset {
 		return nil, nil
 	}
-	if err := folded.checkFormats(batch); err != nil {
+	if err := s.checkFormats(batch); err != nil {
 		return nil, err
 	}
-	folded.nextOffset = offset + 1
-	if folded.recordBatchID(batch.GetId()) {
+	s.nextOffset = offset + 1
+	if s.recordBatchID(batch.GetId()) {
 		return duplicateOutcomes(batch), nil
 	}
 	outcomes := make([]Outcome, 0, len(batch.GetRecords()))
 	for _, rec := range batch.GetRecords() {
-		outcomes = append(outcomes, Outcome{recordID: rec.GetId(), reason: folded.applyRecord(rec)})
+		outcomes = append(outcomes, Outcome{recordID: rec.GetId(), reason: s.applyRecord(rec)})
 	}
 	return outcomes, nil
 }
 
-// checkFormats finds a raise above what this build knows before anything of
-// the batch is applied, so that the state never holds half a batch.
-func (folded *State) checkFormats(batch *record.Batch) error {
+// checkFormats looks for a format raise that this build does not support before
+// any record of the batch is applied, so that no batch is applied in part.
+func (s *State) checkFormats(batch *record.Batch) error {
 	for _, rec := range batch.GetRecords() {
-		raised := rec.GetFormatRaise().GetFormat()
-		if raised > folded.maxFormat && raised > folded.format && rec.GetFormat() <= folded.format {
-			return &FormatError{required: raised, supported: folded.maxFormat}
+		target := rec.GetFormatRaise().GetFormat()
+		if target > s.maxFormat && target > s.format && rec.GetFormat() <= s.format {
+			return &FormatError{required: target, supported: s.maxFormat}
 		}
 	}
 	return nil
 }
 
-func (folded *State) recordBatchID(batchID string) bool {
+// recordBatchID remembers the ID of a batch and reports whether it was already
+// known, in which case the batch is a duplicate of an earlier append. A batch
+// without an ID is never a duplicate.
+func (s *State) recordBatchID(batchID string) bool {
 	if batchID == "" {
 		return false
 	}
-	if _, seen := folded.recentBatchSet[batchID]; seen {
+	if _, found := s.recentBatchSet[batchID]; found {
 		return true
 	}
-	folded.recentBatchSet[batchID] = struct{}{}
-	folded.recentBatchIDs = append(folded.recentBatchIDs, batchID)
-	if len(folded.recentBatchIDs) > maxRecentBatches {
-		delete(folded.recentBatchSet, folded.recentBatchIDs[0])
-		folded.recentBatchIDs = folded.recentBatchIDs[1:]
+	s.recentBatchSet[batchID] = struct{}{}
+	s.recentBatchIDs = append(s.recentBatchIDs, batchID)
+	if len(s.recentBatchIDs) > maxRecentBatches {
+		delete(s.recentBatchSet, s.recentBatchIDs[0])
+		s.recentBatchIDs = s.recentBatchIDs[1:]
 	}
 	return false
 }
@@ -209,53 +224,53 @@
 	return outcomes
 }
 
-func (folded *State) applyRecord(rec *record.Record) Reason {
-	if rec.GetFormat() > folded.format {
+func (s *State) applyRecord(rec *record.Record) Reason {
+	if rec.GetFormat() > s.format {
 		return ReasonFormat
 	}
-	written := rec.GetWrittenUnixNano()
+	writtenNanos := rec.GetWrittenUnixNano()
 	switch body := rec.GetBody().(type) {
 	case *record.Record_TaskCreate:
-		return folded.createTask(body.TaskCreate, written)
+		return s.createTask(body.TaskCreate, writtenNanos)
 	case *record.Record_TaskAssign:
-		return folded.assignTask(body.TaskAssign, written)
+		return s.assignTask(body.TaskAssign, writtenNanos)
 	case *record.Record_TaskRunning:
-		return folded.markRunning(body.TaskRunning, written)
+		return s.markRunning(body.TaskRunning, writtenNanos)
 	case *record.Record_TaskFinish:
-		return folded.finishTask(body.TaskFinish, written)
+		return s.finishTask(body.TaskFinish, writtenNanos)
 	case *record.Record_TaskRelease:
-		return folded.releaseTask(body.TaskRelease, written)
+		return s.releaseTask(body.TaskRelease, writtenNanos)
 	case *record.Record_TaskCancel:
-		return folded.cancelTask(body.TaskCancel, written)
+		return s.cancelTask(body.TaskCancel, writtenNanos)
 	case *record.Record_TaskEvict:
-		return folded.evictTask(body.TaskEvict, written)
+		return s.evictTask(body.TaskEvict, writtenNanos)
 	case *record.Record_TaskForget:
-		return folded.forgetTask(body.TaskForget)
+		return s.forgetTask(body.TaskForget)
 	case *record.Record_Claim:
-		return folded.acquireClaim(body.Claim, written)
+		return s.acquireClaim(body.Claim, writtenNanos)
 	case *record.Record_ClaimRelease:
-		return folded.releaseClaim(body.ClaimRelease)
+		return s.releaseClaim(body.ClaimRelease)
 	case *record.Record_ClaimFinish:
-		return folded.finishClaim(body.ClaimFinish)
+		return s.finishClaim(body.ClaimFinish)
 	case *record.Record_ClaimForget:
-		return folded.forgetClaim(body.ClaimForget)
+		return s.forgetClaim(body.ClaimForget)
 	case *record.Record_Publish:
-		return folded.publishDocument(body.Publish, written)
+		return s.publishDocument(body.Publish, writtenNanos)
 	case *record.Record_WorkerDrain:
-		return folded.drainWorker(body.WorkerDrain)
+		return s.drainWorker(body.WorkerDrain)
 	case *record.Record_WorkerSuspect:
-		return folded.suspectWorker(body.WorkerSuspect)
+		return s.suspectWorker(body.WorkerSuspect)
 	case *record.Record_FormatRaise:
-		return folded.raiseFormat(body.FormatRaise)
+		return s.raiseFormat(body.FormatRaise)
 	}
 	return ReasonInvalid
 }
 
-func (folded *State) raiseFormat(raise *record.FormatRaise) Reason {
-	if raise.GetFormat() <= folded.format {
+func (s *State) raiseFormat(raise *record.FormatRaise) Reason {
+	if raise.GetFormat() <= s.format {
 		return ReasonStale
 	}
-	folded.format = raise.GetFormat()
+	s.format = raise.GetFormat()
 	return ""
 }
 
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -17,12 +17,13 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// TestApplyGolden folds each testdata/*.records, one record to a line, and compares
-// what became of each and the tasks at the end with its golden file.
+// TestApplyGolden applies each testdata/*.records file, which has one record per
+// line, and compares the outcome of every record and the final tasks with its
+// golden file.
 func TestApplyGolden(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.records")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no cases: %v", err)
+		t.Fatalf("no testdata/*.records files found: %v", err)
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".records")
@@ -37,7 +38,7 @@
 }
 
 func applyLines(t *testing.T, content string) string {
-	folded := state.New()
+	st := state.New()
 	var out strings.Builder
 	for number, line := range strings.Split(strings.TrimSpace(content), "\n") {
 		if strings.HasPrefix(line, "#") {
@@ -48,17 +49,17 @@
 		if err := prototext.Unmarshal([]byte(line), rec); err != nil {
 			t.Fatalf("line %d: %v", number+1, err)
 		}
-		outcomes, err := folded.Apply(folded.NextOffset(), &record.Batch{Records: []*record.Record{rec}})
+		outcomes, err := st.Apply(st.NextOffset(), &record.Batch{Records: []*record.Record{rec}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		verdict := "accepted"
+		outcome := "accepted"
 		if !outcomes[0].Accepted() {
-			verdict = "lost: " + string(outcomes[0].Reason())
+			outcome = "lost: " + string(outcomes[0].Reason())
 		}
-		fmt.Fprintf(&out, "%-22s %s\n", verdict, line)
+		fmt.Fprintf(&out, "%-22s %s\n", outcome, line)
 	}
-	for _, task := range folded.Tasks() {
+	for _, task := range st.Tasks() {
 		fmt.Fprintf(&out, "task %s: %s on %q, attempt %d, version %d, checkpoint %q, result %q: %s\n", task.ID(), task.Phase(),
 			task.Worker(), task.Attempt(), task.Version(), task.Checkpoint(), task.Result(), task.Reason())
 	}
@@ -75,24 +76,25 @@
 	}}}
 }
 
-func mustApply(t *testing.T, folded *state.State, batch *record.Batch) []state.Outcome {
+func mustApply(t *testing.T, st *state.State, batch *record.Batch) []state.Outcome {
 	t.Helper()
-	outcomes, err := folded.Apply(folded.NextOffset(), batch)
+	outcomes, err := st.Apply(st.NextOffset(), batch)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return outcomes
 }
 
-// TestDuplicateBatchIgnored: an append whose answer was lost is sent again;
-// its second copy changes nothing, also after a snapshot in between.
+// TestDuplicateBatchIgnored tests that a batch which is appended twice, because
+// the response to the first append was lost, takes effect only once, also when
+// a snapshot was restored in between.
 func TestDuplicateBatchIgnored(t *testing.T) {
-	folded := state.New()
-	forget := &record.Record{Id: "f", Format: 1, Body: &record.Record_TaskCancel{TaskCancel: &record.TaskCancel{Task: "a"}}}
-	mustApply(t, folded, newBatch("b-1", newCreateRecord("a", 1)))
-	mustApply(t, folded, newBatch("b-2", forget))
-	mustApply(t, folded, newBatch("b-3", &record.Record{Id: "g", Format: 1, Body: &record.Record_TaskForget{TaskForget: &record.TaskForget{Task: "a"}}}))
-	data, err := folded.Snapshot()
+	st := state.New()
+	cancel := &record.Record{Id: "f", Format: 1, Body: &record.Record_TaskCancel{TaskCancel: &record.TaskCancel{Task: "a"}}}
+	mustApply(t, st, newBatch("b-1", newCreateRecord("a", 1)))
+	mustApply(t, st, newBatch("b-2", cancel))
+	mustApply(t, st, newBatch("b-3", &record.Record{Id: "g", Format: 1, Body: &record.Record_TaskForget{TaskForget: &record.TaskForget{Task: "a"}}}))
+	data, err := st.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,61 +102,61 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, each := range map[string]*state.State{"folded": folded, "restored": restored} {
-		outcomes := mustApply(t, each, newBatch("b-1", newCreateRecord("a", 1)))
-		if outcomes[0].Reason() != state.ReasonDuplicate || each.Task("a") != nil {
-			t.Errorf("%s: the second copy was %q", name, outcomes[0].Reason())
+	for name, replica := range map[string]*state.State{"folded": st, "restored": restored} {
+		outcomes := mustApply(t, replica, newBatch("b-1", newCreateRecord("a", 1)))
+		if outcomes[0].Reason() != state.ReasonDuplicate || replica.Task("a") != nil {
+			t.Errorf("%s: the duplicate was not ignored: reason %q", name, outcomes[0].Reason())
 		}
 	}
 }
 
-// TestMixedFormats stands a reader that knows format 1 beside one that knows
-// format 2, in both directions.
+// TestMixedFormats applies the same log to a reader that supports format 1 and to
+// one that supports format 2, as during a rolling upgrade.
 func TestMixedFormats(t *testing.T) {
 	raise := &record.Record{Id: "raise", Format: 1, Body: &record.Record_FormatRaise{FormatRaise: &record.FormatRaise{Format: 2}}}
-	t.Run("a newer record before the raise is passed over by both", func(t *testing.T) {
+	t.Run("both skip a record of format 2 before the raise", func(t *testing.T) {
 		older, newer := state.NewForFormat(1), state.NewForFormat(2)
-		for _, folded := range []*state.State{older, newer} {
-			mustApply(t, folded, newBatch("b-1", newCreateRecord("a", 2), newCreateRecord("b", 1)))
+		for _, st := range []*state.State{older, newer} {
+			mustApply(t, st, newBatch("b-1", newCreateRecord("a", 2), newCreateRecord("b", 1)))
 		}
 		if older.Task("a") != nil || newer.Task("a") != nil || older.Task("b") == nil {
-			t.Error("they differ, or one took the record")
+			t.Error("a reader applied the record of format 2, or skipped the other one")
 		}
 		assertEqualStates(t, older, newer)
 	})
-	t.Run("the older one stops at the raise and keeps what it had", func(t *testing.T) {
+	t.Run("the older reader stops at the raise with its state unchanged", func(t *testing.T) {
 		older, newer := state.NewForFormat(1), state.NewForFormat(2)
-		for _, folded := range []*state.State{older, newer} {
-			mustApply(t, folded, newBatch("b-1", newCreateRecord("b", 1)))
+		for _, st := range []*state.State{older, newer} {
+			mustApply(t, st, newBatch("b-1", newCreateRecord("b", 1)))
 		}
 		before, err := older.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		raising := newBatch("b-2", newCreateRecord("c", 1), raise)
+		raiseBatch := newBatch("b-2", newCreateRecord("c", 1), raise)
 		var tooNew *state.FormatError
-		if _, err := older.Apply(older.NextOffset(), raising); !errors.As(err, &tooNew) {
-			t.Fatalf("got %v", err)
+		if _, err := older.Apply(older.NextOffset(), raiseBatch); !errors.As(err, &tooNew) {
+			t.Fatalf("got error %v, want a FormatError", err)
 		}
 		after, err := older.Snapshot()
 		if err != nil || !bytes.Equal(before, after) {
 			t.Errorf("the older reader's state changed (%v)", err)
 		}
-		mustApply(t, newer, raising)
+		mustApply(t, newer, raiseBatch)
 		if outcomes := mustApply(t, newer, newBatch("b-3", newCreateRecord("a", 2))); !outcomes[0].Accepted() {
-			t.Errorf("the newer reader lost the record: %s", outcomes[0].Reason())
+			t.Errorf("the newer reader rejected the record of format 2: %s", outcomes[0].Reason())
 		}
 	})
-	t.Run("the newer one reads what an older one wrote, raised or not", func(t *testing.T) {
+	t.Run("the newer reader applies records of format 1 before and after the raise", func(t *testing.T) {
 		newer := state.NewForFormat(2)
 		mustApply(t, newer, newBatch("b-1", newCreateRecord("a", 1)))
 		mustApply(t, newer, newBatch("b-2", raise))
 		mustApply(t, newer, newBatch("b-3", newCreateRecord("b", 1)))
 		if newer.Task("a") == nil || newer.Task("b") == nil {
-			t.Error("a record of the older format was not taken")
+			t.Error("a record of format 1 was not applied")
 		}
 	})
-	t.Run("the older one does not restore the newer one's snapshot", func(t *testing.T) {
+	t.Run("the older reader rejects a snapshot of the newer one", func(t *testing.T) {
 		newer := state.NewForFormat(2)
 		mustApply(t, newer, newBatch("b-2", raise))
 		data, err := newer.Snapshot()
@@ -163,7 +165,7 @@
 		}
 		var tooNew *state.FormatError
 		if _, err := state.Restore(data, 1); !errors.As(err, &tooNew) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want a FormatError", err)
 		}
 	})
 }
@@ -183,8 +185,8 @@
 	}
 }
 
-// FuzzApply folds whatever bytes decode as a batch into two states, one of
-// which goes through a snapshot first; they must stay the same.
+// FuzzApply applies every input that decodes as a batch to two states, one of
+// which was restored from a snapshot of the other. They must stay equal.
 func FuzzApply(f *testing.F) {
 	for _, batch := range []*record.Batch{
 		newBatch("b", newCreateRecord("a", 1)),
@@ -203,9 +205,9 @@
 		if proto.Unmarshal(data, batch) != nil {
 			return
 		}
-		folded := state.New()
-		mustApply(t, folded, newBatch("first", newCreateRecord("a", 1)))
-		snapshot, err := folded.Snapshot()
+		st := state.New()
+		mustApply(t, st, newBatch("first", newCreateRecord("a", 1)))
+		snapshot, err := st.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -213,11 +215,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, one := folded.Apply(folded.NextOffset(), proto.Clone(batch).(*record.Batch))
-		_, other := restored.Apply(restored.NextOffset(), proto.Clone(batch).(*record.Batch))
-		if (one == nil) != (other == nil) {
-			t.Fatalf("one failed: %v, %v", one, other)
+		_, originalErr := st.Apply(st.NextOffset(), proto.Clone(batch).(*record.Batch))
+		_, restoredErr := restored.Apply(restored.NextOffset(), proto.Clone(batch).(*record.Batch))
+		if (originalErr == nil) != (restoredErr == nil) {
+			t.Fatalf("only one of the states returned an error: %v, %v", originalErr, restoredErr)
 		}
-		assertEqualStates(t, folded, restored)
+		assertEqualStates(t, st, restored)
 	})
 }
--- a/state/task.go
+++ b/state/task.go
@@ -6,11 +6,11 @@
 	"ambertiller.example/ambertiller/record"
 )
 
-// Phase is where a task is in its life.
+// Phase is the phase of a task's lifecycle.
 type Phase int32
 
-// The phases. A task is given to at most one worker in Assigned, Running and
-// Stopping, and to none in the others.
+// The phases of a task. In PhaseAssigned, PhaseRunning and PhaseStopping exactly
+// one worker holds the task; in all others none does.
 const (
 	PhasePending Phase = iota + 1
 	PhaseAssigned
@@ -32,93 +32,96 @@
 }
 
 // String implements fmt.Stringer.
-func (phase Phase) String() string { return phaseNames[phase] }
+func (p Phase) String() string { return phaseNames[p] }
 
-// IsTerminal reports whether the task will never run again.
-func (phase Phase) IsTerminal() bool {
-	return phase == PhaseFinished || phase == PhaseFailed || phase == PhaseCancelled
+// IsTerminal reports whether a task in this phase never runs again.
+func (p Phase) IsTerminal() bool {
+	return p == PhaseFinished || p == PhaseFailed || p == PhaseCancelled
 }
 
-// IsPlaced reports whether a worker holds the task.
-func (phase Phase) IsPlaced() bool {
-	return phase == PhaseAssigned || phase == PhaseRunning || phase == PhaseStopping
+// IsPlaced reports whether a worker holds a task in this phase.
+func (p Phase) IsPlaced() bool {
+	return p == PhaseAssigned || p == PhaseRunning || p == PhaseStopping
 }
 
-// Task is one batch job or watch.
+// Task holds the state of one batch job or watch.
 type Task struct {
 	stored *record.Task
 }
 
 // ID returns the task's ID.
-func (task *Task) ID() string { return task.stored.GetId() }
+func (t *Task) ID() string { return t.stored.GetId() }
 
-// Spec returns what was asked for. It must not be changed.
-func (task *Task) Spec() *record.TaskSpec { return task.stored.GetSpec() }
+// Spec returns the specification as submitted. It must not be changed.
+func (t *Task) Spec() *record.TaskSpec { return t.stored.GetSpec() }
 
-// Version returns the count of changes to the task.
-func (task *Task) Version() uint64 { return task.stored.GetVersion() }
+// Version returns the number of phase changes of the task so far.
+func (t *Task) Version() uint64 { return t.stored.GetVersion() }
 
-// Attempt returns the number of the newest attempt, its fencing token.
-func (task *Task) Attempt() uint64 { return task.stored.GetAttempt() }
+// Attempt returns the number of the latest attempt, which is also its fencing token.
+func (t *Task) Attempt() uint64 { return t.stored.GetAttempt() }
 
-// Phase returns where the task is in its life.
-func (task *Task) Phase() Phase { return Phase(task.stored.GetPhase()) }
+// Phase returns the current phase.
+func (t *Task) Phase() Phase { return Phase(t.stored.GetPhase()) }
 
-// Worker returns the worker of the newest attempt.
-func (task *Task) Worker() string { return task.stored.GetWorker() }
+// Worker returns the name of the worker that the latest attempt was placed on.
+func (t *Task) Worker() string { return t.stored.GetWorker() }
 
-// Incarnation returns the guard incarnation that the newest attempt was offered to.
-func (task *Task) Incarnation() string { return task.stored.GetIncarnation() }
+// Incarnation returns the incarnation of the guard that the latest attempt was offered to.
+func (t *Task) Incarnation() string { return t.stored.GetIncarnation() }
 
-// OfferDeadline returns the uptime of that guard at which the offer ends.
-func (task *Task) OfferDeadline() time.Duration {
-	return time.Duration(task.stored.GetOfferDeadlineNanos())
+// OfferDeadline returns the uptime of that guard at which the offer expires.
+func (t *Task) OfferDeadline() time.Duration {
+	return time.Duration(t.stored.GetOfferDeadlineNanos())
 }
 
-// Lease returns how long the newest attempt runs on without renewal.
-func (task *Task) Lease() time.Duration { return time.Duration(task.stored.GetLeaseNanos()) }
+// Lease returns how long the latest attempt may run without a renewal.
+func (t *Task) Lease() time.Duration { return time.Duration(t.stored.GetLeaseNanos()) }
 
-// Checkpoint returns where the next attempt goes on from.
-func (task *Task) Checkpoint() []byte { return task.stored.GetCheckpoint() }
+// Checkpoint returns the checkpoint reference that the next attempt resumes from.
+func (t *Task) Checkpoint() []byte { return t.stored.GetCheckpoint() }
 
-// Result returns what the task produced.
-func (task *Task) Result() []byte { return task.stored.GetResult() }
+// Result returns the result of a task that has finished or failed.
+func (t *Task) Result() []byte { return t.stored.GetResult() }
 
-// Reason returns why the task is in its phase, in words.
-func (task *Task) Reason() string { return task.stored.GetReason() }
+// Reason returns a text that says why the task is in its current phase.
+func (t *Task) Reason() string { return t.stored.GetReason() }
 
-// IsCancelling reports whether the task ends once its attempt has stopped.
-func (task *Task) IsCancelling() bool { return task.stored.GetCancelling() }
+// IsCancelling reports whether the task was cancelled while placed. It then ends
+// once its attempt has stopped.
+func (t *Task) IsCancelling() bool { return t.stored.GetCancelling() }
 
-// StartFailures returns how often a worker failed to start it.
-func (task *Task) StartFailures() int { return int(task.stored.GetStartFailures()) }
+// StartFailures returns how often a worker failed to start the task.
+func (t *Task) StartFailures() int { return int(t.stored.GetStartFailures()) }
 
-// Evictions returns how often it was stopped to go on elsewhere.
-func (task *Task) Evictions() int { return int(task.stored.GetEvictions()) }
+// Evictions returns how often an attempt was stopped and the task released, to
+// resume on another worker.
+func (t *Task) Evictions() int { return int(t.stored.GetEvictions()) }
 
-// CreatedAt returns when it was accepted, by its writer's clock.
-func (task *Task) CreatedAt() time.Time { return time.Unix(0, task.stored.GetCreatedUnixNano()) }
+// CreatedAt returns when the task was created, by the clock of the record's writer.
+func (t *Task) CreatedAt() time.Time { return time.Unix(0, t.stored.GetCreatedUnixNano()) }
 
-// ChangedAt returns when it last changed, by that change's writer's clock.
-func (task *Task) ChangedAt() time.Time { return time.Unix(0, task.stored.GetChangedUnixNano()) }
+// ChangedAt returns when the phase last changed, by the clock of that record's
+// writer.
+func (t *Task) ChangedAt() time.Time { return time.Unix(0, t.stored.GetChangedUnixNano()) }
 
-// PolicyVersion returns the policy version that placed the newest attempt.
-func (task *Task) PolicyVersion() string { return task.stored.GetPolicyVersion() }
+// PolicyVersion returns the version of the policy that placed the latest attempt.
+func (t *Task) PolicyVersion() string { return t.stored.GetPolicyVersion() }
 
-func (folded *State) createTask(create *record.TaskCreate, written int64) Reason {
+func (s *State) createTask(create *record.TaskCreate, writtenNanos int64) Reason {
 	if !isValidName(create.GetTask()) || !isValidSpec(create.GetSpec()) {
 		return ReasonInvalid
 	}
-	if _, exists := folded.tasks[create.GetTask()]; exists {
+	if _, exists := s.tasks[create.GetTask()]; exists {
 		return ReasonExists
 	}
 	task := &Task{stored: &record.Task{
 		Id:              create.GetTask(),
 		Spec:            create.GetSpec(),
-		CreatedUnixNano: written,
+		CreatedUnixNano: writtenNanos,
 	}}
-	folded.tasks[task.ID()] = task
-	folded.setPhase(task, PhasePending, "submitted", written)
+	s.tasks[task.ID()] = task
+	s.setPhase(task, PhasePending, "submitted", writtenNanos)
 	return ""
 }
 
@@ -130,8 +133,8 @@
 		resources.GetMilliCpu() >= 0 && resources.GetMemoryBytes() >= 0 && resources.GetAccelerators() >= 0
 }
 
-func (folded *State) assignTask(assign *record.TaskAssign, written int64) Reason {
-	task, found := folded.tasks[assign.GetTask()]
+func (s *State) assignTask(assign *record.TaskAssign, writtenNanos int64) Reason {
+	task, found := s.tasks[assign.GetTask()]
 	if !found {
 		return ReasonUnknown
 	}
@@ -144,7 +147,7 @@
 	if !isValidName(assign.GetWorker()) || !isValidName(assign.GetIncarnation()) {
 		return ReasonInvalid
 	}
-	if folded.IsDraining(assign.GetWorker()) || folded.ActiveSuspicion(assign.GetWorker()) != 0 || assign.GetLeaseNanos() <= 0 {
+	if s.IsDraining(assign.GetWorker()) || s.ActiveSuspicion(assign.GetWorker()) != 0 || assign.GetLeaseNanos() <= 0 {
 		return ReasonPhase
 	}
 	task.stored.Attempt++
@@ -153,13 +156,13 @@
 	task.stored.OfferDeadlineNanos = assign.GetOfferDeadlineNanos()
 	task.stored.PolicyVersion = assign.GetPolicyVersion()
 	task.stored.LeaseNanos = assign.GetLeaseNanos()
-	folded.setPhase(task, PhaseAssigned, "placed", written)
+	s.setPhase(task, PhaseAssigned, "placed", writtenNanos)
 	return ""
 }
 
-// currentAttempt finds the task whose placed attempt is the named one.
-func (folded *State) currentAttempt(id string, attempt uint64) (*Task, Reason) {
-	task, found := folded.tasks[id]
+// currentAttempt returns the task if the given attempt is its latest and is placed.
+func (s *State) currentAttempt(id string, attempt uint64) (*Task, Reason) {
+	task, found := s.tasks[id]
 	if !found {
 		return nil, ReasonUnknown
 	}
@@ -172,20 +175,20 @@
 	return task, ""
 }
 
-func (folded *State) markRunning(running *record.TaskRunning, written int64) Reason {
-	task, reason := folded.currentAttempt(running.GetTask(), running.GetAttempt())
+func (s *State) markRunning(running *record.TaskRunning, writtenNanos int64) Reason {
+	task, reason := s.currentAttempt(running.GetTask(), running.GetAttempt())
 	if reason != "" {
 		return reason
 	}
 	if task.Phase() != PhaseAssigned {
 		return ReasonPhase
 	}
-	folded.setPhase(task, PhaseRunning, "started", written)
+	s.setPhase(task, PhaseRunning, "started", writtenNanos)
 	return ""
 }
 
-func (folded *State) finishTask(finish *record.TaskFinish, written int64) Reason {
-	task, reason := folded.currentAttempt(finish.GetTask(), finish.GetAttempt())
+func (s *State) finishTask(finish *record.TaskFinish, writtenNanos int64) Reason {
+	task, reason := s.currentAttempt(finish.GetTask(), finish.GetAttempt())
 	if reason != "" {
 		return reason
 	}
@@ -198,36 +201,39 @@
 	if finish.GetFailed() {
 		phase = PhaseFailed
 	}
-	folded.setPhase(task, phase, finish.GetReason(), written)
+	s.setPhase(task, phase, finish.GetReason(), writtenNanos)
 	return ""
 }
 
-func (folded *State) releaseTask(release *record.TaskRelease, written int64) Reason {
-	task, reason := folded.currentAttempt(release.GetTask(), release.GetAttempt())
+func (s *State) releaseTask(release *record.TaskRelease, writtenNanos int64) Reason {
+	task, reason := s.currentAttempt(release.GetTask(), release.GetAttempt())
 	if reason != "" {
 		return reason
 	}
 	if len(release.GetCheckpoint()) > MaxCheckpointBytes {
 		return ReasonInvalid
 	}
-	// The case: an entry counts a lease out while another one hears from the
-	// guard again, ends the suspicion and renews. The count is then void.
-	if release.GetReason() == record.ReleaseReason_RELEASE_LOST && !folded.isActiveSuspicion(task, release.GetSuspicion()) {
+	// While one entry waits for a lease to expire, another may hear from the
+	// guard again, end the suspicion and renew the lease. The suspicion that
+	// the first entry waited under is then over and the lease is still valid.
+	if release.GetReason() == record.ReleaseReason_RELEASE_LOST && !s.isActiveSuspicion(task, release.GetSuspicion()) {
 		return ReasonStale
 	}
 	if len(release.GetCheckpoint()) > 0 {
 		task.stored.Checkpoint = release.GetCheckpoint()
 	}
-	folded.countRelease(task, release.GetReason())
-	folded.setPhase(task, phaseAfterRelease(task), release.GetDetail(), written)
+	s.countRelease(task, release.GetReason())
+	s.setPhase(task, phaseAfterRelease(task), release.GetDetail(), writtenNanos)
 	return ""
 }
 
-func (folded *State) isActiveSuspicion(task *Task, number uint64) bool {
-	return number != 0 && folded.ActiveSuspicion(task.Worker()) == number
+// isActiveSuspicion reports whether the task's worker is under the suspicion of
+// that number.
+func (s *State) isActiveSuspicion(task *Task, number uint64) bool {
+	return number != 0 && s.ActiveSuspicion(task.Worker()) == number
 }
 
-func (folded *State) countRelease(task *Task, reason record.ReleaseReason) {
+func (s *State) countRelease(task *Task, reason record.ReleaseReason) {
 	switch reason {
 	case record.ReleaseReason_RELEASE_START_FAILED:
 		task.stored.StartFailures++
@@ -246,8 +252,8 @@
 	return PhasePending
 }
 
-func (folded *State) cancelTask(cancel *record.TaskCancel, written int64) Reason {
-	task, found := folded.tasks[cancel.GetTask()]
+func (s *State) cancelTask(cancel *record.TaskCancel, writtenNanos int64) Reason {
+	task, found := s.tasks[cancel.GetTask()]
 	if !found {
 		return ReasonUnknown
 	}
@@ -255,68 +261,71 @@
 		return ReasonPhase
 	}
 	if task.Phase() == PhasePending {
-		folded.setPhase(task, PhaseCancelled, "cancelled before it was placed", written)
+		s.setPhase(task, PhaseCancelled, "cancelled before it was placed", writtenNanos)
 		return ""
 	}
 	task.stored.Cancelling = true
-	folded.setPhase(task, PhaseStopping, "cancelled", written)
+	s.setPhase(task, PhaseStopping, "cancelled", writtenNanos)
 	return ""
 }
 
-func (folded *State) evictTask(evict *record.TaskEvict, written int64) Reason {
-	task, reason := folded.currentAttempt(evict.GetTask(), evict.GetAttempt())
+func (s *State) evictTask(evict *record.TaskEvict, writtenNanos int64) Reason {
+	task, reason := s.currentAttempt(evict.GetTask(), evict.GetAttempt())
 	if reason != "" {
 		return reason
 	}
 	if task.Phase() == PhaseStopping {
 		return ReasonPhase
 	}
-	folded.setPhase(task, PhaseStopping, evict.GetReason(), written)
+	s.setPhase(task, PhaseStopping, evict.GetReason(), writtenNanos)
 	return ""
 }
 
-func (folded *State) forgetTask(forget *record.TaskForget) Reason {
-	task, found := folded.tasks[forget.GetTask()]
+func (s *State) forgetTask(forget *record.TaskForget) Reason {
+	task, found := s.tasks[forget.GetTask()]
 	if !found {
 		return ReasonUnknown
 	}
 	if !task.Phase().IsTerminal() {
 		return ReasonPhase
 	}
-	delete(folded.tasks, task.ID())
-	delete(folded.endedTasks, task.ID())
+	delete(s.tasks, task.ID())
+	delete(s.endedTasks, task.ID())
 	return ""
 }
 
-// setPhase changes a task's phase, counts a version and keeps the indexes.
-func (folded *State) setPhase(task *Task, phase Phase, reason string, written int64) {
+// setPhase changes the phase of a task, increments its version and updates the
+// indexes.
+func (s *State) setPhase(task *Task, phase Phase, reason string, writtenNanos int64) {
 	task.stored.Phase = int32(phase)
 	task.stored.Reason = reason
 	task.stored.Version++
-	task.stored.ChangedUnixNano = written
-	folded.updateIndexes(task)
+	task.stored.ChangedUnixNano = writtenNanos
+	s.updateIndexes(task)
 }
 
-func (folded *State) updateIndexes(task *Task) {
-	if _, waited := folded.pendingTasks[task.ID()]; waited {
-		delete(folded.pendingTasks, task.ID())
-		folded.pendingByKind[task.Spec().GetKind()]--
+// updateIndexes moves a task to the indexes that match its phase. The pending
+// and per-worker entries of its earlier phase are removed first.
+func (s *State) updateIndexes(task *Task) {
+	if _, wasPending := s.pendingTasks[task.ID()]; wasPending {
+		delete(s.pendingTasks, task.ID())
+		s.pendingByKind[task.Spec().GetKind()]--
 	}
-	if held := folded.tasksByWorker[task.Worker()]; held != nil {
-		delete(held, task.ID())
+	if tasks := s.tasksByWorker[task.Worker()]; tasks != nil {
+		delete(tasks, task.ID())
 	}
 	switch {
 	case task.Phase() == PhasePending:
-		folded.pendingTasks[task.ID()] = task
-		folded.pendingByKind[task.Spec().GetKind()]++
+		s.pendingTasks[task.ID()] = task
+		s.pendingByKind[task.Spec().GetKind()]++
 	case task.Phase().IsTerminal():
-		folded.endedTasks[task.ID()] = task
+		s.endedTasks[task.ID()] = task
 	case task.Phase().IsPlaced():
-		held := folded.tasksByWorker[task.Worker()]
-		if held == nil {
-			held = map[string]*Task{}
-			folded.tasksByWorker[task.Worker()] = held
+		tasks := s.tasksByWorker[task.Worker()]
+		if tasks == nil {
+			tasks = map[string]*Task{}
+			s.tasksByWorker[task.Worker()] = tasks
 		}
-		held[task.ID()] = task
+		tasks[task.ID()] = task
 	}
 }
--- a/state/worker.go
+++ b/state/worker.go
@@ -4,66 +4,68 @@
 	"ambertiller.example/ambertiller/record"
 )
 
-// IsDraining reports whether an operator is emptying the worker.
-func (folded *State) IsDraining(worker string) bool { return folded.workers[worker].GetDraining() }
+// IsDraining reports whether an operator is draining the worker.
+func (s *State) IsDraining(worker string) bool { return s.workers[worker].GetDraining() }
 
-// ActiveSuspicion returns the number of the suspicion that the worker is under, zero
-// when it is under none. While it is, nobody renews leases on the worker.
-func (folded *State) ActiveSuspicion(worker string) uint64 {
-	if !folded.workers[worker].GetSuspected() {
+// ActiveSuspicion returns the number of the suspicion that the worker is under, or
+// zero if it is under none. No entry renews leases on a suspected worker.
+func (s *State) ActiveSuspicion(worker string) uint64 {
+	if !s.workers[worker].GetSuspected() {
 		return 0
 	}
-	return folded.workers[worker].GetSuspicions()
+	return s.workers[worker].GetSuspicions()
 }
 
-// SuspicionCount returns how many suspicions the worker has been under.
-func (folded *State) SuspicionCount(worker string) uint64 {
-	return folded.workers[worker].GetSuspicions()
+// SuspicionCount returns how many suspicions of the worker there have been,
+// including the active one.
+func (s *State) SuspicionCount(worker string) uint64 {
+	return s.workers[worker].GetSuspicions()
 }
 
-// HasWorker reports whether any record spoke of the worker.
-func (folded *State) HasWorker(worker string) bool {
-	_, marked := folded.workers[worker]
-	_, held := folded.tasksByWorker[worker]
-	return marked || held
+// HasWorker reports whether any record has named the worker.
+func (s *State) HasWorker(worker string) bool {
+	_, hasState := s.workers[worker]
+	_, hasTasks := s.tasksByWorker[worker]
+	return hasState || hasTasks
 }
 
-func (folded *State) ensureWorker(name string) *record.WorkerState {
-	worker, found := folded.workers[name]
+// ensureWorker returns the state of a worker and creates it if needed.
+func (s *State) ensureWorker(name string) *record.WorkerState {
+	worker, found := s.workers[name]
 	if !found {
 		worker = &record.WorkerState{Worker: name}
-		folded.workers[name] = worker
+		s.workers[name] = worker
 	}
 	return worker
 }
 
-func (folded *State) drainWorker(drain *record.WorkerDrain) Reason {
+func (s *State) drainWorker(drain *record.WorkerDrain) Reason {
 	if !isValidName(drain.GetWorker()) {
 		return ReasonInvalid
 	}
-	if folded.IsDraining(drain.GetWorker()) == drain.GetDraining() {
+	if s.IsDraining(drain.GetWorker()) == drain.GetDraining() {
 		return ReasonPhase
 	}
-	folded.ensureWorker(drain.GetWorker()).Draining = drain.GetDraining()
+	s.ensureWorker(drain.GetWorker()).Draining = drain.GetDraining()
 	return ""
 }
 
-func (folded *State) suspectWorker(suspect *record.WorkerSuspect) Reason {
+func (s *State) suspectWorker(suspect *record.WorkerSuspect) Reason {
 	if !isValidName(suspect.GetWorker()) {
 		return ReasonInvalid
 	}
-	present := folded.ActiveSuspicion(suspect.GetWorker())
+	active := s.ActiveSuspicion(suspect.GetWorker())
 	if suspect.GetCleared() {
-		if present == 0 || present != suspect.GetSuspicion() {
+		if active == 0 || active != suspect.GetSuspicion() {
 			return ReasonStale
 		}
-		folded.ensureWorker(suspect.GetWorker()).Suspected = false
+		s.ensureWorker(suspect.GetWorker()).Suspected = false
 		return ""
 	}
-	if present != 0 {
+	if active != 0 {
 		return ReasonExists
 	}
-	worker := folded.ensureWorker(suspect.GetWorker())
+	worker := s.ensureWorker(suspect.GetWorker())
 	worker.Suspected = true
 	worker.Suspicions++
 	return ""
