--- a/changelog/append.go
+++ b/changelog/append.go
@@ -17,14 +17,18 @@
 )
 
 const (
-	maxBatchRecords     = 512
+	maxBatchRecords = 512
+	// maxBatchBytes is half the limit of a log entry, because collectBatch may
+	// add one more proposal of this size to a batch that is almost as large.
 	maxBatchBytes       = logservice.MaxEntryBytes / 2
 	appendTimeout       = 2 * time.Second
 	minAppendRetryDelay = 50 * time.Millisecond
 	maxAppendRetryDelay = time.Second
 )
 
-// proposal is one call of Append.
+// proposal holds the records of one call of Append until their outcomes are known.
+// The journal's lock guards outcomes, err and sent. done is closed when the call
+// can return.
 type proposal struct {
 	ctx      context.Context
 	records  []*record.Record
@@ -35,110 +39,115 @@
 	sent     bool
 }
 
-// addOutcome notes one outcome; the journal's lock is held.
-func (proposed *proposal) addOutcome(outcome state.Outcome) {
-	proposed.outcomes[outcome.RecordID()] = outcome
-	if len(proposed.outcomes) == len(proposed.records) {
-		close(proposed.done)
+// addOutcome adds the outcome of one record and completes the proposal with the
+// last one. The caller holds the journal's lock.
+func (p *proposal) addOutcome(outcome state.Outcome) {
+	p.outcomes[outcome.RecordID()] = outcome
+	if len(p.outcomes) == len(p.records) {
+		close(p.done)
 	}
 }
 
-// Append proposes records and returns their outcomes, in the same order, once
-// they are folded. All records of one call are in the same append.
-func (log *Journal) Append(ctx context.Context, records ...*record.Record) ([]state.Outcome, error) {
-	proposed := &proposal{
+// Append proposes records and returns their outcomes, in the order of the
+// records, once this instance has applied them. All records of one call are
+// appended in the same batch.
+func (j *Journal) Append(ctx context.Context, records ...*record.Record) ([]state.Outcome, error) {
+	p := &proposal{
 		ctx:      ctx,
 		records:  records,
 		outcomes: make(map[string]state.Outcome, len(records)),
 		done:     make(chan struct{}),
 	}
 	for _, rec := range records {
-		proposed.bytes += proto.Size(rec)
+		p.bytes += proto.Size(rec)
 	}
-	if proposed.bytes > maxBatchBytes || len(records) > maxBatchRecords {
-		return nil, &NotAppendedError{cause: errors.Errorf("%d records of %d bytes are too many for one append", len(records), proposed.bytes)}
+	if p.bytes > maxBatchBytes || len(records) > maxBatchRecords {
+		return nil, &NotAppendedError{cause: errors.Errorf("%d records of %d bytes are too many for one append", len(records), p.bytes)}
 	}
-	if err := log.enqueue(proposed); err != nil {
+	if err := j.enqueue(p); err != nil {
 		return nil, err
 	}
 	select {
-	case <-proposed.done:
-		return log.orderedOutcomes(proposed)
+	case <-p.done:
+		return j.orderedOutcomes(p)
 	case <-ctx.Done():
-		return nil, log.abandon(proposed)
+		return nil, j.abandon(p)
 	}
 }
 
-func (log *Journal) enqueue(proposed *proposal) error {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	if log.haltErr != nil {
-		return &NotAppendedError{cause: log.haltErr}
+func (j *Journal) enqueue(p *proposal) error {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if j.haltErr != nil {
+		return &NotAppendedError{cause: j.haltErr}
 	}
 	select {
-	case log.queue <- proposed:
+	case j.queue <- p:
 	default:
 		return &NotAppendedError{cause: errors.New("too many appends are waiting; try again later")}
 	}
-	for _, rec := range proposed.records {
-		log.pendingProposals[rec.GetId()] = proposed
+	for _, rec := range p.records {
+		j.pendingProposals[rec.GetId()] = p
 	}
 	return nil
 }
 
-func (log *Journal) orderedOutcomes(proposed *proposal) ([]state.Outcome, error) {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	if proposed.err != nil {
-		return nil, proposed.err
+func (j *Journal) orderedOutcomes(p *proposal) ([]state.Outcome, error) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if p.err != nil {
+		return nil, p.err
 	}
-	ordered := make([]state.Outcome, 0, len(proposed.records))
-	for _, rec := range proposed.records {
-		ordered = append(ordered, proposed.outcomes[rec.GetId()])
+	ordered := make([]state.Outcome, 0, len(p.records))
+	for _, rec := range p.records {
+		ordered = append(ordered, p.outcomes[rec.GetId()])
 	}
 	return ordered, nil
 }
 
-func (log *Journal) abandon(proposed *proposal) error {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	for _, rec := range proposed.records {
-		delete(log.pendingProposals, rec.GetId())
+// abandon gives up waiting for a proposal because its context has ended. The
+// error tells whether the records may still take effect.
+func (j *Journal) abandon(p *proposal) error {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, rec := range p.records {
+		delete(j.pendingProposals, rec.GetId())
 	}
-	cause := errors.WithStack(proposed.ctx.Err())
-	if proposed.sent {
+	cause := errors.WithStack(p.ctx.Err())
+	if p.sent {
 		return &UnsettledError{cause: cause}
 	}
 	return &NotAppendedError{cause: cause}
 }
 
-// sendProposals takes proposals off the queue, several to a batch, as fast as the bound
-// on appends lets it.
-func (log *Journal) sendProposals(ctx context.Context) {
+// sendProposals sends the queued proposals, several in a batch, at most as fast as
+// the append rate allows.
+func (j *Journal) sendProposals(ctx context.Context) {
 	for {
 		var first *proposal
 		select {
 		case <-ctx.Done():
 			return
-		case first = <-log.queue:
+		case first = <-j.queue:
 		}
-		if err := log.limiter.Wait(ctx); err != nil {
+		if err := j.limiter.Wait(ctx); err != nil {
 			return
 		}
-		log.sendBatch(ctx, log.collectBatch(first))
+		j.sendBatch(ctx, j.collectBatch(first))
 	}
 }
 
-// collectBatch adds what has queued up meanwhile to the first proposal.
-func (log *Journal) collectBatch(first *proposal) []*proposal {
+// collectBatch takes the proposals that have been queued by now and adds them to
+// the first one, until the batch is full.
+func (j *Journal) collectBatch(first *proposal) []*proposal {
 	collected := []*proposal{first}
 	count, bytes := len(first.records), first.bytes
 	for count < maxBatchRecords && bytes < maxBatchBytes {
 		select {
-		case more := <-log.queue:
-			collected = append(collected, more)
-			count += len(more.records)
-			bytes += more.bytes
+		case p := <-j.queue:
+			collected = append(collected, p)
+			count += len(p.records)
+			bytes += p.bytes
 		default:
 			return collected
 		}
@@ -146,95 +155,97 @@
 	return collected
 }
 
-// sendBatch appends one batch, again and again while its fate is open and
-// somebody still waits for it.
-func (log *Journal) sendBatch(ctx context.Context, proposals []*proposal) {
-	proposals = log.markSent(proposals)
+// sendBatch appends one batch. It retries until the append succeeds, the platform
+// refuses it, an outcome was read from the log, or no caller waits any more.
+func (j *Journal) sendBatch(ctx context.Context, proposals []*proposal) {
+	proposals = j.markSent(proposals)
 	if len(proposals) == 0 {
 		return
 	}
-	batch := &record.Batch{Id: uuid.NewString(), Writer: log.options.Writer}
-	for _, proposed := range proposals {
-		batch.Records = append(batch.Records, proposed.records...)
+	batch := &record.Batch{Id: uuid.NewString(), Writer: j.options.Writer}
+	for _, p := range proposals {
+		batch.Records = append(batch.Records, p.records...)
 	}
 	data, err := proto.Marshal(batch)
 	if err != nil {
-		log.failProposals(proposals, &NotAppendedError{cause: err})
+		j.failProposals(proposals, &NotAppendedError{cause: err})
 		return
 	}
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval = minAppendRetryDelay
 	retry.MaxInterval = maxAppendRetryDelay
 	for ctx.Err() == nil {
-		err := log.appendWithTimeout(ctx, data)
+		err := j.appendWithTimeout(ctx, data)
 		if err == nil {
 			return
 		}
 		var throttled *logservice.ThrottledError
 		switch {
 		case errors.As(err, &throttled):
-			log.logEvent(ctx, event.AppendFailed, slog.String("error", err.Error()))
-			log.sleep(ctx, throttled.RetryAfter)
+			j.logEvent(ctx, event.AppendFailed, slog.String("error", err.Error()))
+			j.sleep(ctx, throttled.RetryAfter)
 		case errors.Is(err, logservice.ErrRefused):
-			log.logEvent(ctx, event.AppendFailed, slog.String("error", err.Error()))
-			log.failProposals(proposals, &NotAppendedError{cause: err})
+			j.logEvent(ctx, event.AppendFailed, slog.String("error", err.Error()))
+			j.failProposals(proposals, &NotAppendedError{cause: err})
 			return
 		default:
-			log.logEvent(ctx, event.AppendUnsettled, slog.String("batch", batch.GetId()), slog.String("error", err.Error()))
-			log.sleep(ctx, retry.NextBackOff())
+			j.logEvent(ctx, event.AppendUnsettled, slog.String("batch", batch.GetId()), slog.String("error", err.Error()))
+			j.sleep(ctx, retry.NextBackOff())
 		}
-		if !log.needsRetry(proposals) {
+		if !j.needsRetry(proposals) {
 			return
 		}
 	}
 }
 
-func (log *Journal) appendWithTimeout(ctx context.Context, data []byte) error {
+func (j *Journal) appendWithTimeout(ctx context.Context, data []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	_, err := log.service.Append(ctx, RecordStream, data)
+	_, err := j.service.Append(ctx, RecordStream, data)
 	return err
 }
 
-// markSent leaves out the proposals whose callers have gone: what was never
-// sent can be withdrawn.
-func (log *Journal) markSent(proposals []*proposal) []*proposal {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	kept := proposals[:0]
-	for _, proposed := range proposals {
-		if proposed.ctx.Err() != nil {
+// markSent marks the proposals as sent and returns them. It drops those whose
+// context has ended: they were never sent, so they cannot take effect.
+func (j *Journal) markSent(proposals []*proposal) []*proposal {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	live := proposals[:0]
+	for _, p := range proposals {
+		if p.ctx.Err() != nil {
 			continue
 		}
-		proposed.sent = true
-		kept = append(kept, proposed)
+		p.sent = true
+		live = append(live, p)
 	}
-	return kept
+	return live
 }
 
-// needsRetry reports whether the batch is unsettled and a caller waits for it.
-func (log *Journal) needsRetry(proposals []*proposal) bool {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	for _, proposed := range proposals {
-		if len(proposed.outcomes) > 0 {
+// needsRetry reports whether no outcome of the batch is known yet and a caller
+// still waits for it.
+func (j *Journal) needsRetry(proposals []*proposal) bool {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, p := range proposals {
+		if len(p.outcomes) > 0 {
 			return false
 		}
-		if proposed.ctx.Err() == nil {
+		if p.ctx.Err() == nil {
 			return true
 		}
 	}
 	return false
 }
 
-func (log *Journal) failProposals(proposals []*proposal, failure error) {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	for _, proposed := range proposals {
-		for _, rec := range proposed.records {
-			delete(log.pendingProposals, rec.GetId())
+// failProposals completes the proposals with an error.
+func (j *Journal) failProposals(proposals []*proposal, failure error) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, p := range proposals {
+		for _, rec := range p.records {
+			delete(j.pendingProposals, rec.GetId())
 		}
-		proposed.err = failure
-		close(proposed.done)
+		p.err = failure
+		close(p.done)
 	}
 }
--- a/changelog/bench_test.go
+++ b/changelog/bench_test.go
@@ -15,9 +15,9 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-// BenchmarkColdStart starts an instance with empty memory over a log with a
-// snapshot and a tail of a thousand entries, through the platform's HTTP
-// interface.
+// BenchmarkColdStart starts a new instance on a log with a snapshot of the given
+// number of tasks and 1,000 entries after it, through the platform's HTTP API,
+// and waits until it is ready.
 func BenchmarkColdStart(b *testing.B) {
 	for _, tasks := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprint(tasks, " tasks"), func(b *testing.B) {
@@ -32,6 +32,8 @@
 	}
 }
 
+// newFilledLog returns a log with a snapshot of the given number of tasks, followed
+// by 1,000 entries that each create another task.
 func newFilledLog(b *testing.B, tasks int) *standin.Log {
 	b.Helper()
 	log := standin.NewLog(0)
@@ -61,17 +63,18 @@
 	return log
 }
 
+// startAndCatchUp runs a new journal until it is ready and checks its task count.
 func startAndCatchUp(b *testing.B, service logservice.Service, want int) {
-	made := changelog.New(service, changelog.Options{Writer: "two"})
+	journal := changelog.New(service, changelog.Options{Writer: "two"})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		made.Run(ctx)
+		journal.Run(ctx)
 		close(done)
 	}()
-	waitFor(b, "the reader is ready", func() bool { return made.Ready() == nil })
-	if held := taskCount(made); held != want {
-		b.Fatalf("it holds %d tasks and not %d", held, want)
+	waitFor(b, "the reader to be ready", func() bool { return journal.Ready() == nil })
+	if count := taskCount(journal); count != want {
+		b.Fatalf("the journal has %d tasks, want %d", count, want)
 	}
 	cancel()
 	<-done
--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -1,24 +1,25 @@
-// Package changelog keeps one instance's copy of the state that is folded from
-// the log, and proposes changes to it.
+// Package changelog maintains one instance's replica of the state that results
+// from the platform's log, and proposes changes to it.
 //
-// A Journal follows the log: it restores the newest whole snapshot, folds what
-// came after it, and goes on folding as the log grows. Append proposes records
-// and returns once the instance has itself folded them, with the outcome that
-// every other instance sees as well. Proposals of many callers share an
-// append, and the number of appends a second is bounded.
+// A Journal follows the log: it restores the newest complete snapshot, applies
+// the records after it and keeps applying new ones as the log grows. Append
+// proposes records and returns once this instance has applied them, with the
+// same outcomes that every other instance computes. Proposals of concurrent
+// callers are combined into one append, and the rate of appends is limited.
 //
-// The answer of an append can be lost after it took effect. The journal never
-// guesses: it sends the same batch again, which the fold passes over if the
-// first copy is there, and believes only what it reads. When the caller's
-// context ends first, Append returns [UnsettledError] if the records may still
-// take effect and [NotAppendedError] if they never will.
+// The response to an append can be lost after the append took effect. The
+// journal makes no assumption then: it appends the same batch again, which
+// readers ignore as a duplicate if the first copy arrived, and takes the outcome
+// only from what it reads back. If the caller's context ends first, Append
+// returns an [UnsettledError] if the records may still take effect, and a
+// [NotAppendedError] if they never will.
 //
 // # Usage
 //
-//	log := changelog.New(service, journal.Options{Writer: "entry-1"})
-//	go log.Run(ctx)
-//	outcomes, err := log.Append(ctx, rec)
-//	log.View(func(folded *state.State) { ... })
+//	journal := changelog.New(service, changelog.Options{Writer: "entry-1"})
+//	go journal.Run(ctx)
+//	outcomes, err := journal.Append(ctx, rec)
+//	journal.View(func(st *state.State) { ... })
 package changelog
 
 import (
@@ -38,69 +39,78 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// Streams of the log that a journal uses.
 const (
-	RecordStream   = "ambertiller.records"
+	// RecordStream is the stream of the log that holds batches of records.
+	RecordStream = "ambertiller.records"
+	// SnapshotStream is the stream of the log that holds chunks of snapshots.
 	SnapshotStream = "ambertiller.snapshots"
 )
 
 const (
 	defaultAppendsPerSecond = 100
 	defaultSnapshotEvery    = 20_000
-	appendBurst             = 10
-	maxReadEntries          = 512
-	readWait                = time.Second
-	queueCapacity           = 4096
+	// appendBurst is the number of appends that may exceed the rate at once.
+	appendBurst    = 10
+	maxReadEntries = 512
+	// readWait is how long the platform holds a read at the end of the log open.
+	readWait = time.Second
+	// queueCapacity bounds the proposals that wait to be sent.
+	queueCapacity = 4096
 )
 
-// ErrHalted is the cause of failures after the log needed a newer build.
+// ErrHalted is the cause of all failures once the log requires a record format
+// that this build does not support.
 var ErrHalted = errors.New("the log needs a newer build; replace this instance")
 
-// UnsettledError says that records may or may not take effect later.
+// UnsettledError reports that the outcome of an append is not known. Its records
+// may have taken effect or may still do so.
 type UnsettledError struct {
 	cause error
 }
 
 // Error implements error.
-func (unsettled *UnsettledError) Error() string {
-	return "the log has not settled the append: " + unsettled.cause.Error()
+func (e *UnsettledError) Error() string {
+	return "the log has not settled the append: " + e.cause.Error()
 }
 
 // Unwrap returns the cause.
-func (unsettled *UnsettledError) Unwrap() error { return unsettled.cause }
+func (e *UnsettledError) Unwrap() error { return e.cause }
 
-// NotAppendedError says that records did not and will not take effect.
+// NotAppendedError reports that the records of an append did not take effect and
+// never will.
 type NotAppendedError struct {
 	cause error
 }
 
 // Error implements error.
-func (failed *NotAppendedError) Error() string {
-	return "nothing was appended to the log: " + failed.cause.Error()
+func (e *NotAppendedError) Error() string {
+	return "nothing was appended to the log: " + e.cause.Error()
 }
 
 // Unwrap returns the cause.
-func (failed *NotAppendedError) Unwrap() error { return failed.cause }
+func (e *NotAppendedError) Unwrap() error { return e.cause }
 
-// Options sets up a Journal. Zero values stand for the defaults.
+// Options configures a Journal. Zero values select the defaults.
 type Options struct {
-	// Writer names the instance in its batches.
+	// Writer is the name of this instance, which is written to its batches.
 	Writer string
-	// AppendsPerSecond bounds this instance's share of the log. Default 100.
+	// AppendsPerSecond limits the rate at which this instance appends to the
+	// log. Default 100.
 	AppendsPerSecond float64
-	// SnapshotEvery is the number of entries of the log after which a snapshot
+	// SnapshotEvery is the number of log entries after which the next snapshot
 	// is due. Default 20,000.
 	SnapshotEvery int64
-	// KnownFormat is the newest record format this instance reads. Default
-	// state.LatestFormat.
+	// KnownFormat is the highest record format that this instance supports.
+	// Default state.LatestFormat.
 	KnownFormat uint32
-	// Clock paces retries. Default the real clock.
+	// Clock times reads and the delays between retries. Default the real clock.
 	Clock clockwork.Clock
-	// Events receives log lines. Default none.
+	// Events receives the log lines. Default none.
 	Events *event.Logger
 }
 
-// Journal is one instance's copy of the folded log.
+// Journal is one instance's replica of the state, kept up to date from the log.
+// It is safe for concurrent use.
 type Journal struct {
 	service logservice.Service
 	options Options
@@ -118,7 +128,8 @@
 	snapshotOffset   int64
 }
 
-// New returns a Journal over the platform's log. Run makes it follow.
+// New returns a Journal on the platform's log. It neither reads nor appends until
+// Run is called.
 func New(service logservice.Service, options Options) *Journal {
 	if options.AppendsPerSecond == 0 {
 		options.AppendsPerSecond = defaultAppendsPerSecond
@@ -146,15 +157,16 @@
 	}
 }
 
-// Run follows the log and sends proposals until ctx ends.
-func (log *Journal) Run(ctx context.Context) {
+// Run reads the log and sends proposals until ctx ends.
+func (j *Journal) Run(ctx context.Context) {
 	var loops sync.WaitGroup
-	loops.Go(func() { log.follow(ctx) })
-	loops.Go(func() { log.sendProposals(ctx) })
+	loops.Go(func() { j.follow(ctx) })
+	loops.Go(func() { j.sendProposals(ctx) })
 	loops.Wait()
 }
 
-// NewRecord returns a record with a fresh ID that needs the first format.
+// NewRecord returns a record without a body, with a new ID, that requires only the
+// first format.
 func NewRecord(now time.Time) *record.Record {
 	return &record.Record{
 		Id:              uuid.NewString(),
@@ -163,53 +175,56 @@
 	}
 }
 
-// View calls look with the state. The state must not be kept or changed.
-func (log *Journal) View(look func(folded *state.State)) {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	look(log.state)
+// View calls read with the state while it holds the lock. The state must not be
+// modified, or used after read returns.
+func (j *Journal) View(read func(st *state.State)) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	read(j.state)
 }
 
-// Changed returns a channel that is closed when the state next changes.
-func (log *Journal) Changed() <-chan struct{} {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	return log.changed
+// Changed returns a channel that is closed after the next batch has been applied.
+// Call it again for the batch after that.
+func (j *Journal) Changed() <-chan struct{} {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	return j.changed
 }
 
-// SyncedAt returns the time at which the last read that reached the end of the
-// log began: every append that was answered before it is in the state. It is
-// zero until there was one.
-func (log *Journal) SyncedAt() time.Time {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	return log.syncedAt
+// SyncedAt returns when the latest read that reached the end of the log was
+// started. Every append that was acknowledged before that time is in the state.
+// It is zero until a read has reached the end.
+func (j *Journal) SyncedAt() time.Time {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	return j.syncedAt
 }
 
-// Lag returns how many entries of the log, as last seen, are not folded yet.
-func (log *Journal) Lag() int64 {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	return max(0, log.endOffset-log.state.NextOffset())
+// Lag returns how many entries of the log have not been applied yet, as of the
+// latest read.
+func (j *Journal) Lag() int64 {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	return max(0, j.endOffset-j.state.NextOffset())
 }
 
-// Ready returns nil once the instance has folded the log to its end and may
-// decide, and otherwise why not.
-func (log *Journal) Ready() error {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	if log.haltErr != nil {
-		return log.haltErr
+// Ready returns nil if the instance has applied the log up to its end since it
+// started, so that it may make decisions. Otherwise it returns the reason.
+func (j *Journal) Ready() error {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if j.haltErr != nil {
+		return j.haltErr
 	}
-	if !log.caughtUp {
+	if !j.caughtUp {
 		return errors.New("the log has not been read to its end since the start")
 	}
 	return nil
 }
 
-func (log *Journal) logEvent(ctx context.Context, code event.Code, attributes ...slog.Attr) {
-	log.options.Events.Log(ctx, code, attributes...)
+func (j *Journal) logEvent(ctx context.Context, code event.Code, attributes ...slog.Attr) {
+	j.options.Events.Log(ctx, code, attributes...)
 }
 
-// Queued returns how many proposals wait to be sent.
-func (log *Journal) Queued() int { return len(log.queue) }
+// Queued returns the number of proposals that wait to be sent.
+func (j *Journal) Queued() int { return len(j.queue) }
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -17,34 +17,36 @@
 	"ambertiller.example/ambertiller/state"
 )
 
+// testTimeout bounds every wait, so that a failed test ends.
 const testTimeout = time.Minute
 
-// startJournal returns a journal that follows the log until the test ends.
+// startJournal returns a journal that runs until the test ends.
 func startJournal(t testing.TB, log logservice.Service, options changelog.Options) *changelog.Journal {
 	t.Helper()
 	if options.AppendsPerSecond == 0 {
 		options.AppendsPerSecond = 1e6
 	}
-	made := changelog.New(log, options)
+	journal := changelog.New(log, options)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		made.Run(ctx)
+		journal.Run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return made
+	return journal
 }
 
-func waitFor(t testing.TB, what string, holds func() bool) {
+// waitFor waits until a condition holds.
+func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		runtime.Gosched()
 	}
@@ -64,51 +66,53 @@
 	return rec
 }
 
+// testContext returns a context that ends after testTimeout.
 func testContext(t testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func configVersion(log *changelog.Journal) (version uint64) {
-	log.View(func(folded *state.State) { version = folded.Document("config").GetVersion() })
+func configVersion(journal *changelog.Journal) (version uint64) {
+	journal.View(func(st *state.State) { version = st.Document("config").GetVersion() })
 	return version
 }
 
-// TestConcurrentAppends: two instances propose from the same version; each learns
-// from the log which one won.
+// TestConcurrentAppends tests that of two instances which publish a document based
+// on the same version exactly one is accepted, and that each learns the result
+// from the log.
 func TestConcurrentAppends(t *testing.T) {
 	log := standin.NewLog(0)
-	one, other := startJournal(t, log, changelog.Options{Writer: "one"}), startJournal(t, log, changelog.Options{Writer: "other"})
+	first, second := startJournal(t, log, changelog.Options{Writer: "one"}), startJournal(t, log, changelog.Options{Writer: "other"})
 	results := make(chan bool, 2)
-	for _, each := range []*changelog.Journal{one, other} {
+	for _, journal := range []*changelog.Journal{first, second} {
 		go func() {
-			outcomes, err := each.Append(testContext(t), publishRecord(0, "x"))
+			outcomes, err := journal.Append(testContext(t), publishRecord(0, "x"))
 			results <- err == nil && outcomes[0].Accepted()
 		}()
 	}
-	if first, second := <-results, <-results; first == second {
-		t.Errorf("accepted: %t and %t", first, second)
+	if one, other := <-results, <-results; one == other {
+		t.Errorf("accepted: %t and %t, want exactly one", one, other)
 	}
-	waitFor(t, "both hold version 1", func() bool { return configVersion(one) == 1 && configVersion(other) == 1 })
+	waitFor(t, "both instances to have version 1", func() bool { return configVersion(first) == 1 && configVersion(second) == 1 })
 }
 
-// TestLostAppendResponse: the append takes effect and its answer is lost. It is settled
-// by reading, and a second copy does nothing.
+// TestLostAppendResponse tests that an append whose response is lost after it took
+// effect is settled by reading the log, and that the retries have no effect.
 func TestLostAppendResponse(t *testing.T) {
 	log := standin.NewLog(0)
 	log.LoseAnswers(3)
-	made := startJournal(t, log, changelog.Options{Writer: "one"})
-	outcomes, err := made.Append(testContext(t), publishRecord(0, "x"))
+	journal := startJournal(t, log, changelog.Options{Writer: "one"})
+	outcomes, err := journal.Append(testContext(t), publishRecord(0, "x"))
 	if err != nil || !outcomes[0].Accepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
-	if configVersion(made) != 1 {
-		t.Errorf("the version is %d", configVersion(made))
+	if configVersion(journal) != 1 {
+		t.Errorf("got version %d, want 1", configVersion(journal))
 	}
 }
 
-// unreadableLog takes appends without an answer and shows nothing of them.
+// unreadableLog accepts appends, but no records can be read from it.
 type unreadableLog struct {
 	*standin.Log
 }
@@ -120,66 +124,67 @@
 	return log.Log.Read(ctx, stream, options)
 }
 
-// TestCancelledAppend tells a caller who gives up whether the records may still take
-// effect.
+// TestCancelledAppend tests that a caller whose context ends learns whether the
+// records may still take effect, and that records which were never sent don't.
 func TestCancelledAppend(t *testing.T) {
-	t.Run("sent and never read: unsettled", func(t *testing.T) {
+	t.Run("sent but not read back: unsettled", func(t *testing.T) {
 		log := &unreadableLog{Log: standin.NewLog(0)}
-		made := startJournal(t, log, changelog.Options{})
+		journal := startJournal(t, log, changelog.Options{})
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
-			waitFor(t, "the append is there", func() bool { return log.Appends() == 1 })
+			waitFor(t, "the append to arrive", func() bool { return log.Appends() == 1 })
 			cancel()
 		}()
-		_, err := made.Append(ctx, publishRecord(0, "x"))
+		_, err := journal.Append(ctx, publishRecord(0, "x"))
 		var unsettled *changelog.UnsettledError
 		if !errors.As(err, &unsettled) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want an UnsettledError", err)
 		}
 	})
-	t.Run("never sent: not appended, also later", func(t *testing.T) {
+	t.Run("never sent: not appended, not even later", func(t *testing.T) {
 		log := standin.NewLog(0)
-		made := changelog.New(log, changelog.Options{AppendsPerSecond: 1e6})
+		journal := changelog.New(log, changelog.Options{AppendsPerSecond: 1e6})
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, err := made.Append(ctx, publishRecord(0, "x"))
-		var failed *changelog.NotAppendedError
-		if !errors.As(err, &failed) {
-			t.Fatalf("got %v", err)
+		_, err := journal.Append(ctx, publishRecord(0, "x"))
+		var notAppended *changelog.NotAppendedError
+		if !errors.As(err, &notAppended) {
+			t.Fatalf("got error %v, want a NotAppendedError", err)
 		}
 		runCtx, stop := context.WithCancel(context.Background())
 		defer stop()
-		go made.Run(runCtx)
-		if _, err := made.Append(testContext(t), createRecord("a")); err != nil {
+		go journal.Run(runCtx)
+		if _, err := journal.Append(testContext(t), createRecord("a")); err != nil {
 			t.Fatal(err)
 		}
-		if configVersion(made) != 0 {
-			t.Error("a withdrawn record took effect")
+		if configVersion(journal) != 0 {
+			t.Error("a record that was never sent took effect")
 		}
 	})
 	t.Run("too large: not appended", func(t *testing.T) {
-		made := changelog.New(standin.NewLog(0), changelog.Options{})
-		_, err := made.Append(testContext(t), publishRecord(0, string(make([]byte, logservice.MaxEntryBytes))))
-		var failed *changelog.NotAppendedError
-		if !errors.As(err, &failed) {
-			t.Errorf("got %v", err)
+		journal := changelog.New(standin.NewLog(0), changelog.Options{})
+		_, err := journal.Append(testContext(t), publishRecord(0, string(make([]byte, logservice.MaxEntryBytes))))
+		var notAppended *changelog.NotAppendedError
+		if !errors.As(err, &notAppended) {
+			t.Errorf("got error %v, want a NotAppendedError", err)
 		}
 	})
 }
 
-// TestThrottled: the platform takes no more appends for a while; the batch is
-// sent again when it says, and takes effect once.
+// TestThrottled tests that a batch which the platform throttles is sent again after
+// the given delay, and takes effect once.
 func TestThrottled(t *testing.T) {
 	log := &throttledLog{Log: standin.NewLog(0), remainingRefusals: 2}
-	made := startJournal(t, log, changelog.Options{})
-	if outcomes, err := made.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	journal := startJournal(t, log, changelog.Options{})
+	if outcomes, err := journal.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 	if log.Appends() != 1 {
-		t.Errorf("%d appends took effect", log.Appends())
+		t.Errorf("%d appends took effect, want 1", log.Appends())
 	}
 }
 
+// throttledLog throttles a number of appends before it accepts one.
 type throttledLog struct {
 	*standin.Log
 	remainingRefusals int
@@ -193,48 +198,51 @@
 	return log.Log.Append(ctx, stream, data)
 }
 
-// TestAppendsAreBatched: proposals that wait together share an append.
+// TestAppendsAreBatched tests that proposals which are queued at the same time are
+// sent in one append.
 func TestAppendsAreBatched(t *testing.T) {
 	log := standin.NewLog(0)
-	made := changelog.New(log, changelog.Options{AppendsPerSecond: 1e6})
+	journal := changelog.New(log, changelog.Options{AppendsPerSecond: 1e6})
 	const proposals = 100
-	failures := make(chan error, proposals)
+	errs := make(chan error, proposals)
 	for number := range proposals {
 		go func() {
-			_, err := made.Append(testContext(t), createRecord(fmt.Sprint(number)))
-			failures <- err
+			_, err := journal.Append(testContext(t), createRecord(fmt.Sprint(number)))
+			errs <- err
 		}()
 	}
-	waitFor(t, "all wait", func() bool { return made.Queued() == proposals })
+	waitFor(t, "all proposals to be queued", func() bool { return journal.Queued() == proposals })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go made.Run(ctx)
+	go journal.Run(ctx)
 	for range proposals {
-		if err := <-failures; err != nil {
+		if err := <-errs; err != nil {
 			t.Fatal(err)
 		}
 	}
 	if log.Appends() != 1 {
-		t.Errorf("%d appends for %d proposals", log.Appends(), proposals)
+		t.Errorf("%d appends for %d proposals, want 1", log.Appends(), proposals)
 	}
 }
 
-func appendTasks(t testing.TB, made *changelog.Journal, from, to int) {
+// appendTasks creates the tasks with the numbers [from, to), each in an append of
+// its own.
+func appendTasks(t testing.TB, journal *changelog.Journal, from, to int) {
 	t.Helper()
 	for number := from; number < to; number++ {
-		if _, err := made.Append(testContext(t), createRecord(fmt.Sprintf("task-%05d", number))); err != nil {
+		if _, err := journal.Append(testContext(t), createRecord(fmt.Sprintf("task-%05d", number))); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func taskCount(log *changelog.Journal) (size int) {
-	log.View(func(folded *state.State) { size = folded.TaskCount() })
-	return size
+func taskCount(journal *changelog.Journal) (count int) {
+	journal.View(func(st *state.State) { count = st.TaskCount() })
+	return count
 }
 
-// TestRestoreAfterRetention: an instance with empty memory starts from the
-// newest whole snapshot when the log no longer keeps the records before it.
+// TestRestoreAfterRetention tests that a new instance starts from the newest
+// complete snapshot when the records before it have been trimmed from the log.
 func TestRestoreAfterRetention(t *testing.T) {
 	log := standin.NewLog(0)
 	writer := startJournal(t, log, changelog.Options{Writer: "one"})
@@ -245,14 +253,14 @@
 	appendTasks(t, writer, 50, 60)
 	log.Trim(changelog.RecordStream, 50)
 	reader := startJournal(t, log, changelog.Options{Writer: "two"})
-	waitFor(t, "the reader is ready", func() bool { return reader.Ready() == nil })
+	waitFor(t, "the reader to be ready", func() bool { return reader.Ready() == nil })
 	if taskCount(reader) != 60 {
-		t.Errorf("the reader holds %d tasks", taskCount(reader))
+		t.Errorf("the reader has %d tasks, want 60", taskCount(reader))
 	}
 }
 
-// TestIncompleteSnapshotIgnored: the writer of a snapshot dies between two chunks;
-// readers use the whole one before it.
+// TestIncompleteSnapshotIgnored tests that readers fall back to the previous
+// complete snapshot when the writer of the newest one crashed between two chunks.
 func TestIncompleteSnapshotIgnored(t *testing.T) {
 	log := &snapshotCutLog{Log: standin.NewLog(0), remainingChunks: 1000}
 	writer := startJournal(t, log, changelog.Options{Writer: "one"})
@@ -263,15 +271,16 @@
 	appendTasks(t, writer, 20, 3000)
 	log.remainingChunks = 1
 	if err := writer.WriteSnapshot(testContext(t)); err == nil {
-		t.Fatal("the snapshot was meant to be cut")
+		t.Fatal("WriteSnapshot succeeded, want an error after the first chunk")
 	}
 	reader := startJournal(t, log.Log, changelog.Options{Writer: "two"})
-	waitFor(t, "the reader is ready", func() bool { return reader.Ready() == nil })
+	waitFor(t, "the reader to be ready", func() bool { return reader.Ready() == nil })
 	if taskCount(reader) != 3000 {
-		t.Errorf("the reader holds %d tasks", taskCount(reader))
+		t.Errorf("the reader has %d tasks, want 3000", taskCount(reader))
 	}
 }
 
+// snapshotCutLog fails every append to the snapshot stream after a number of chunks.
 type snapshotCutLog struct {
 	*standin.Log
 	remainingChunks int
@@ -280,38 +289,39 @@
 func (log *snapshotCutLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	if stream == changelog.SnapshotStream {
 		if log.remainingChunks == 0 {
-			return 0, errors.New("the writer died")
+			return 0, errors.New("injected crash of the snapshot writer")
 		}
 		log.remainingChunks--
 	}
 	return log.Log.Append(ctx, stream, data)
 }
 
-// TestPeriodicSnapshots: snapshots are written by themselves, and one of several
-// instances is enough.
+// TestPeriodicSnapshots tests that a running journal writes snapshots without being
+// asked to, while another instance follows the same log.
 func TestPeriodicSnapshots(t *testing.T) {
 	log := standin.NewLog(0)
 	first := startJournal(t, log, changelog.Options{Writer: "one", SnapshotEvery: 10})
 	second := startJournal(t, log, changelog.Options{Writer: "two", SnapshotEvery: 10})
 	appendTasks(t, first, 0, 25)
-	waitFor(t, "a snapshot is there", func() bool { return log.End(changelog.SnapshotStream) > 0 })
-	waitFor(t, "both have read all", func() bool { return taskCount(second) == 25 })
+	waitFor(t, "a snapshot to be written", func() bool { return log.End(changelog.SnapshotStream) > 0 })
+	waitFor(t, "the second instance to catch up", func() bool { return taskCount(second) == 25 })
 }
 
-// TestUnreadableBatchSkipped: bytes that are no batch are passed over by every reader.
+// TestUnreadableBatchSkipped tests that a log entry which does not decode as a batch
+// is skipped and does not block the entries after it.
 func TestUnreadableBatchSkipped(t *testing.T) {
 	log := standin.NewLog(0)
 	if _, err := log.Append(testContext(t), changelog.RecordStream, []byte{0xff, 0x01}); err != nil {
 		t.Fatal(err)
 	}
-	made := startJournal(t, log, changelog.Options{})
-	if outcomes, err := made.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	journal := startJournal(t, log, changelog.Options{})
+	if outcomes, err := journal.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 }
 
-// TestNewerFormatHalts: an old build stops deciding at the raise, says so, and
-// refuses appends, while a newer one goes on.
+// TestNewerFormatHalts tests that an old build halts at a raise to a format that it
+// does not support and rejects appends, while a newer build continues.
 func TestNewerFormatHalts(t *testing.T) {
 	log := standin.NewLog(0)
 	older := startJournal(t, log, changelog.Options{Writer: "old", KnownFormat: 1})
@@ -321,33 +331,34 @@
 	if _, err := newer.Append(testContext(t), raise); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the older one halts", func() bool { return errors.Is(older.Ready(), changelog.ErrHalted) })
+	waitFor(t, "the older instance to halt", func() bool { return errors.Is(older.Ready(), changelog.ErrHalted) })
 	_, err := older.Append(testContext(t), publishRecord(0, "x"))
 	if !errors.Is(err, changelog.ErrHalted) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrHalted", err)
 	}
 	if outcomes, err := newer.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
 		t.Errorf("outcomes %v, %v", outcomes, err)
 	}
 }
 
-// FuzzBatch reads arbitrary bytes as a batch; a reader must get past them.
+// FuzzBatch tests that a reader gets past any log entry, whether it decodes as a
+// batch or not.
 func FuzzBatch(f *testing.F) {
-	good, err := proto.Marshal(&record.Batch{Id: "b", Records: []*record.Record{createRecord("a")}})
+	valid, err := proto.Marshal(&record.Batch{Id: "b", Records: []*record.Record{createRecord("a")}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte{0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		log := standin.NewLog(0)
 		if _, err := log.Append(testContext(t), changelog.RecordStream, data); err != nil {
 			t.Fatal(err)
 		}
-		made := startJournal(t, log, changelog.Options{KnownFormat: 1 << 31})
-		waitFor(t, "the reader is ready", func() bool { return made.Ready() == nil })
-		if lag := made.Lag(); lag != 0 {
-			t.Errorf("the reader is %d behind", lag)
+		journal := startJournal(t, log, changelog.Options{KnownFormat: 1 << 31})
+		waitFor(t, "the reader to be ready", func() bool { return journal.Ready() == nil })
+		if lag := journal.Lag(); lag != 0 {
+			t.Errorf("the reader lags by %d entries, want 0", lag)
 		}
 	})
 }
--- a/changelog/example_test.go
+++ b/changelog/example_test.go
@@ -12,20 +12,20 @@
 )
 
 func ExampleJournal() {
-	log := changelog.New(standin.NewLog(0), changelog.Options{Writer: "entry-1"})
+	journal := changelog.New(standin.NewLog(0), changelog.Options{Writer: "entry-1"})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go log.Run(ctx)
+	go journal.Run(ctx)
 
 	rec := changelog.NewRecord(time.Now())
 	rec.Body = &record.Record_Publish{Publish: &record.Publish{Document: "config", Content: []byte("kinds: {}")}}
-	outcomes, err := log.Append(ctx, rec)
+	outcomes, err := journal.Append(ctx, rec)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	fmt.Println("accepted:", outcomes[0].Accepted())
-	log.View(func(folded *state.State) { fmt.Println("version:", folded.Document("config").GetVersion()) })
+	journal.View(func(st *state.State) { fmt.Println("version:", st.Document("config").GetVersion()) })
 	// Output:
 	// accepted: true
 	// version: 1
--- a/changelog/follow.go
+++ b/changelog/follow.go
@@ -20,134 +20,143 @@
 	maxReadRetryDelay = 2 * time.Second
 )
 
-// follow restores and then reads the log until ctx ends. After failures it
-// backs off with jitter, so that a log that comes back is not met by every
-// instance at once.
-func (log *Journal) follow(ctx context.Context) {
+// follow restores a snapshot and then reads the log until ctx ends or the journal
+// halts. After a failure it backs off with jitter, so that the instances do not
+// all send requests at once when the log recovers from an outage.
+func (j *Journal) follow(ctx context.Context) {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval = minReadRetryDelay
 	retry.MaxInterval = maxReadRetryDelay
 	restored := false
 	for ctx.Err() == nil {
-		if err := log.followOnce(ctx, &restored); err != nil {
+		if err := j.followOnce(ctx, &restored); err != nil {
 			if errors.Is(err, ErrHalted) {
 				return
 			}
-			log.logEvent(ctx, event.ReadFailed, slog.String("error", err.Error()))
-			log.sleep(ctx, retry.NextBackOff())
+			j.logEvent(ctx, event.ReadFailed, slog.String("error", err.Error()))
+			j.sleep(ctx, retry.NextBackOff())
 			continue
 		}
 		retry.Reset()
 	}
 }
 
-func (log *Journal) followOnce(ctx context.Context, restored *bool) error {
+// followOnce restores a snapshot if that has not been done, and applies one read of
+// the log. If records were trimmed before this instance has read them, it clears
+// restored, so that the next call restores a newer snapshot.
+func (j *Journal) followOnce(ctx context.Context, restored *bool) error {
 	if !*restored {
-		if err := log.restoreSnapshot(ctx); err != nil {
+		if err := j.restoreSnapshot(ctx); err != nil {
 			return err
 		}
 		*restored = true
 	}
-	began := log.options.Clock.Now()
-	page, err := log.service.Read(ctx, RecordStream, log.readOptions())
+	startedAt := j.options.Clock.Now()
+	page, err := j.service.Read(ctx, RecordStream, j.readOptions())
 	var trimmed *logservice.TrimmedError
 	if errors.As(err, &trimmed) {
 		*restored = false
-		return errors.Wrap(err, "records this instance has not read are gone; looking for a newer snapshot")
+		return errors.Wrap(err, "the log was trimmed beyond this instance's offset; restoring a newer snapshot")
 	}
 	if err != nil {
 		return err
 	}
-	if err := log.applyPage(ctx, page); err != nil {
+	if err := j.applyPage(ctx, page); err != nil {
 		return err
 	}
-	log.updateProgress(began, page)
-	log.writeSnapshotIfDue(ctx)
+	j.updateProgress(startedAt, page)
+	j.writeSnapshotIfDue(ctx)
 	return nil
 }
 
-// readOptions says what to read. An instance that has not reached the end of the
-// log does not wait there: with nothing new in the log, a new instance would
-// otherwise be held up for as long as the platform holds a read.
-func (log *Journal) readOptions() logservice.ReadOptions {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	options := logservice.ReadOptions{From: log.state.NextOffset(), Max: maxReadEntries}
-	if log.caughtUp {
+// readOptions returns the options of the next read. The read waits for new entries
+// only if the instance has reached the end of the log before. A new instance
+// whose log holds nothing new would otherwise become ready only after the whole
+// wait.
+func (j *Journal) readOptions() logservice.ReadOptions {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	options := logservice.ReadOptions{From: j.state.NextOffset(), Max: maxReadEntries}
+	if j.caughtUp {
 		options.Wait = readWait
 	}
 	return options
 }
 
-func (log *Journal) nextOffset() int64 {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	return log.state.NextOffset()
+func (j *Journal) nextOffset() int64 {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	return j.state.NextOffset()
 }
 
-// applyPage applies a page and wakes those who wait for its records.
-func (log *Journal) applyPage(ctx context.Context, page logservice.Page) error {
+// applyPage applies the entries of a page and completes the proposals that wait for
+// their records. An entry that does not decode is skipped, as by every reader.
+func (j *Journal) applyPage(ctx context.Context, page logservice.Page) error {
 	for _, entry := range page.Entries {
 		batch := &record.Batch{}
 		if err := proto.Unmarshal(entry.Data, batch); err != nil {
-			log.logEvent(ctx, event.BatchUnreadable, slog.Int64("offset", entry.Offset), slog.String("error", err.Error()))
-			log.skipEntry(entry.Offset)
+			j.logEvent(ctx, event.BatchUnreadable, slog.Int64("offset", entry.Offset), slog.String("error", err.Error()))
+			j.skipEntry(entry.Offset)
 			continue
 		}
-		if err := log.applyBatch(ctx, entry.Offset, batch); err != nil {
+		if err := j.applyBatch(ctx, entry.Offset, batch); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (log *Journal) skipEntry(offset int64) {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	log.state.Skip(offset)
+func (j *Journal) skipEntry(offset int64) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.state.Skip(offset)
 }
 
-func (log *Journal) applyBatch(ctx context.Context, offset int64, batch *record.Batch) error {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	outcomes, err := log.state.Apply(offset, batch)
+func (j *Journal) applyBatch(ctx context.Context, offset int64, batch *record.Batch) error {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	outcomes, err := j.state.Apply(offset, batch)
 	if err != nil {
-		log.haltErr = errors.Wrap(ErrHalted, err.Error())
-		log.logEvent(ctx, event.FormatTooNew, slog.Int64("offset", offset), slog.String("error", err.Error()))
-		return log.haltErr
+		j.haltErr = errors.Wrap(ErrHalted, err.Error())
+		j.logEvent(ctx, event.FormatTooNew, slog.Int64("offset", offset), slog.String("error", err.Error()))
+		return j.haltErr
 	}
 	for _, outcome := range outcomes {
-		log.deliverOutcome(outcome)
+		j.deliverOutcome(outcome)
 	}
-	close(log.changed)
-	log.changed = make(chan struct{})
+	close(j.changed)
+	j.changed = make(chan struct{})
 	return nil
 }
 
-// deliverOutcome hands an outcome to the proposal that waits for it. A duplicate
-// settles nothing: its first copy did.
-func (log *Journal) deliverOutcome(outcome state.Outcome) {
-	waiting, found := log.pendingProposals[outcome.RecordID()]
+// deliverOutcome adds an outcome to the proposal that waits for it. The outcome of
+// a duplicate is ignored, because the first copy determines the result. The
+// caller holds the lock.
+func (j *Journal) deliverOutcome(outcome state.Outcome) {
+	p, found := j.pendingProposals[outcome.RecordID()]
 	if !found || outcome.Reason() == state.ReasonDuplicate {
 		return
 	}
-	delete(log.pendingProposals, outcome.RecordID())
-	waiting.addOutcome(outcome)
+	delete(j.pendingProposals, outcome.RecordID())
+	p.addOutcome(outcome)
 }
 
-func (log *Journal) updateProgress(began time.Time, page logservice.Page) {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	log.endOffset = page.Next
-	if log.state.NextOffset() >= page.Next {
-		log.syncedAt = began
-		log.caughtUp = true
+// updateProgress records the end of the log as of a read, and whether the state has
+// reached it.
+func (j *Journal) updateProgress(startedAt time.Time, page logservice.Page) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.endOffset = page.Next
+	if j.state.NextOffset() >= page.Next {
+		j.syncedAt = startedAt
+		j.caughtUp = true
 	}
 }
 
-func (log *Journal) sleep(ctx context.Context, wait time.Duration) {
+// sleep waits for the duration or until ctx ends.
+func (j *Journal) sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-log.options.Clock.After(wait):
+	case <-j.options.Clock.After(wait):
 	}
 }
--- a/changelog/history_test.go
+++ b/changelog/history_test.go
@@ -19,8 +19,8 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// faultyLog fails some appends before and some after they took effect, repeats
-// some, and throttles. What it does is drawn from a seed.
+// faultyLog injects faults into appends: some fail before and some after they took
+// effect, some are duplicated and some throttled. A seed determines the faults.
 type faultyLog struct {
 	*standin.Log
 	mu     sync.Mutex
@@ -31,7 +31,7 @@
 	return &faultyLog{Log: standin.NewLog(0), random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-var errInjected = errors.New("a fault that was put in")
+var errInjected = errors.New("injected fault")
 
 func (log *faultyLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	log.mu.Lock()
@@ -52,72 +52,73 @@
 	return log.Log.Append(ctx, stream, data)
 }
 
-// operationRecorder collects the operations of a concurrent run.
+// operationRecorder records the operations of concurrent clients for porcupine.
 type operationRecorder struct {
 	mu         sync.Mutex
 	clock      atomic.Int64
 	operations []porcupine.Operation
 }
 
-// record runs one operation and notes when it was called and answered.
-func (history *operationRecorder) record(client int, input any, call func() any) {
-	called := history.clock.Add(1)
+// record runs one operation and records when it was called and when it returned.
+func (recorder *operationRecorder) record(client int, input any, call func() any) {
+	called := recorder.clock.Add(1)
 	output := call()
-	returned := history.clock.Add(1)
-	history.mu.Lock()
-	defer history.mu.Unlock()
-	history.operations = append(history.operations, porcupine.Operation{
+	returned := recorder.clock.Add(1)
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.operations = append(recorder.operations, porcupine.Operation{
 		ClientId: client, Input: input, Call: called, Output: output, Return: returned,
 	})
 }
 
-// publishInput is an attempt to replace the version it is based on.
+// publishInput is the input of an operation that publishes a document based on a
+// version.
 type publishInput struct{ basedOn uint64 }
 
-// result is what became of a proposal.
+// result is the result of a proposal as its client knows it.
 type result int
 
 const (
 	accepted result = iota
 	rejected
-	unknown // not known; it may have taken effect at any time
+	unknown // the proposal may take effect at any time, or not at all
 )
 
-// transition returns the states that a verdict leaves possible: of a proposal
-// that fits, or does not fit, the state before.
-func transition(became result, fits bool, before, after any) []any {
+// transition returns the states that are possible after a proposal with the given
+// result. isValid tells whether the proposal was valid in the state before.
+func transition(outcome result, isValid bool, before, after any) []any {
 	switch {
-	case became == accepted && fits:
+	case outcome == accepted && isValid:
 		return []any{after}
-	case became == rejected && !fits:
+	case outcome == rejected && !isValid:
 		return []any{before}
-	case became == unknown && fits:
+	case outcome == unknown && isValid:
 		return []any{before, after}
-	case became == unknown:
+	case outcome == unknown:
 		return []any{before}
 	}
 	return nil
 }
 
-// documentModel is a register that is replaced only from its present version.
-// An open operation may or may not have taken effect.
+// documentModel models a document as a compare-and-set register of its version. An
+// operation whose result is unknown may or may not have taken effect.
 var documentModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(before, input, output any) []any {
 		version, proposed := before.(uint64), input.(publishInput)
-		fits := proposed.basedOn == version
-		return transition(output.(result), fits, version, version+1)
+		isValid := proposed.basedOn == version
+		return transition(output.(result), isValid, version, version+1)
 	},
 }
 
-// publishFunc proposes a version and says what became of it.
-type publishFunc func(log *changelog.Journal, basedOn uint64) result
+// publishFunc publishes a version and returns the result.
+type publishFunc func(journal *changelog.Journal, basedOn uint64) result
 
-// propose appends a record and reads what became of it.
-func propose(log *changelog.Journal, rec *record.Record) result {
+// propose appends a record and returns its result.
+func propose(journal *changelog.Journal, rec *record.Record) result {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	outcomes, err := log.Append(ctx, rec)
+	outcomes, err := journal.Append(ctx, rec)
 	switch {
 	case err != nil:
 		return unknown
@@ -127,49 +128,52 @@
 	return rejected
 }
 
-func publishAndRead(log *changelog.Journal, basedOn uint64) result {
-	return propose(log, publishRecord(basedOn, "x"))
+func publishAndRead(journal *changelog.Journal, basedOn uint64) result {
+	return propose(journal, publishRecord(basedOn, "x"))
 }
 
-// publishFromLocalState is broken on purpose: it judges by what this instance knew
-// before the append, not by what the log says of it.
-func publishFromLocalState(log *changelog.Journal, basedOn uint64) result {
-	fits := configVersion(log) == basedOn
-	if publishAndRead(log, basedOn) == unknown {
+// publishFromLocalState is deliberately incorrect: it derives the result from this
+// instance's state before the append instead of the outcome read from the log.
+func publishFromLocalState(journal *changelog.Journal, basedOn uint64) result {
+	isValid := configVersion(journal) == basedOn
+	if publishAndRead(journal, basedOn) == unknown {
 		return unknown
 	}
-	if fits {
+	if isValid {
 		return accepted
 	}
 	return rejected
 }
 
-// checkConcurrentPublishes lets operators at three instances publish at the same time,
-// each from the version that its instance shows.
+// checkConcurrentPublishes lets two operators on each of three instances publish
+// concurrently, each based on the version that its instance has, and checks that
+// the history is linearizable.
 func checkConcurrentPublishes(t *testing.T, seed uint64, publish publishFunc) porcupine.CheckResult {
 	log := newFaultyLog(seed)
-	history := &operationRecorder{}
+	recorder := &operationRecorder{}
 	var operators sync.WaitGroup
 	for instance := range 3 {
-		made := startJournal(t, log, changelog.Options{Writer: fmt.Sprint("entry-", instance)})
+		journal := startJournal(t, log, changelog.Options{Writer: fmt.Sprint("entry-", instance)})
 		for operator := range 2 {
 			operators.Go(func() {
 				for range 8 {
-					basedOn := configVersion(made)
-					history.record(instance*2+operator, publishInput{basedOn}, func() any { return publish(made, basedOn) })
+					basedOn := configVersion(journal)
+					recorder.record(instance*2+operator, publishInput{basedOn}, func() any { return publish(journal, basedOn) })
 				}
 			})
 		}
 	}
 	operators.Wait()
 	model := documentModel.ToModel()
-	return porcupine.CheckOperationsTimeout(model, history.operations, testTimeout)
+	return porcupine.CheckOperationsTimeout(model, recorder.operations, testTimeout)
 }
 
+// historyCount is the number of seeds that every linearizability test runs.
 const historyCount = 20
 
-// TestConfigurationLinearizability: operators race at several instances over a log
-// that loses answers; their publications are as if made one after the other.
+// TestConfigurationLinearizability tests that concurrent publishes on several
+// instances are linearizable, although the log loses responses, duplicates appends
+// and throttles.
 func TestConfigurationLinearizability(t *testing.T) {
 	for seed := range uint64(historyCount) {
 		if result := checkConcurrentPublishes(t, seed, publishAndRead); result != porcupine.Ok {
@@ -178,24 +182,25 @@
 	}
 }
 
-// TestConfigurationCheckDetectsStaleReads: a publisher that hopes instead of reading is
-// caught.
+// TestConfigurationCheckDetectsStaleReads tests that the check detects a client which
+// derives its results from the local state.
 func TestConfigurationCheckDetectsStaleReads(t *testing.T) {
 	for seed := range uint64(historyCount) {
 		if checkConcurrentPublishes(t, seed, publishFromLocalState) == porcupine.Illegal {
 			return
 		}
 	}
-	t.Error("the check passed every history of a broken publisher")
+	t.Error("the check accepted every history of an incorrect publisher")
 }
 
-// claimInput is an attempt to take or give back a key.
+// claimInput is the input of an operation that acquires or releases a key.
 type claimInput struct {
 	key, holder string
 	release     bool
 }
 
-// claimModel: a key has one holder at a time, and only the holder gives it back.
+// claimModel models keys that have at most one holder each, and that only the holder
+// can release.
 var claimModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -203,71 +208,74 @@
 			key := operation.Input.(claimInput).key
 			byKey[key] = append(byKey[key], operation)
 		}
-		parts := make([][]porcupine.Operation, 0, len(byKey))
-		for _, part := range byKey {
-			parts = append(parts, part)
+		partitions := make([][]porcupine.Operation, 0, len(byKey))
+		for _, partition := range byKey {
+			partitions = append(partitions, partition)
 		}
-		return parts
+		return partitions
 	},
 	Init: func() []any { return []any{""} },
 	Step: func(before, input, output any) []any {
-		holder, asked := before.(string), input.(claimInput)
-		fits, after := holder == "", asked.holder
-		if asked.release {
-			fits, after = holder == asked.holder, ""
+		holder, proposed := before.(string), input.(claimInput)
+		isValid, after := holder == "", proposed.holder
+		if proposed.release {
+			isValid, after = holder == proposed.holder, ""
 		}
-		return transition(output.(result), fits, holder, after)
+		return transition(output.(result), isValid, holder, after)
 	},
 }
 
-// claimFunc proposes a claim or its release and says what became of it.
-type claimFunc func(log *changelog.Journal, asked claimInput) result
+// claimFunc acquires or releases a claim and returns the result.
+type claimFunc func(journal *changelog.Journal, input claimInput) result
 
-func claimRecord(asked claimInput) *record.Record {
+func claimRecord(input claimInput) *record.Record {
 	rec := changelog.NewRecord(time.Unix(0, 0))
-	rec.Body = &record.Record_Claim{Claim: &record.Claim{Key: asked.key, Holder: asked.holder}}
-	if asked.release {
-		rec.Body = &record.Record_ClaimRelease{ClaimRelease: &record.ClaimRelease{Key: asked.key, Holder: asked.holder}}
+	rec.Body = &record.Record_Claim{Claim: &record.Claim{Key: input.key, Holder: input.holder}}
+	if input.release {
+		rec.Body = &record.Record_ClaimRelease{ClaimRelease: &record.ClaimRelease{Key: input.key, Holder: input.holder}}
 	}
 	return rec
 }
 
-func claimAndRead(log *changelog.Journal, asked claimInput) result {
-	return propose(log, claimRecord(asked))
+func claimAndRead(journal *changelog.Journal, input claimInput) result {
+	return propose(journal, claimRecord(input))
 }
 
-// claimFromLocalState is broken on purpose: it takes a key that its own copy of the
-// state shows as free, and tells the log afterwards.
-func claimFromLocalState(log *changelog.Journal, asked claimInput) result {
+// claimFromLocalState is deliberately incorrect: it derives the result from this
+// instance's state before the append instead of the outcome read from the log.
+func claimFromLocalState(journal *changelog.Journal, input claimInput) result {
 	var holder string
-	log.View(func(folded *state.State) { holder = folded.Claim(asked.key).GetHolder() })
-	claimAndRead(log, asked)
-	if (asked.release && holder == asked.holder) || (!asked.release && holder == "") {
+	journal.View(func(st *state.State) { holder = st.Claim(input.key).GetHolder() })
+	claimAndRead(journal, input)
+	if (input.release && holder == input.holder) || (!input.release && holder == "") {
 		return accepted
 	}
 	return rejected
 }
 
+// checkConcurrentClaims lets two callers on each of three instances acquire and
+// release the same two keys concurrently, and checks that the history is
+// linearizable.
 func checkConcurrentClaims(t *testing.T, seed uint64, claim claimFunc) porcupine.CheckResult {
 	log := newFaultyLog(seed)
-	history := &operationRecorder{}
+	recorder := &operationRecorder{}
 	var callers sync.WaitGroup
 	for instance := range 3 {
-		made := startJournal(t, log, changelog.Options{Writer: fmt.Sprint("entry-", instance)})
+		journal := startJournal(t, log, changelog.Options{Writer: fmt.Sprint("entry-", instance)})
 		for caller := range 2 {
 			callers.Go(func() {
 				client := instance*2 + caller
 				for round := range 8 {
-					asked := claimInput{key: fmt.Sprint("key-", round%2), holder: fmt.Sprintf("%d/%d", client, round)}
+					input := claimInput{key: fmt.Sprint("key-", round%2), holder: fmt.Sprintf("%d/%d", client, round)}
 					held := false
-					history.record(client, asked, func() any {
-						became := claim(made, asked)
-						held = became == accepted
-						return became
+					recorder.record(client, input, func() any {
+						outcome := claim(journal, input)
+						held = outcome == accepted
+						return outcome
 					})
 					if held {
-						asked.release = true
-						history.record(client, asked, func() any { return claim(made, asked) })
+						input.release = true
+						recorder.record(client, input, func() any { return claim(journal, input) })
 					}
 				}
 			})
@@ -275,11 +283,12 @@
 	}
 	callers.Wait()
 	model := claimModel.ToModel()
-	return porcupine.CheckOperationsTimeout(model, history.operations, testTimeout)
+	return porcupine.CheckOperationsTimeout(model, recorder.operations, testTimeout)
 }
 
-// TestClaimLinearizability: the same keys are claimed and given back at several
-// instances over a log that loses answers; no key has two holders.
+// TestClaimLinearizability tests that concurrent claims and releases on several
+// instances are linearizable, so that no key has two holders, although the log
+// loses responses, duplicates appends and throttles.
 func TestClaimLinearizability(t *testing.T) {
 	for seed := range uint64(historyCount) {
 		if result := checkConcurrentClaims(t, seed, claimAndRead); result != porcupine.Ok {
@@ -288,12 +297,13 @@
 	}
 }
 
-// TestClaimCheckDetectsStaleReads: a claimer that trusts its own copy is caught.
+// TestClaimCheckDetectsStaleReads tests that the check detects a client which derives
+// its results from the local state.
 func TestClaimCheckDetectsStaleReads(t *testing.T) {
 	for seed := range uint64(historyCount) {
 		if checkConcurrentClaims(t, seed, claimFromLocalState) == porcupine.Illegal {
 			return
 		}
 	}
-	t.Error("the check passed every history of a broken claimer")
+	t.Error("the check accepted every history of an incorrect claimer")
 }
--- a/changelog/snapshot.go
+++ b/changelog/snapshot.go
@@ -19,71 +19,72 @@
 	maxSnapshotReadEntries = 64
 )
 
-// writeSnapshotIfDue starts a snapshot when enough of the log has come since the
-// last one that this instance knows of. Which entry writes it is left to
-// chance: the first to find it due looks whether another one was quicker, and
-// a second copy does no harm.
-func (log *Journal) writeSnapshotIfDue(ctx context.Context) {
-	log.mu.Lock()
-	due := log.caughtUp && log.state.NextOffset()-log.snapshotOffset >= log.options.SnapshotEvery
-	log.mu.Unlock()
+// writeSnapshotIfDue writes a snapshot if SnapshotEvery entries have been applied
+// since the last one that this instance knows of. The entries do not agree on
+// who writes it: each looks for a newer snapshot of another entry before it
+// writes its own, and two snapshots of the same range do no harm.
+func (j *Journal) writeSnapshotIfDue(ctx context.Context) {
+	j.mu.Lock()
+	due := j.caughtUp && j.state.NextOffset()-j.snapshotOffset >= j.options.SnapshotEvery
+	j.mu.Unlock()
 	if !due {
 		return
 	}
-	if newest, err := log.newestSnapshot(ctx); err == nil && newest != nil && log.recordSnapshot(newest.nextOffset) {
+	if newest, err := j.newestSnapshot(ctx); err == nil && newest != nil && j.recordSnapshot(newest.nextOffset) {
 		return
 	}
-	if err := log.WriteSnapshot(ctx); err != nil {
-		log.logEvent(ctx, event.SnapshotFailed, slog.String("error", err.Error()))
+	if err := j.WriteSnapshot(ctx); err != nil {
+		j.logEvent(ctx, event.SnapshotFailed, slog.String("error", err.Error()))
 	}
 }
 
-// recordSnapshot remembers a snapshot of another instance and reports whether it
-// is recent enough.
-func (log *Journal) recordSnapshot(nextOffset int64) bool {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	log.snapshotOffset = max(log.snapshotOffset, nextOffset)
-	return log.state.NextOffset()-log.snapshotOffset < log.options.SnapshotEvery
+// recordSnapshot records the offset of a snapshot found in the log and reports
+// whether it is recent enough that no new one is due.
+func (j *Journal) recordSnapshot(nextOffset int64) bool {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.snapshotOffset = max(j.snapshotOffset, nextOffset)
+	return j.state.NextOffset()-j.snapshotOffset < j.options.SnapshotEvery
 }
 
-// WriteSnapshot writes the present state to the log, in chunks.
-func (log *Journal) WriteSnapshot(ctx context.Context) error {
-	log.mu.Lock()
-	data, err := log.state.Snapshot()
-	next := log.state.NextOffset()
-	format := log.state.RecordFormat()
-	log.snapshotOffset = next
-	log.mu.Unlock()
+// WriteSnapshot writes a snapshot of the current state to the log, in chunks.
+func (j *Journal) WriteSnapshot(ctx context.Context) error {
+	j.mu.Lock()
+	data, err := j.state.Snapshot()
+	next := j.state.NextOffset()
+	format := j.state.RecordFormat()
+	j.snapshotOffset = next
+	j.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	chunks := splitSnapshot(data, next, format)
-	for _, part := range chunks {
-		if err := log.appendChunk(ctx, part); err != nil {
+	for _, chunk := range chunks {
+		if err := j.appendChunk(ctx, chunk); err != nil {
 			return err
 		}
 	}
-	log.logEvent(ctx, event.SnapshotWritten, slog.Int64("next_offset", next), slog.Int("bytes", len(data)), slog.Int("chunks", len(chunks)))
+	j.logEvent(ctx, event.SnapshotWritten, slog.Int64("next_offset", next), slog.Int("bytes", len(data)), slog.Int("chunks", len(chunks)))
 	return nil
 }
 
-func (log *Journal) appendChunk(ctx context.Context, part *record.SnapshotChunk) error {
-	encoded, err := proto.Marshal(part)
+func (j *Journal) appendChunk(ctx context.Context, chunk *record.SnapshotChunk) error {
+	encoded, err := proto.Marshal(chunk)
 	if err != nil {
 		return errors.Wrap(err, "encode snapshot chunk")
 	}
-	if err := log.limiter.Wait(ctx); err != nil {
+	if err := j.limiter.Wait(ctx); err != nil {
 		return errors.Wrap(err, "wait to append a snapshot chunk")
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	if _, err := log.service.Append(ctx, SnapshotStream, encoded); err != nil {
+	if _, err := j.service.Append(ctx, SnapshotStream, encoded); err != nil {
 		return errors.Wrap(err, "append snapshot chunk")
 	}
 	return nil
 }
 
+// splitSnapshot splits an encoded snapshot into chunks that fit into a log entry.
 func splitSnapshot(data []byte, next int64, format uint32) []*record.SnapshotChunk {
 	id := uuid.NewString()
 	count := max(1, (len(data)+snapshotChunkBytes-1)/snapshotChunkBytes)
@@ -103,21 +104,22 @@
 	return chunks
 }
 
-// completeSnapshot is a snapshot all of whose chunks were read.
+// completeSnapshot is a snapshot of which all chunks were read, with the offset of
+// the first record after it.
 type completeSnapshot struct {
 	nextOffset int64
 	data       []byte
 }
 
-// newestSnapshot reads the snapshot stream and returns the whole snapshot that
-// reaches furthest, nil when there is none. Chunks of writers that died
-// halfway, or of two writers at once, stand between each other.
-func (log *Journal) newestSnapshot(ctx context.Context) (*completeSnapshot, error) {
-	parts := map[string][]*record.SnapshotChunk{}
+// newestSnapshot reads the snapshot stream and returns the complete snapshot with
+// the highest offset, or nil if there is none. The chunks of concurrent writers
+// may be interleaved, and those of a writer that crashed may be incomplete.
+func (j *Journal) newestSnapshot(ctx context.Context) (*completeSnapshot, error) {
+	chunks := map[string][]*record.SnapshotChunk{}
 	var newest *completeSnapshot
 	from := int64(0)
 	for {
-		page, err := log.service.Read(ctx, SnapshotStream, logservice.ReadOptions{From: from, Max: maxSnapshotReadEntries})
+		page, err := j.service.Read(ctx, SnapshotStream, logservice.ReadOptions{From: from, Max: maxSnapshotReadEntries})
 		var trimmed *logservice.TrimmedError
 		if errors.As(err, &trimmed) {
 			from = trimmed.Earliest
@@ -127,8 +129,8 @@
 			return nil, errors.Wrap(err, "read snapshots")
 		}
 		for _, entry := range page.Entries {
-			if whole := addChunk(parts, entry.Data); whole != nil && (newest == nil || whole.nextOffset >= newest.nextOffset) {
-				newest = whole
+			if snapshot := addChunk(chunks, entry.Data); snapshot != nil && (newest == nil || snapshot.nextOffset >= newest.nextOffset) {
+				newest = snapshot
 			}
 			from = entry.Offset + 1
 		}
@@ -138,50 +140,54 @@
 	}
 }
 
-// addChunk returns the whole snapshot when the chunk completes one.
-func addChunk(parts map[string][]*record.SnapshotChunk, encoded []byte) *completeSnapshot {
-	part := &record.SnapshotChunk{}
-	if err := proto.Unmarshal(encoded, part); err != nil || part.GetCount() == 0 {
+// addChunk adds a chunk to those read so far, by snapshot ID, and returns the
+// snapshot if it is now complete. A chunk that does not decode, or that does not
+// follow the previous one of its snapshot, is ignored.
+func addChunk(chunks map[string][]*record.SnapshotChunk, encoded []byte) *completeSnapshot {
+	chunk := &record.SnapshotChunk{}
+	if err := proto.Unmarshal(encoded, chunk); err != nil || chunk.GetCount() == 0 {
 		return nil
 	}
-	if int(part.GetIndex()) != len(parts[part.GetId()]) {
+	if int(chunk.GetIndex()) != len(chunks[chunk.GetId()]) {
 		return nil
 	}
-	parts[part.GetId()] = append(parts[part.GetId()], part)
-	if len(parts[part.GetId()]) < int(part.GetCount()) {
+	chunks[chunk.GetId()] = append(chunks[chunk.GetId()], chunk)
+	if len(chunks[chunk.GetId()]) < int(chunk.GetCount()) {
 		return nil
 	}
-	whole := &completeSnapshot{nextOffset: part.GetNextOffset()}
-	for _, each := range parts[part.GetId()] {
-		whole.data = append(whole.data, each.GetData()...)
+	snapshot := &completeSnapshot{nextOffset: chunk.GetNextOffset()}
+	for _, part := range chunks[chunk.GetId()] {
+		snapshot.data = append(snapshot.data, part.GetData()...)
 	}
-	delete(parts, part.GetId())
-	return whole
+	delete(chunks, chunk.GetId())
+	return snapshot
 }
 
-// restoreSnapshot replaces the state by the newest snapshot if that reaches further.
-func (log *Journal) restoreSnapshot(ctx context.Context) error {
-	newest, err := log.newestSnapshot(ctx)
+// restoreSnapshot replaces the state by the newest snapshot if that has a higher
+// offset. If the snapshot requires a format that this build does not support, the
+// journal halts.
+func (j *Journal) restoreSnapshot(ctx context.Context) error {
+	newest, err := j.newestSnapshot(ctx)
 	if err != nil {
 		return err
 	}
-	if newest == nil || newest.nextOffset <= log.nextOffset() {
+	if newest == nil || newest.nextOffset <= j.nextOffset() {
 		return nil
 	}
-	folded, err := state.Restore(newest.data, log.options.KnownFormat)
-	log.mu.Lock()
-	defer log.mu.Unlock()
+	restored, err := state.Restore(newest.data, j.options.KnownFormat)
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	var tooNew *state.FormatError
 	if errors.As(err, &tooNew) {
-		log.haltErr = errors.Wrap(ErrHalted, err.Error())
-		log.logEvent(ctx, event.FormatTooNew, slog.String("error", err.Error()))
-		return log.haltErr
+		j.haltErr = errors.Wrap(ErrHalted, err.Error())
+		j.logEvent(ctx, event.FormatTooNew, slog.String("error", err.Error()))
+		return j.haltErr
 	}
 	if err != nil {
 		return err
 	}
-	log.state = folded
-	log.snapshotOffset = newest.nextOffset
-	log.logEvent(ctx, event.SnapshotRestored, slog.Int64("next_offset", newest.nextOffset), slog.Int("tasks", folded.TaskCount()))
+	j.state = restored
+	j.snapshotOffset = newest.nextOffset
+	j.logEvent(ctx, event.SnapshotRestored, slog.Int64("next_offset", newest.nextOffset), slog.Int("tasks", restored.TaskCount()))
 	return nil
 }
