--- a/route/queue.go
+++ b/route/queue.go
@@ -6,58 +6,60 @@
 	"time"
 )
 
-// ShedError says that a request was given up before it was sent anywhere.
+// ShedError reports that a request was shed: it was rejected without being sent to
+// a backend server.
 type ShedError struct {
 	reason     string
 	retryAfter time.Duration
 }
 
 // Error implements error.
-func (shed *ShedError) Error() string { return shed.reason }
+func (e *ShedError) Error() string { return e.reason }
 
-// RetryAfter returns when it is worth coming back.
-func (shed *ShedError) RetryAfter() time.Duration { return shed.retryAfter }
+// RetryAfter returns how long the caller should wait before it tries again.
+func (e *ShedError) RetryAfter() time.Duration { return e.retryAfter }
 
-// minRetryAfter keeps callers from coming back at once.
+// minRetryAfter prevents callers from retrying immediately.
 const minRetryAfter = 100 * time.Millisecond
 
-// queue holds the requests of one service that wait for a free slot, oldest
-// first.
+// queue holds the requests of one service that wait for a free slot, the next to be
+// woken first. A waiter is woken by closing its channel.
 type queue struct {
 	waiters []chan struct{}
 }
 
-// PickOrWait picks a target, and waits for a free slot when there is none. It gives
-// up at once when the queue is full, or when the wait is expected to leave the
-// request no time, and says when to come back.
-func (table *Table) PickOrWait(ctx context.Context, name string, tried []string, bounds WaitOptions) (*PickResult, error) {
+// PickOrWait picks a server like Pick, but waits if all servers are full. It
+// returns a ShedError immediately if the queue is full, or if the expected wait
+// would leave too little time before the deadline, and when ctx ends.
+func (t *Table) PickOrWait(ctx context.Context, name string, tried []string, options WaitOptions) (*PickResult, error) {
 	for {
-		ticket, picked, err := table.pickOrEnqueue(name, tried, bounds)
-		if ticket == nil {
-			return picked, err
+		waiter, result, err := t.pickOrEnqueue(name, tried, options)
+		if waiter == nil {
+			return result, err
 		}
-		picked, err = table.awaitTurn(ctx, name, ticket, tried, bounds)
-		if picked != nil || err != nil {
-			return picked, err
+		result, err = t.awaitTurn(ctx, name, waiter, tried, options)
+		if result != nil || err != nil {
+			return result, err
 		}
-		bounds.woken = true
+		options.woken = true
 	}
 }
 
-// awaitTurn waits for the ticket's turn. The first in the queue looks again by
-// itself now and then, because nothing tells an entry of the slots that the
-// requests of other entries give back. Without a result the turn has come.
-func (table *Table) awaitTurn(ctx context.Context, name string, ticket chan struct{}, tried []string, bounds WaitOptions) (*PickResult, error) {
+// awaitTurn waits until the waiter is woken, and then returns neither a result nor
+// an error. The first waiter in the queue also tries to pick a server at regular
+// intervals, because an entry is not notified of slots that requests of other
+// entries free.
+func (t *Table) awaitTurn(ctx context.Context, name string, waiter chan struct{}, tried []string, options WaitOptions) (*PickResult, error) {
 	for {
 		select {
-		case <-ticket:
+		case <-waiter:
 			return nil, nil
-		case <-bounds.After(table.recheckInterval(name)):
-			if picked := table.pickIfFirst(name, ticket, tried, bounds.Now()); picked != nil {
-				return picked, nil
+		case <-options.After(t.recheckInterval(name)):
+			if result := t.pickIfFirst(name, waiter, tried, options.Now()); result != nil {
+				return result, nil
 			}
 		case <-ctx.Done():
-			table.removeWaiter(name, ticket)
+			t.removeWaiter(name, waiter)
 			return nil, &ShedError{reason: "the deadline passed while the request waited for a slot", retryAfter: minRetryAfter}
 		}
 	}
@@ -65,150 +67,165 @@
 
 const (
 	minRecheckInterval = time.Millisecond
+	// rechecksPerLatency is the number of rechecks within the average latency of
+	// the service.
 	rechecksPerLatency = 4
 )
 
-// recheckInterval is how long the first in the queue waits before it looks again.
-func (table *Table) recheckInterval(name string) time.Duration {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	return max(minRecheckInterval, table.services[name].latency/rechecksPerLatency)
+// recheckInterval returns the interval at which the first waiter of a service tries
+// to pick a server.
+func (t *Table) recheckInterval(name string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return max(minRecheckInterval, t.services[name].latency/rechecksPerLatency)
 }
 
-// pickIfFirst picks for the ticket if it is the first in the queue.
-func (table *Table) pickIfFirst(name string, ticket chan struct{}, tried []string, now time.Time) *PickResult {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	waiting := table.services[name].queue.waiters
-	if len(waiting) == 0 || waiting[0] != ticket {
+// pickIfFirst picks a server if the waiter is the first in the queue. It returns nil
+// if it is not, or if no server can take the request.
+func (t *Table) pickIfFirst(name string, waiter chan struct{}, tried []string, now time.Time) *PickResult {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	waiters := t.services[name].queue.waiters
+	if len(waiters) == 0 || waiters[0] != waiter {
 		return nil
 	}
-	picked, err := table.pick(name, tried, now)
+	result, err := t.pick(name, tried, now)
 	if err != nil {
 		return nil
 	}
-	table.services[name].queue.waiters = waiting[1:]
-	return picked
+	t.services[name].queue.waiters = waiters[1:]
+	return result
 }
 
-// WaitOptions limits one wait.
+// WaitOptions configures one call of PickOrWait.
 type WaitOptions struct {
-	// MaxQueued is how many requests of the service may wait.
+	// MaxQueued is the maximum number of requests of the service that may wait.
 	MaxQueued int
-	// Deadline is when the request's time ends.
+	// Deadline is the time by which the request must be answered.
 	Deadline time.Time
-	// Now returns the present time, After waits.
+	// Now returns the current time. After returns a channel that receives after
+	// the given duration, like time.After.
 	Now   func() time.Time
 	After func(wait time.Duration) <-chan time.Time
-	// Requeued marks a request that has waited before and goes first.
+	// Requeued marks a request that a picked server refused because it is full. It goes
+	// to the front of the queue and is not subject to MaxQueued or the deadline
+	// check.
 	Requeued bool
 
+	// woken is set once the request has been woken from the queue.
 	woken bool
 }
 
-func (table *Table) pickOrEnqueue(name string, tried []string, bounds WaitOptions) (chan struct{}, *PickResult, error) {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	now := bounds.Now()
-	named, found := table.services[name]
-	if found && !bounds.woken && !bounds.Requeued && len(named.queue.waiters) > 0 {
-		// Those who wait go first.
-		return table.enqueue(named, bounds, now)
-	}
-	picked, err := table.pick(name, tried, now)
+// pickOrEnqueue picks a server or, if all are full, returns a new waiter in the
+// queue of the service.
+func (t *Table) pickOrEnqueue(name string, tried []string, options WaitOptions) (chan struct{}, *PickResult, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := options.Now()
+	svc, found := t.services[name]
+	if found && !options.woken && !options.Requeued && len(svc.queue.waiters) > 0 {
+		// Requests that already wait have precedence.
+		return t.enqueue(svc, options, now)
+	}
+	result, err := t.pick(name, tried, now)
 	if err != ErrFull {
-		return nil, picked, err
+		return nil, result, err
 	}
-	return table.enqueue(named, bounds, now)
+	return t.enqueue(svc, options, now)
 }
 
-func (table *Table) enqueue(named *service, bounds WaitOptions, now time.Time) (chan struct{}, *PickResult, error) {
-	if bounds.woken || bounds.Requeued {
-		// It has waited its turn; what took the slot away was not its fault.
-		ticket := make(chan struct{})
-		named.queue.waiters = append([]chan struct{}{ticket}, named.queue.waiters...)
-		return ticket, nil, nil
-	}
-	waiting := len(named.queue.waiters)
-	expected := named.expectedWait(waiting + 1)
-	if waiting >= bounds.MaxQueued {
+// enqueue adds a waiter to the queue of the service, or returns a ShedError.
+func (t *Table) enqueue(svc *service, options WaitOptions, now time.Time) (chan struct{}, *PickResult, error) {
+	if options.woken || options.Requeued {
+		// The request has waited already and lost its slot to another one, so it
+		// goes to the front.
+		waiter := make(chan struct{})
+		svc.queue.waiters = append([]chan struct{}{waiter}, svc.queue.waiters...)
+		return waiter, nil, nil
+	}
+	queued := len(svc.queue.waiters)
+	expected := svc.expectedWait(queued + 1)
+	if queued >= options.MaxQueued {
 		return nil, nil, &ShedError{
-			reason:     fmt.Sprintf("%d requests wait already", waiting),
+			reason:     fmt.Sprintf("%d requests wait already", queued),
 			retryAfter: max(minRetryAfter, expected),
 		}
 	}
-	if now.Add(expected + named.latency).After(bounds.Deadline) {
+	if now.Add(expected + svc.latency).After(options.Deadline) {
 		return nil, nil, &ShedError{
 			reason:     fmt.Sprintf("the expected wait of %s leaves no time before the deadline", expected.Round(time.Millisecond)),
 			retryAfter: max(minRetryAfter, expected),
 		}
 	}
-	ticket := make(chan struct{})
-	named.queue.waiters = append(named.queue.waiters, ticket)
-	return ticket, nil, nil
+	waiter := make(chan struct{})
+	svc.queue.waiters = append(svc.queue.waiters, waiter)
+	return waiter, nil, nil
 }
 
-// expectedWait is how long the request at a place in the queue waits, at the
-// pace at which slots have come free lately.
-func (named *service) expectedWait(place int) time.Duration {
+// expectedWait returns how long the request at a position in the queue, counted
+// from 1, is expected to wait, given the average latency of recent requests and
+// the number of slots.
+func (svc *service) expectedWait(position int) time.Duration {
 	slots := 0
-	for _, target := range named.servers {
-		if target.ready {
-			slots += target.slots
+	for _, srv := range svc.servers {
+		if srv.ready {
+			slots += srv.slots
 		}
 	}
 	if slots == 0 {
 		return 0
 	}
-	return time.Duration(float64(named.latency) * float64(place) / float64(slots))
+	return time.Duration(float64(svc.latency) * float64(position) / float64(slots))
 }
 
-// wakeWaiters wakes as many of those who wait as there are free slots.
-func (named *service) wakeWaiters(now time.Time) {
-	if len(named.queue.waiters) == 0 {
+// wakeWaiters wakes as many waiters as there are free slots.
+func (svc *service) wakeWaiters(now time.Time) {
+	if len(svc.queue.waiters) == 0 {
 		return
 	}
 	free := 0
-	for _, target := range named.servers {
-		if target.ready {
-			free += max(0, target.slots-target.usedSlots(now))
+	for _, srv := range svc.servers {
+		if srv.ready {
+			free += max(0, srv.slots-srv.usedSlots(now))
 		}
 	}
-	for ; free > 0 && len(named.queue.waiters) > 0; free-- {
-		close(named.queue.waiters[0])
-		named.queue.waiters = named.queue.waiters[1:]
+	for ; free > 0 && len(svc.queue.waiters) > 0; free-- {
+		close(svc.queue.waiters[0])
+		svc.queue.waiters = svc.queue.waiters[1:]
 	}
 }
 
-func (table *Table) removeWaiter(name string, ticket chan struct{}) {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	named := table.services[name]
-	for index, each := range named.queue.waiters {
-		if each == ticket {
-			named.queue.waiters = append(named.queue.waiters[:index], named.queue.waiters[index+1:]...)
+// removeWaiter removes a waiter that gave up from the queue of the service.
+func (t *Table) removeWaiter(name string, waiter chan struct{}) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	svc := t.services[name]
+	for index, other := range svc.queue.waiters {
+		if other == waiter {
+			svc.queue.waiters = append(svc.queue.waiters[:index], svc.queue.waiters[index+1:]...)
 			return
 		}
 	}
 }
 
-// Queued returns how many requests of a service wait.
-func (table *Table) Queued(name string) int {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	if named, found := table.services[name]; found {
-		return len(named.queue.waiters)
+// Queued returns the number of requests of a service that wait for a slot.
+func (t *Table) Queued(name string) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if svc, found := t.services[name]; found {
+		return len(svc.queue.waiters)
 	}
 	return 0
 }
 
-// ExpectedWait returns how long a request that came now would wait.
-func (table *Table) ExpectedWait(name string) time.Duration {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	named, found := table.services[name]
+// ExpectedWait returns how long a request that was queued now would be expected to
+// wait.
+func (t *Table) ExpectedWait(name string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	svc, found := t.services[name]
 	if !found {
 		return 0
 	}
-	return named.expectedWait(len(named.queue.waiters) + 1)
+	return svc.expectedWait(len(svc.queue.waiters) + 1)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,24 +1,24 @@
 // Package route picks the backend server for a request.
 //
-// A Table keeps, for each service, the backend servers that could take a
-// request and what is known of each one's load: what its guard said last, and
-// what this entry has sent since. Pick takes the one that is least full,
-// where a server in another failure domain counts as fuller by the price of
-// distance, so that the near ones are preferred until that costs more than it
-// saves. Backend servers that fail are left out for a while, but never more
-// than a bounded part of a service.
+// A Table holds the backend servers of each service with the estimated load of
+// each: the load that its guard reported last, and the requests that this entry
+// has sent since. Pick chooses the server with the lowest utilisation. Servers in
+// another failure domain are handicapped by a constant, so that those in the
+// entry's own domain are preferred until they are noticeably busier. Servers that
+// fail repeatedly are ejected for some time, but never more than a bounded share
+// of the servers of a service.
 //
 // # Usage
 //
 //	table := route.NewTable("milano-a")
 //	table.Update(guard, false)
-//	picked, err := table.Pick("verbale", nil, now)
-//	table.Done(picked, route.Answered, load, took, now)
+//	result, err := table.Pick("verbale", nil, now)
+//	table.Done(result, route.Answered, load, duration, now)
 //
 // # Errors
 //
-// [ErrFull] says that every usable server is believed to be full, [ErrNoneReady]
-// that there is none.
+// [ErrFull] reports that every usable server is assumed to be full, [ErrNoneReady]
+// that no server is usable.
 package route
 
 import (
@@ -33,37 +33,41 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// ErrFull says that every usable backend server is believed to be full.
+// ErrFull reports that every usable backend server is assumed to be full.
 var ErrFull = errors.New("every backend server of the service is full")
 
-// ErrNoneReady says that no backend server of the service can be used.
+// ErrNoneReady reports that no backend server of the service can be used.
 var ErrNoneReady = errors.New("no backend server of the service is known to be ready")
 
 const (
-	// crossDomainPenalty is how much fuller a server in another failure domain
-	// counts, as a share of its slots.
+	// crossDomainPenalty is added to the utilisation of a server in another
+	// failure domain, as a share of its slots, when servers are compared.
 	crossDomainPenalty = 0.25
-	// failuresToEject is how many failures in a row put a server aside.
+	// failuresToEject is the number of consecutive failures that eject a server.
 	failuresToEject = 3
-	ejectionTime    = 5 * time.Second
-	// defaultLatency stands in for the time of a server that has answered
-	// nothing yet.
+	// ejectionTime is how long a server stays ejected.
+	ejectionTime = 5 * time.Second
+	// defaultLatency is assumed for a server that has not reported a latency yet.
 	defaultLatency = 100 * time.Millisecond
-	// maxEjectedRatio bounds the part of a service that is put aside.
+	// maxEjectedRatio bounds the share of a service's servers that are ejected.
 	maxEjectedRatio = 0.34
 )
 
-// Outcome says how a request to a backend server ended.
+// Outcome is how a request to a backend server ended.
 type Outcome int
 
 // The outcomes.
 const (
+	// Answered means that the server answered the request.
 	Answered Outcome = iota
+	// Refused means that the server did not take the request because it is full or
+	// leaving. It does not count as a failure.
 	Refused
+	// Failed means that the request got no complete answer.
 	Failed
 )
 
-// server is one backend server; the table's lock guards it.
+// server is one backend server. The table's lock guards it.
 type server struct {
 	name          string
 	address       string
@@ -79,7 +83,8 @@
 	latency       time.Duration
 }
 
-// PickResult is a backend server that was given a request, as it was known then.
+// PickResult describes the backend server picked for a request, as it was known at
+// that time, and how many servers were skipped for which reason.
 type PickResult struct {
 	server       *server
 	worker       string
@@ -92,217 +97,230 @@
 	ejectedCount int
 }
 
-// Worker returns the name of the picked server's worker.
-func (picked *PickResult) Worker() string { return picked.worker }
+// Worker returns the name of the worker that runs the server.
+func (result *PickResult) Worker() string { return result.worker }
 
-// Address returns where the picked server's guard is reached.
-func (picked *PickResult) Address() string { return picked.address }
+// Address returns the address of the worker's guard.
+func (result *PickResult) Address() string { return result.address }
 
-// Utilisation returns how full the target was believed to be, 0 to 1.
-func (picked *PickResult) Utilisation() float64 { return picked.utilisation }
+// Utilisation returns the estimated share of the server's slots in use, from 0 to 1,
+// without the picked request.
+func (result *PickResult) Utilisation() float64 { return result.utilisation }
 
-// ServerCount returns how many targets the service has.
-func (picked *PickResult) ServerCount() int { return picked.serverCount }
+// ServerCount returns the number of servers of the service.
+func (result *PickResult) ServerCount() int { return result.serverCount }
 
-// FullCount returns how many targets were passed over as full.
-func (picked *PickResult) FullCount() int { return picked.fullCount }
+// FullCount returns the number of servers that were skipped because they are full.
+func (result *PickResult) FullCount() int { return result.fullCount }
 
-// UnreadyCount returns how many were passed over as not ready or already tried.
-func (picked *PickResult) UnreadyCount() int { return picked.unreadyCount }
+// UnreadyCount returns the number of servers that were skipped because they are not
+// ready or were tried before.
+func (result *PickResult) UnreadyCount() int { return result.unreadyCount }
 
-// EjectedCount returns how many were passed over for failing.
-func (picked *PickResult) EjectedCount() int { return picked.ejectedCount }
+// EjectedCount returns the number of servers that were skipped because they are
+// ejected after failures.
+func (result *PickResult) EjectedCount() int { return result.ejectedCount }
 
-// Table holds the targets of every service. It may be used by many goroutines.
+// Table holds the servers of every service. It is safe for concurrent use.
 type Table struct {
 	mu       sync.Mutex
 	domain   string
 	services map[string]*service
 }
 
+// service holds the servers of one service and the requests that wait for them.
 type service struct {
 	servers []*server
 	queue   queue
+	// latency is the moving average of the duration of answered requests.
 	latency time.Duration
 }
 
-// NewTable returns an empty table for an entry in a failure domain.
+// NewTable returns an empty table for an entry in the given failure domain.
 func NewTable(domain string) *Table {
 	return &Table{domain: domain, services: map[string]*service{}}
 }
 
-func (table *Table) ensureService(name string) *service {
-	named, found := table.services[name]
+// ensureService returns a service and creates it if needed.
+func (t *Table) ensureService(name string) *service {
+	svc, found := t.services[name]
 	if !found {
-		named = &service{}
-		table.services[name] = named
+		svc = &service{}
+		t.services[name] = svc
 	}
-	return named
+	return svc
 }
 
-// Update takes in what a guard said. Silent tells that nothing was heard of it
-// for too long.
-func (table *Table) Update(guard *membership.Guard, silent bool) {
+// Update updates a server from what is known of its guard. silent marks the server
+// as not ready because its guard has not reported for too long.
+func (t *Table) Update(guard *membership.Guard, silent bool) {
 	if guard.Service() == "" {
 		return
 	}
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	named := table.ensureService(guard.Service())
-	target := named.ensureServer(guard.Name())
-	if target.incarnation != guard.Incarnation() {
-		target.failures, target.ejectedUntil = 0, time.Time{}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	svc := t.ensureService(guard.Service())
+	srv := svc.ensureServer(guard.Name())
+	if srv.incarnation != guard.Incarnation() {
+		srv.failures, srv.ejectedUntil = 0, time.Time{}
 	}
-	target.address = guard.Address()
-	target.domain = guard.FailureDomain()
-	target.incarnation = guard.Incarnation()
-	target.ready = guard.Ready() && !silent
-	target.updateLoad(guard.Load(), guard.HeardAt())
-	named.wakeWaiters(guard.HeardAt())
+	srv.address = guard.Address()
+	srv.domain = guard.FailureDomain()
+	srv.incarnation = guard.Incarnation()
+	srv.ready = guard.Ready() && !silent
+	srv.updateLoad(guard.Load(), guard.HeardAt())
+	svc.wakeWaiters(guard.HeardAt())
 }
 
-func (named *service) ensureServer(name string) *server {
-	for _, target := range named.servers {
-		if target.name == name {
-			return target
+// ensureServer returns a server of the service and creates it if needed.
+func (svc *service) ensureServer(name string) *server {
+	for _, srv := range svc.servers {
+		if srv.name == name {
+			return srv
 		}
 	}
-	target := &server{name: name}
-	named.servers = append(named.servers, target)
-	return target
+	srv := &server{name: name}
+	svc.servers = append(svc.servers, srv)
+	return srv
 }
 
-// updateLoad takes in a load that the guard stated. What it counts beyond this
-// entry's own requests is the work of others.
-func (target *server) updateLoad(load *wire.Load, now time.Time) {
+// updateLoad updates the load of a server from what its guard reported. The used
+// slots in excess of this entry's own requests belong to other entries.
+func (srv *server) updateLoad(load *wire.Load, now time.Time) {
 	if load == nil {
 		return
 	}
-	target.loadUpdatedAt = now
-	target.slots = int(load.GetSlots())
-	target.otherInFlight = max(0, int(load.GetSlotsUsed())-target.inFlight)
+	srv.loadUpdatedAt = now
+	srv.slots = int(load.GetSlots())
+	srv.otherInFlight = max(0, int(load.GetSlotsUsed())-srv.inFlight)
 	if load.GetLatencyNanos() > 0 {
-		target.latency = time.Duration(load.GetLatencyNanos())
+		srv.latency = time.Duration(load.GetLatencyNanos())
 	}
 }
 
-// usedSlots is how many slots are believed to be taken. The requests of others are
-// taken to end, one after the other, within the server's usual time: without
-// that an entry none of whose own requests is there would believe a server
-// full until its guard's next report.
-func (target *server) usedSlots(now time.Time) int {
-	usual := target.latency
-	if usual == 0 {
-		usual = defaultLatency
+// usedSlots returns the estimated number of slots in use. The requests of other
+// entries are assumed to end at a constant rate within the server's latency.
+// Otherwise an entry that has no requests of its own on a full server would
+// assume it to be full until its guard reports again.
+func (srv *server) usedSlots(now time.Time) int {
+	latency := srv.latency
+	if latency == 0 {
+		latency = defaultLatency
 	}
-	age := max(0, now.Sub(target.loadUpdatedAt))
-	left := max(0, 1-float64(age)/float64(usual))
-	return int(math.Ceil(float64(target.otherInFlight)*left)) + target.inFlight
+	age := max(0, now.Sub(srv.loadUpdatedAt))
+	remaining := max(0, 1-float64(age)/float64(latency))
+	return int(math.Ceil(float64(srv.otherInFlight)*remaining)) + srv.inFlight
 }
 
-func (target *server) utilisation(now time.Time) float64 {
-	if target.slots == 0 {
+// utilisation returns the estimated share of slots in use. It is 1 for a server
+// without slots.
+func (srv *server) utilisation(now time.Time) float64 {
+	if srv.slots == 0 {
 		return 1
 	}
-	return float64(target.usedSlots(now)) / float64(target.slots)
+	return float64(srv.usedSlots(now)) / float64(srv.slots)
 }
 
-// Pick takes the cheapest target that is not in tried and counts a request on
-// it. Call Done once for each Picked.
-func (table *Table) Pick(name string, tried []string, now time.Time) (*PickResult, error) {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	return table.pick(name, tried, now)
+// Pick picks the server with the lowest cost that is not in tried, and counts a
+// request on it. The caller must call Done once for each result.
+func (t *Table) Pick(name string, tried []string, now time.Time) (*PickResult, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.pick(name, tried, now)
 }
 
-func (table *Table) pick(name string, tried []string, now time.Time) (*PickResult, error) {
-	named, found := table.services[name]
+// pick implements Pick. The caller holds the lock.
+func (t *Table) pick(name string, tried []string, now time.Time) (*PickResult, error) {
+	svc, found := t.services[name]
 	if !found {
 		return nil, ErrNoneReady
 	}
-	picked := &PickResult{service: name, serverCount: len(named.servers)}
-	ejectable := int(maxEjectedRatio * float64(len(named.servers)))
-	lowest := math.Inf(1)
-	for _, target := range named.servers {
+	result := &PickResult{service: name, serverCount: len(svc.servers)}
+	maxEjected := int(maxEjectedRatio * float64(len(svc.servers)))
+	lowestCost := math.Inf(1)
+	for _, srv := range svc.servers {
 		switch {
-		case !target.ready || containsName(tried, target.name):
-			picked.unreadyCount++
+		case !srv.ready || containsName(tried, srv.name):
+			result.unreadyCount++
 			continue
-		case now.Before(target.ejectedUntil) && picked.ejectedCount < ejectable:
-			picked.ejectedCount++
+		case now.Before(srv.ejectedUntil) && result.ejectedCount < maxEjected:
+			result.ejectedCount++
 			continue
-		case target.usedSlots(now) >= target.slots:
-			picked.fullCount++
+		case srv.usedSlots(now) >= srv.slots:
+			result.fullCount++
 			continue
 		}
-		price := target.utilisation(now)
-		if target.domain != table.domain {
-			price += crossDomainPenalty
+		cost := srv.utilisation(now)
+		if srv.domain != t.domain {
+			cost += crossDomainPenalty
 		}
-		if price < lowest {
-			lowest, picked.server = price, target
+		if cost < lowestCost {
+			lowestCost, result.server = cost, srv
 		}
 	}
-	if picked.server == nil {
-		if picked.fullCount > 0 {
+	if result.server == nil {
+		if result.fullCount > 0 {
 			return nil, ErrFull
 		}
 		return nil, ErrNoneReady
 	}
-	picked.utilisation = picked.server.utilisation(now)
-	picked.worker, picked.address = picked.server.name, picked.server.address
-	picked.server.inFlight++
-	return picked, nil
+	result.utilisation = result.server.utilisation(now)
+	result.worker, result.address = result.server.name, result.server.address
+	result.server.inFlight++
+	return result, nil
 }
 
 func containsName(names []string, name string) bool {
-	for _, each := range names {
-		if each == name {
+	for _, other := range names {
+		if other == name {
 			return true
 		}
 	}
 	return false
 }
 
-// Done counts the end of a request, with the load that came with its answer,
-// if any, and the time it took.
-func (table *Table) Done(picked *PickResult, outcome Outcome, load *wire.Load, took time.Duration, now time.Time) {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	named := table.services[picked.service]
-	target := picked.server
-	target.inFlight--
-	target.updateLoad(load, now)
+// Done records the end of a request, with the load that the server reported with its
+// answer, if any, and the duration of the request.
+func (t *Table) Done(result *PickResult, outcome Outcome, load *wire.Load, duration time.Duration, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	svc := t.services[result.service]
+	srv := result.server
+	srv.inFlight--
+	srv.updateLoad(load, now)
 	switch outcome {
 	case Answered:
-		target.failures = 0
-		named.latency = movingAverage(named.latency, took)
+		srv.failures = 0
+		svc.latency = movingAverage(svc.latency, duration)
 	case Failed:
-		target.failures++
-		if target.failures >= failuresToEject {
-			target.failures = 0
-			target.ejectedUntil = now.Add(ejectionTime)
+		srv.failures++
+		if srv.failures >= failuresToEject {
+			srv.failures = 0
+			srv.ejectedUntil = now.Add(ejectionTime)
 		}
 	}
-	named.wakeWaiters(now)
+	svc.wakeWaiters(now)
 }
 
+// latencySmoothing is the weight of a new sample in the average latency of a service.
 const latencySmoothing = 0.05
 
-func movingAverage(before, reading time.Duration) time.Duration {
-	if before == 0 {
-		return reading
+// movingAverage returns the exponentially weighted moving average with a new sample.
+// The first sample is taken as it is.
+func movingAverage(average, sample time.Duration) time.Duration {
+	if average == 0 {
+		return sample
 	}
-	return before + time.Duration(latencySmoothing*float64(reading-before))
+	return average + time.Duration(latencySmoothing*float64(sample-average))
 }
 
-// HasReadyServer reports whether some backend server of the service is ready.
-func (table *Table) HasReadyServer(name string) bool {
-	table.mu.Lock()
-	defer table.mu.Unlock()
-	named, found := table.services[name]
+// HasReadyServer reports whether any backend server of the service is ready.
+func (t *Table) HasReadyServer(name string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	svc, found := t.services[name]
 	if !found {
 		return false
 	}
-	return slices.ContainsFunc(named.servers, func(target *server) bool { return target.ready })
+	return slices.ContainsFunc(svc.servers, func(srv *server) bool { return srv.ready })
 }
