--- a/route/queue.go
+++ b/route/queue.go
@@ -103,13 +103,14 @@
 	MaxQueued int
 	// Deadline is the time by which the request must be answered.
 	Deadline time.Time
-	// Now returns the current time. After returns a channel that receives after
-	// the given duration, like time.After.
-	Now   func() time.Time
+	// Now returns the current time.
+	Now func() time.Time
+	// After returns a channel that receives after the given duration, like
+	// time.After.
 	After func(wait time.Duration) <-chan time.Time
-	// Requeued marks a request that a picked server refused because it is full. It goes
-	// to the front of the queue and is not subject to MaxQueued or the deadline
-	// check.
+	// Requeued marks a request that was picked a server which then refused it as
+	// full. It goes to the front of the queue, and neither MaxQueued nor the
+	// deadline check applies to it.
 	Requeued bool
 
 	// woken is set once the request has been woken from the queue.
@@ -137,8 +138,8 @@
 // enqueue adds a waiter to the queue of the service, or returns a ShedError.
 func (t *Table) enqueue(svc *service, options WaitOptions, now time.Time) (chan struct{}, *PickResult, error) {
 	if options.woken || options.Requeued {
-		// The request has waited already and lost its slot to another one, so it
-		// goes to the front.
+		// Another request took the slot that this one was woken or picked for, so
+		// this one keeps its turn and goes to the front.
 		waiter := make(chan struct{})
 		svc.queue.waiters = append([]chan struct{}{waiter}, svc.queue.waiters...)
 		return waiter, nil, nil
--- a/route/route.go
+++ b/route/route.go
@@ -2,11 +2,11 @@
 //
 // A Table holds the backend servers of each service with the estimated load of
 // each: the load that its guard reported last, and the requests that this entry
-// has sent since. Pick chooses the server with the lowest utilisation. Servers in
-// another failure domain are handicapped by a constant, so that those in the
-// entry's own domain are preferred until they are noticeably busier. Servers that
-// fail repeatedly are ejected for some time, but never more than a bounded share
-// of the servers of a service.
+// has sent since. Pick chooses the server with the lowest utilisation. It adds a
+// constant penalty to servers in another failure domain, so that servers in the
+// entry's own domain are preferred until they are busier by more than that.
+// Servers that fail repeatedly are ejected for some time, but never more than a
+// bounded share of the servers of a service.
 //
 // # Usage
 //
@@ -67,7 +67,9 @@
 	Failed
 )
 
-// server is one backend server. The table's lock guards it.
+// server is a backend server and the state by which it is picked. The table's lock
+// guards it. The fields otherInFlight and inFlight count the requests of other
+// entries and of this one.
 type server struct {
 	name          string
 	address       string
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -39,16 +39,16 @@
 		want   string
 		err    error
 	}{
-		"the one in the same domain":              {[]*membership.Guard{newGuard("far", "bergamo", 0, 8, true), newGuard("near", "milano-a", 1, 8, true)}, nil, "near", nil},
-		"the other domain when the own is busier": {[]*membership.Guard{newGuard("far", "bergamo", 0, 8, true), newGuard("near", "milano-a", 3, 8, true)}, nil, "far", nil},
-		"the least utilised":                      {[]*membership.Guard{newGuard("a", "milano-a", 5, 8, true), newGuard("b", "milano-a", 2, 8, true)}, nil, "b", nil},
-		"skips a tried one":                       {[]*membership.Guard{newGuard("a", "milano-a", 0, 8, true), newGuard("b", "milano-a", 2, 8, true)}, []string{"a"}, "b", nil},
-		"skips one that is not ready":             {[]*membership.Guard{newGuard("a", "milano-a", 0, 8, false), newGuard("b", "milano-a", 2, 8, true)}, nil, "b", nil},
-		"all full":                                {[]*membership.Guard{newGuard("a", "milano-a", 8, 8, true)}, nil, "", route.ErrFull},
-		"none known":                              {nil, nil, "", route.ErrNoneReady},
-		"all tried":                               {[]*membership.Guard{newGuard("a", "milano-a", 0, 8, true)}, []string{"a"}, "", route.ErrNoneReady},
-		"the lower share, not the lower count":    {[]*membership.Guard{newGuard("a", "milano-a", 3, 8, true), newGuard("b", "milano-a", 4, 16, true)}, nil, "b", nil},
-		"one without slots counts as full":        {[]*membership.Guard{newGuard("a", "milano-a", 0, 0, true)}, nil, "", route.ErrFull},
+		"the one in the same domain":                    {[]*membership.Guard{newGuard("far", "bergamo", 0, 8, true), newGuard("near", "milano-a", 1, 8, true)}, nil, "near", nil},
+		"the other domain when the own is busier":       {[]*membership.Guard{newGuard("far", "bergamo", 0, 8, true), newGuard("near", "milano-a", 3, 8, true)}, nil, "far", nil},
+		"the least utilised":                            {[]*membership.Guard{newGuard("a", "milano-a", 5, 8, true), newGuard("b", "milano-a", 2, 8, true)}, nil, "b", nil},
+		"skips a tried one":                             {[]*membership.Guard{newGuard("a", "milano-a", 0, 8, true), newGuard("b", "milano-a", 2, 8, true)}, []string{"a"}, "b", nil},
+		"skips one that is not ready":                   {[]*membership.Guard{newGuard("a", "milano-a", 0, 8, false), newGuard("b", "milano-a", 2, 8, true)}, nil, "b", nil},
+		"all full":                                      {[]*membership.Guard{newGuard("a", "milano-a", 8, 8, true)}, nil, "", route.ErrFull},
+		"none known":                                    {nil, nil, "", route.ErrNoneReady},
+		"all tried":                                     {[]*membership.Guard{newGuard("a", "milano-a", 0, 8, true)}, []string{"a"}, "", route.ErrNoneReady},
+		"the lower utilisation, not the fewer requests": {[]*membership.Guard{newGuard("a", "milano-a", 3, 8, true), newGuard("b", "milano-a", 4, 16, true)}, nil, "b", nil},
+		"one without slots counts as full":              {[]*membership.Guard{newGuard("a", "milano-a", 0, 0, true)}, nil, "", route.ErrFull},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
