--- a/state/state.go
+++ b/state/state.go
@@ -114,16 +114,22 @@
 
 // State is the result of applying the log up to an offset.
 type State struct {
-	nextOffset     int64
-	format         uint32
-	maxFormat      uint32
-	tasks          map[string]*Task
-	claims         map[string]*record.ClaimState
-	documents      map[string][]*record.Document
-	workers        map[string]*record.WorkerState
+	nextOffset int64
+	// format is the highest format that records may require at present, and
+	// maxFormat the highest that this reader supports.
+	format    uint32
+	maxFormat uint32
+	tasks     map[string]*Task
+	claims    map[string]*record.ClaimState
+	// documents holds the versions of each document, oldest first.
+	documents map[string][]*record.Document
+	workers   map[string]*record.WorkerState
+	// recentBatchIDs holds the IDs of the latest batches, oldest first, and
+	// recentBatchSet the same IDs as a set.
 	recentBatchIDs []string
 	recentBatchSet map[string]struct{}
-	pendingTasks   map[string]*Task
+	// The maps below index tasks by phase, and placed tasks by worker.
+	pendingTasks map[string]*Task
 	// pendingByKind counts the pending tasks of each kind.
 	pendingByKind map[string]int
 	endedTasks    map[string]*Task
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, replica := range map[string]*state.State{"folded": st, "restored": restored} {
+	for name, replica := range map[string]*state.State{"original": st, "restored": restored} {
 		outcomes := mustApply(t, replica, newBatch("b-1", newCreateRecord("a", 1)))
 		if outcomes[0].Reason() != state.ReasonDuplicate || replica.Task("a") != nil {
 			t.Errorf("%s: the duplicate was not ignored: reason %q", name, outcomes[0].Reason())
