--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -117,15 +117,22 @@
 	limiter *rate.Limiter
 	queue   chan *proposal
 
-	mu               sync.Mutex
-	state            *state.State
+	// mu guards all fields below.
+	mu    sync.Mutex
+	state *state.State
+	// pendingProposals holds, by record ID, the proposals that wait for outcomes.
 	pendingProposals map[string]*proposal
-	changed          chan struct{}
-	syncedAt         time.Time
-	endOffset        int64
-	caughtUp         bool
-	haltErr          error
-	snapshotOffset   int64
+	// changed is closed and replaced after each batch.
+	changed  chan struct{}
+	syncedAt time.Time
+	// endOffset is the end of the log as of the latest read.
+	endOffset int64
+	// caughtUp is set once a read has reached the end of the log.
+	caughtUp bool
+	// haltErr is set once the log requires a format that is not supported.
+	haltErr error
+	// snapshotOffset is the offset of the newest snapshot that is known.
+	snapshotOffset int64
 }
 
 // New returns a Journal on the platform's log. It neither reads nor appends until
