--- a/gateway/append.go
+++ b/gateway/append.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// appendTimeout is how long the store is waited for before the same record
-	// is sent again on another connection.
+	// appendTimeout bounds one append to the store. After it, the same record is sent again on another
+	// connection.
 	appendTimeout = 900 * time.Millisecond
-	// relayTimeout bounds the same by way of a peer.
+	// relayTimeout bounds one append that a peer makes for this entry.
 	relayTimeout = 600 * time.Millisecond
-	// appendRetryDelay keeps tries apart.
+	// appendRetryDelay is the delay between attempts to append a record.
 	appendRetryDelay = 60 * time.Millisecond
 )
 
+// appendStatus is what is known about an append: whether it was stored, refused, or may have been stored.
 type appendStatus int
 
 const (
@@ -29,9 +30,9 @@
 	appendRefused
 )
 
-// String names the kind in metrics.
-func (kind appendStatus) String() string {
-	switch kind {
+// String returns the name of the status in metrics.
+func (status appendStatus) String() string {
+	switch status {
 	case appendSucceeded:
 		return "appended"
 	case appendRefused:
@@ -41,62 +42,63 @@
 	return "unsure"
 }
 
-// appendResult says what became of an append.
+// appendResult is the outcome of an append, including its retries and relays.
 type appendResult struct {
 	status     appendStatus
 	reason     string
-	appendedBy string // the entry that the store took it from
+	appendedBy string // name of the entry whose append succeeded
 }
 
-// appendRecord puts a record of a job into the store. The record is the same however
-// often it is sent, so one that was not answered is sent again. While the store is known
-// to be away nothing is sent, so that the refusal is true and comes at once.
+// appendRecord appends a record of a job to the store. Appending is idempotent, because every attempt sends
+// the same record, so once an attempt may have taken effect, attempts go on until one succeeds or ctx ends.
+// While the circuit breaker is open nothing is sent: the record is refused at once, and is certain not to be
+// in the store.
 func (gateway *Gateway) appendRecord(ctx context.Context, id, key string, value []byte) appendResult {
 	shard := job.ShardOf(id, gateway.options.Shards)
-	add := platform.Append{Topic: job.TopicJobs, Partition: shard, Records: []platform.Record{{Key: key, Value: value}}}
+	request := platform.Append{Topic: job.TopicJobs, Partition: shard, Records: []platform.Record{{Key: key, Value: value}}}
 	if gateway.breaker.shouldReject(gateway.options.Clock.Now()) {
-		return appendResult{status: appendRefused, reason: "the platform's store is away"}
+		return appendResult{status: appendRefused, reason: "the platform's store is unavailable"}
 	}
-	doubt := false // whether an earlier try may have taken effect
-	reason := "the client's time is over"
+	mayBeStored := false // whether an attempt so far may have stored the record
+	reason := "the client's deadline has passed"
 	for ctx.Err() == nil {
-		err := gateway.appendOnce(ctx, add)
+		err := gateway.appendOnce(ctx, request)
 		if err == nil {
 			gateway.breaker.recordSuccess()
 			go gateway.directory.notifyOwner(context.WithoutCancel(ctx), &wire.TakenRequest{Shard: int32(shard), Key: key, Value: value})
 			return appendResult{status: appendSucceeded, appendedBy: gateway.options.Name}
 		}
 		reason = err.Error()
-		doubt = doubt || !platform.IsRefused(err)
+		mayBeStored = mayBeStored || !platform.IsRefused(err)
 		relayed := gateway.directory.relay(ctx, &wire.RelayRequest{Shard: int32(shard), Key: key, Value: value})
 		if relayed.status == appendSucceeded {
 			gateway.breaker.recordSuccess()
 			return relayed
 		}
 		gateway.breaker.recordFailure(gateway.options.Clock.Now())
-		doubt = doubt || relayed.status == appendUnknown
-		if !doubt {
+		mayBeStored = mayBeStored || relayed.status == appendUnknown
+		if !mayBeStored {
 			break
 		}
 		sleep(ctx, gateway.options.Clock, appendRetryDelay)
 	}
-	if doubt {
+	if mayBeStored {
 		return appendResult{status: appendUnknown, reason: reason}
 	}
 	return appendResult{status: appendRefused, reason: reason}
 }
 
-func (gateway *Gateway) appendOnce(ctx context.Context, add platform.Append) error {
+func (gateway *Gateway) appendOnce(ctx context.Context, request platform.Append) error {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	_, err := gateway.options.Store.Append(ctx, add)
+	_, err := gateway.options.Store.Append(ctx, request)
 	return err
 }
 
-// sleep waits for a while, or until ctx ends.
-func sleep(ctx context.Context, clock clockwork.Clock, length time.Duration) {
+// sleep waits for a duration, or until ctx ends.
+func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-clock.After(length):
+	case <-clock.After(duration):
 	}
 }
--- a/gateway/configure.go
+++ b/gateway/configure.go
@@ -10,36 +10,36 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// operatorRetryDelay keeps reads of the operator's topic apart that failed or found nothing to
-// go on with.
+// operatorRetryDelay is the delay before the operator's topic is read again after a read that failed, or
+// while no configuration has been found.
 const operatorRetryDelay = 100 * time.Millisecond
 
-// Run follows what operators write until ctx ends: the configuration, and for the owner
-// in this process the failure domains that are evacuated.
+// Run reads the records that operators write until ctx ends. It puts new configurations in force, and passes
+// the evacuated failure domains to the owner in this process.
 func (gateway *Gateway) Run(ctx context.Context) {
 	reader := operator.NewReader(gateway.options.Store, gateway.options.Clock)
 	for ctx.Err() == nil {
-		news, err := reader.Read(ctx)
+		update, err := reader.Read(ctx)
 		if err != nil {
 			sleep(ctx, gateway.options.Clock, operatorRetryDelay)
 			continue
 		}
-		gateway.options.Owner.UpdateEvacuations(news.Evacuations, news.AsOf)
-		for _, record := range news.Records {
+		gateway.options.Owner.UpdateEvacuations(update.Evacuations, update.AsOf)
+		for _, record := range update.Records {
 			if record.Key == platform.ConfigurationKey {
 				gateway.applyConfiguration(ctx, record.Value)
 			}
 		}
 		if gateway.configuration.Load() == nil {
-			// Records of the first configuration may be removed before they
-			// are read: ask for the newest.
+			// The store may have removed the record of the configuration before it was read. Restarting the
+			// reader asks for the newest record.
 			reader.Restart()
 			sleep(ctx, gateway.options.Clock, operatorRetryDelay)
 		}
 	}
 }
 
-// applyConfiguration puts a configuration in force unless a later one is.
+// applyConfiguration puts a configuration in force, unless one of the same or a later version is in force.
 func (gateway *Gateway) applyConfiguration(ctx context.Context, text []byte) {
 	parsed, err := platform.ParseConfiguration(text)
 	if err != nil {
--- a/gateway/directory.go
+++ b/gateway/directory.go
@@ -16,25 +16,28 @@
 )
 
 const (
-	// ownersMaxAge is how long what the store said of owners is gone by.
+	// ownersMaxAge is how long the owners read from the store are used before they are read again.
 	ownersMaxAge = 2 * time.Second
-	// ownersRetryMaxAge keeps questions to the store apart while an owner is sought.
+	// ownersRetryMaxAge is the same while a request is retried because its owner was not found or did not
+	// answer.
 	ownersRetryMaxAge = 150 * time.Millisecond
-	// ownersTimeout bounds a question to the store.
+	// ownersTimeout bounds one request to the store for the owners.
 	ownersTimeout = 800 * time.Millisecond
-	// peerRetryDelay keeps questions apart while a shard passes to another entry.
+	// peerRetryDelay is the delay between requests to peers that are retried, as happens while a shard moves
+	// from one entry to another.
 	peerRetryDelay = 80 * time.Millisecond
 )
 
-// ownerDirectory knows which entry owns which shard.
+// ownerDirectory caches which entry owns which shard, and sends requests to the owners. It may be used by
+// many goroutines.
 type ownerDirectory struct {
 	options Options
 
 	mu             sync.Mutex
-	owners         map[int]string          // names of entries, by shard
-	refreshedAt    time.Time               // when the store last answered, or did not
-	refreshing     bool                    // a question to the store is on its way
-	refreshFailing bool                    // the store does not say who owns the shards
+	owners         map[int]string          // member names of entries, by shard
+	refreshedAt    time.Time               // when the last request to the store ended, with or without an answer
+	refreshing     bool                    // a request to the store is in flight
+	refreshFailing bool                    // the last request to the store failed
 	pendingCounts  map[string]pendingCount // by queue
 }
 
@@ -42,9 +45,9 @@
 	return &ownerDirectory{options: options, owners: map[int]string{}, pendingCounts: map[string]pendingCount{}}
 }
 
-// refresh asks the store for the owners unless that was done within age.
-func (directory *ownerDirectory) refresh(ctx context.Context, age time.Duration) {
-	if !directory.beginRefresh(age, directory.options.Clock.Now()) {
+// refresh reads the owners from the store, unless they were read within maxAge.
+func (directory *ownerDirectory) refresh(ctx context.Context, maxAge time.Duration) {
+	if !directory.beginRefresh(maxAge, directory.options.Clock.Now()) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ownersTimeout)
@@ -57,20 +60,20 @@
 	directory.updateOwners(ctx, owners, err)
 }
 
-// beginRefresh reports whether the store is to be asked: not while another question is
-// on its way or if the last was within age.
-func (directory *ownerDirectory) beginRefresh(age time.Duration, now time.Time) bool {
+// beginRefresh reports whether the caller must read the owners from the store, and marks the refresh as in
+// flight if so. It reports false while another refresh is in flight, or if the last one ended within maxAge.
+func (directory *ownerDirectory) beginRefresh(maxAge time.Duration, now time.Time) bool {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	if directory.refreshing || now.Sub(directory.refreshedAt) < age {
+	if directory.refreshing || now.Sub(directory.refreshedAt) < maxAge {
 		return false
 	}
 	directory.refreshing = true
 	return true
 }
 
-// updateOwners takes in what the store said of owners, with mu held. Where it says
-// nothing, those known before are asked on: most of them still own what they did.
+// updateOwners applies the store's answer; the caller holds mu. After an error the owners known before stay
+// in use, because most of them still own their shards.
 func (directory *ownerDirectory) updateOwners(ctx context.Context, owners map[int]string, err error) {
 	if err == nil {
 		directory.owners = owners
@@ -83,14 +86,14 @@
 	directory.refreshFailing = true
 }
 
-// ownerOf returns the entry that owns a shard, empty while none is known.
+// ownerOf returns the member name of the entry that owns a shard, or an empty string if the owner is unknown.
 func (directory *ownerDirectory) ownerOf(shard int) string {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	return directory.owners[shard]
 }
 
-// peers returns the other entries that own shards.
+// peers returns the member names of the other entries that own shards, sorted.
 func (directory *ownerDirectory) peers() []string {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
@@ -104,25 +107,26 @@
 	return members
 }
 
-// peerClient returns the calls to another entry.
+// peerClient returns a client for another entry.
 func (directory *ownerDirectory) peerClient(member string) wire.DRPCPeerClient {
 	return wire.NewDRPCPeerClient(directory.options.Pool.Conn(owner.MemberAddress(member)))
 }
 
-// retryUntilAnswered asks until there is an answer or ctx ends: shards pass from one
-// entry to another meanwhile. It fails where nothing could be asked at all.
-func (directory *ownerDirectory) retryUntilAnswered(ctx context.Context, what string, ask func() error) error {
-	var last error
+// retryUntilAnswered calls request until it succeeds or ctx ends, since shards may be moving from one entry
+// to another. It returns the last error, or that of ctx if request was never called; action describes the
+// request in it.
+func (directory *ownerDirectory) retryUntilAnswered(ctx context.Context, action string, request func() error) error {
+	var lastErr error
 	for ctx.Err() == nil {
-		last = ask()
-		if last == nil {
+		lastErr = request()
+		if lastErr == nil {
 			return nil
 		}
 		directory.refresh(ctx, ownersRetryMaxAge)
 		sleep(ctx, directory.options.Clock, peerRetryDelay)
 	}
-	if last == nil {
-		last = ctx.Err()
+	if lastErr == nil {
+		lastErr = ctx.Err()
 	}
-	return errors.Wrap(last, what)
+	return errors.Wrap(lastErr, action)
 }
--- a/gateway/directory_test.go
+++ b/gateway/directory_test.go
@@ -10,27 +10,27 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// TestUnknownOwnersAreLoggedOnce: while the store does not name the owners, those known
-// before are asked on, and the log says so once each time.
+// TestUnknownOwnersAreLoggedOnce checks that owners stay known while the store does not return them, and that
+// each period of such failures is logged once, not at every failed read.
 func TestUnknownOwnersAreLoggedOnce(t *testing.T) {
 	var lines bytes.Buffer
 	events, err := event.Open(&lines, "json", "info")
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := newOwnerDirectory(Options{Events: events})
+	directory := newOwnerDirectory(Options{Events: events})
 	ctx := context.Background()
-	said := func() int { return strings.Count(lines.String(), "owners unknown") }
-	made.updateOwners(ctx, map[int]string{3: "edge-1|10.0.0.1:7001"}, nil)
+	countLogged := func() int { return strings.Count(lines.String(), "owners unknown") }
+	directory.updateOwners(ctx, map[int]string{3: "edge-1|10.0.0.1:7001"}, nil)
 	for range 3 {
-		made.updateOwners(ctx, nil, errors.New("the store is away"))
+		directory.updateOwners(ctx, nil, errors.New("the store is unavailable"))
 	}
-	if made.owners[3] == "" || said() != 1 {
-		t.Errorf("owners %v, said %d times", made.owners, said())
+	if directory.owners[3] == "" || countLogged() != 1 {
+		t.Errorf("owners %v, logged %d times", directory.owners, countLogged())
 	}
-	made.updateOwners(ctx, map[int]string{3: "edge-2|10.0.0.2:7001"}, nil)
-	made.updateOwners(ctx, nil, errors.New("the store is away again"))
-	if made.owners[3] != "edge-2|10.0.0.2:7001" || said() != 2 {
-		t.Errorf("owners %v, said %d times", made.owners, said())
+	directory.updateOwners(ctx, map[int]string{3: "edge-2|10.0.0.2:7001"}, nil)
+	directory.updateOwners(ctx, nil, errors.New("the store is unavailable again"))
+	if directory.owners[3] != "edge-2|10.0.0.2:7001" || countLogged() != 2 {
+		t.Errorf("owners %v, logged %d times", directory.owners, countLogged())
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,18 +1,17 @@
-// Package gateway answers the clients of queues: it takes jobs and cancellations
-// into the platform's store and asks the owners of shards for states.
+// Package gateway serves the HTTP API of queues. It appends submitted jobs and cancellations to the
+// platform's store, and asks the owners of shards for the states of jobs.
 //
-// # Answers
+// # Responses
 //
-// A job is answered with success once it is in the store. It is refused as not
-// taken only when the store has proved that it is not there; when the store did
-// not say, the answer is that of a timeout, and the client hands the same job in
-// again, which is one job however often it is appended.
+// A submission succeeds once the job is in the store. It is refused only if the job is certainly not in the
+// store. If that is unknown, the response is 504 Gateway Timeout and the client submits the same job again;
+// however often a job is appended, it is one job.
 //
 // # Usage
 //
-//	front := gateway.New(gateway.Options{Store: store, Owner: scheduling, ...})
-//	go front.Run(ctx)
-//	http.Serve(listener, front)
+//	handler := gateway.New(gateway.Options{Store: store, Owner: owner, ...})
+//	go handler.Run(ctx)
+//	http.Serve(listener, handler)
 package gateway
 
 import (
@@ -37,37 +36,36 @@
 )
 
 const (
-	// defaultTimeout is how long a client is taken to wait that does not say.
+	// defaultTimeout is the timeout of a request that sets no deadline.
 	defaultTimeout = 2500 * time.Millisecond
-	// responseMargin is left of a client's time for the answer's way back.
+	// responseMargin is the part of a request's timeout that is reserved for sending the response.
 	responseMargin = 150 * time.Millisecond
-	// retryDelay tells a refused client when the store may answer again: its
-	// outages last seconds.
+	// retryDelay is the delay that the Retry-After header of a failed request asks for. The store may be
+	// available again by then, because its outages last seconds.
 	retryDelay = time.Second
-	// defaultMaxBodyBytes bounds a job as it is handed in, unless the configuration allows
-	// for more.
+	// defaultMaxBodyBytes limits the body of a submission, unless the configuration allows a larger one.
 	defaultMaxBodyBytes = 1 << 20
-	// jobIDDigits is the length of a job's ID, in hexadecimal digits.
+	// jobIDDigits is the number of hexadecimal digits in a job's ID.
 	jobIDDigits      = 16
 	retryAfterHeader = "Retry-After"
 )
 
-// Options sets up a Gateway.
+// Options configures a Gateway.
 type Options struct {
 	Name   string
 	Shards int
 	Store  *platform.Store
-	// Owner is this process's own owner of shards.
+	// Owner owns shards in this process.
 	Owner      *owner.Owner
-	MemberName string // its member name
+	MemberName string // member name of Owner
 	Pool       *rpc.Pool
 	Clock      clockwork.Clock
 	Events     *event.Logger
-	// Meters makes the instruments; nil for none.
+	// Meters creates the metric instruments. Nil creates none.
 	Meters metric.MeterProvider
 }
 
-// Gateway answers clients. It is an http.Handler.
+// Gateway is the http.Handler that serves the clients of queues.
 type Gateway struct {
 	options       Options
 	configuration atomic.Pointer[platform.Configuration]
@@ -77,30 +75,30 @@
 	metrics       metrics
 }
 
-// New returns a gateway that refuses clients until Run has read a configuration.
+// New returns a gateway that refuses all requests until Run has read a configuration.
 func New(options Options) *Gateway {
 	return &Gateway{options: options, directory: newOwnerDirectory(options), metrics: newMetrics(options.Meters)}
 }
 
-// IsReady reports whether the gateway takes clients.
+// IsReady reports whether the gateway has a configuration and is not shutting down.
 func (gateway *Gateway) IsReady() bool {
 	return gateway.configuration.Load() != nil && !gateway.shuttingDown.Load()
 }
 
-// BeginShutdown has the platform send clients elsewhere. Requests that come all the same
-// are answered.
+// BeginShutdown makes IsReady report false, so that the platform routes clients to other gateways. Requests
+// that still arrive are served.
 func (gateway *Gateway) BeginShutdown() { gateway.shuttingDown.Store(true) }
 
 // ServeHTTP implements http.Handler.
-func (gateway *Gateway) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
+func (gateway *Gateway) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	configuration := gateway.configuration.Load()
 	if configuration == nil {
-		gateway.respondRefused(answer, "", "no configuration has been read yet")
+		gateway.respondRefused(writer, "", "no configuration has been read yet")
 		return
 	}
 	queue, found := configuration.Match(request.Host, request.URL.Path)
 	if !found {
-		answer.WriteHeader(http.StatusNotFound)
+		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
 	id := queue.TrimPrefix(request.URL.Path)
@@ -109,17 +107,17 @@
 	request = request.WithContext(ctx)
 	switch {
 	case request.Method == http.MethodGet && id == "":
-		gateway.respondPending(answer, request, queue)
+		gateway.respondPending(writer, request, queue)
 	case !isJobID(id):
-		answer.WriteHeader(http.StatusNotFound)
+		writer.WriteHeader(http.StatusNotFound)
 	case request.Method == http.MethodPost:
-		gateway.submitJob(answer, request, configuration, queue, id)
+		gateway.submitJob(writer, request, configuration, queue, id)
 	case request.Method == http.MethodGet:
-		gateway.respondState(answer, request, id)
+		gateway.respondState(writer, request, id)
 	case request.Method == http.MethodDelete:
-		gateway.cancelJob(answer, request, id)
+		gateway.cancelJob(writer, request, id)
 	default:
-		answer.WriteHeader(http.StatusMethodNotAllowed)
+		writer.WriteHeader(http.StatusMethodNotAllowed)
 	}
 }
 
@@ -131,80 +129,81 @@
 	return err == nil
 }
 
-func (gateway *Gateway) submitJob(answer http.ResponseWriter, request *http.Request, configuration *platform.Configuration, queue *platform.Queue, id string) {
-	now := gateway.options.Clock.Now()
-	body, err := io.ReadAll(http.MaxBytesReader(answer, request.Body, max(configuration.MaxBodyBytes(), defaultMaxBodyBytes)))
+func (gateway *Gateway) submitJob(writer http.ResponseWriter, request *http.Request, configuration *platform.Configuration, queue *platform.Queue, id string) {
+	receivedAt := gateway.options.Clock.Now()
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, max(configuration.MaxBodyBytes(), defaultMaxBodyBytes)))
 	if err != nil {
-		answer.WriteHeader(http.StatusBadRequest)
+		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	submission, err := platform.ParseSubmission(id, queue, body, now)
+	submission, err := platform.ParseSubmission(id, queue, body, receivedAt)
 	if err != nil {
 		gateway.options.Events.Log(request.Context(), event.JobRefused, slog.String("job", id), slog.Any("reason", err))
-		answer.WriteHeader(http.StatusBadRequest)
+		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	value, err := proto.Marshal(submission)
 	if err != nil {
-		gateway.respondRefused(answer, id, err.Error())
+		gateway.respondRefused(writer, id, err.Error())
 		return
 	}
-	outcome := gateway.appendRecord(request.Context(), id, job.SubmissionKey(id), value)
-	gateway.respondAppend(answer, request, outcome, id, event.JobAccepted, configuration.Version(), now)
+	result := gateway.appendRecord(request.Context(), id, job.SubmissionKey(id), value)
+	gateway.respondAppend(writer, request, result, id, event.JobAccepted, configuration.Version(), receivedAt)
 }
 
-func (gateway *Gateway) cancelJob(answer http.ResponseWriter, request *http.Request, id string) {
-	now := gateway.options.Clock.Now()
-	value, err := proto.Marshal(&job.Cancellation{Id: id, AtMs: now.UnixMilli()})
+func (gateway *Gateway) cancelJob(writer http.ResponseWriter, request *http.Request, id string) {
+	receivedAt := gateway.options.Clock.Now()
+	value, err := proto.Marshal(&job.Cancellation{Id: id, AtMs: receivedAt.UnixMilli()})
 	if err != nil {
-		gateway.respondRefused(answer, id, err.Error())
+		gateway.respondRefused(writer, id, err.Error())
 		return
 	}
-	outcome := gateway.appendRecord(request.Context(), id, job.CancellationKey(id), value)
-	gateway.respondAppend(answer, request, outcome, id, event.JobCancelAccepted, 0, now)
+	result := gateway.appendRecord(request.Context(), id, job.CancellationKey(id), value)
+	gateway.respondAppend(writer, request, result, id, event.JobCancelAccepted, 0, receivedAt)
 }
 
-func (gateway *Gateway) respondAppend(answer http.ResponseWriter, request *http.Request, outcome appendResult, id string, accepted event.Code, version int64, began time.Time) {
-	took := gateway.options.Clock.Now().Sub(began)
-	gateway.metrics.recordAnswer(request.Context(), request.Method, outcome.status.String(), took)
-	switch outcome.status {
+func (gateway *Gateway) respondAppend(writer http.ResponseWriter, request *http.Request, result appendResult, id string, acceptedEvent event.Code, version int64, receivedAt time.Time) {
+	took := gateway.options.Clock.Now().Sub(receivedAt)
+	gateway.metrics.recordAnswer(request.Context(), request.Method, result.status.String(), took)
+	switch result.status {
 	case appendSucceeded:
-		gateway.options.Events.Log(request.Context(), accepted, slog.String("job", id), slog.Duration("took", took),
-			slog.String("by", outcome.appendedBy), slog.Int64("configuration", version))
-		answer.WriteHeader(http.StatusOK)
+		gateway.options.Events.Log(request.Context(), acceptedEvent, slog.String("job", id), slog.Duration("took", took),
+			slog.String("by", result.appendedBy), slog.Int64("configuration", version))
+		writer.WriteHeader(http.StatusOK)
 	case appendRefused:
-		gateway.respondRefused(answer, id, outcome.reason)
+		gateway.respondRefused(writer, id, result.reason)
 	default:
-		gateway.options.Events.Log(request.Context(), event.JobUnsettled, slog.String("job", id), slog.Duration("took", took), slog.String("reason", outcome.reason))
-		respondRetryLater(answer, http.StatusGatewayTimeout)
+		gateway.options.Events.Log(request.Context(), event.JobUnsettled, slog.String("job", id), slog.Duration("took", took), slog.String("reason", result.reason))
+		respondRetryLater(writer, http.StatusGatewayTimeout)
 	}
 }
 
-// respondRetryLater answers with a status and when to come back.
-func respondRetryLater(answer http.ResponseWriter, status int) {
-	answer.Header().Set(retryAfterHeader, strconv.Itoa(int(retryDelay.Seconds())))
-	answer.WriteHeader(status)
+// respondRetryLater responds with a status and a Retry-After header.
+func respondRetryLater(writer http.ResponseWriter, status int) {
+	writer.Header().Set(retryAfterHeader, strconv.Itoa(int(retryDelay.Seconds())))
+	writer.WriteHeader(status)
 }
 
-// respondRefused answers that nothing was done, and when to come back.
-func (gateway *Gateway) respondRefused(answer http.ResponseWriter, id, reason string) {
+// respondRefused responds with 503 Service Unavailable and a Retry-After header, and logs the refusal. It is
+// only called when the request had no effect.
+func (gateway *Gateway) respondRefused(writer http.ResponseWriter, id, reason string) {
 	gateway.options.Events.Log(context.Background(), event.JobRefused, slog.String("job", id), slog.String("reason", reason), slog.Duration("retry_after", retryDelay))
-	respondRetryLater(answer, http.StatusServiceUnavailable)
+	respondRetryLater(writer, http.StatusServiceUnavailable)
 }
 
-func (gateway *Gateway) respondState(answer http.ResponseWriter, request *http.Request, id string) {
-	began := gateway.options.Clock.Now()
+func (gateway *Gateway) respondState(writer http.ResponseWriter, request *http.Request, id string) {
+	receivedAt := gateway.options.Clock.Now()
 	reply, err := gateway.directory.jobState(request.Context(), id)
-	gateway.metrics.recordAnswer(request.Context(), request.Method, stateOutcome(reply, err), gateway.options.Clock.Since(began))
+	gateway.metrics.recordAnswer(request.Context(), request.Method, stateOutcome(reply, err), gateway.options.Clock.Since(receivedAt))
 	gateway.options.Events.Log(request.Context(), event.JobAsked, slog.String("job", id), slog.String("state", reply.GetState().String()),
 		slog.Bool("known", reply.GetKnown()), slog.Any("error", err))
 	switch {
 	case err != nil:
-		respondRetryLater(answer, http.StatusServiceUnavailable)
+		respondRetryLater(writer, http.StatusServiceUnavailable)
 	case !reply.GetKnown():
-		answer.WriteHeader(http.StatusGone)
+		writer.WriteHeader(http.StatusGone)
 	default:
-		platform.WriteState(answer, reply.GetState())
+		platform.WriteState(writer, reply.GetState())
 	}
 }
 
@@ -218,11 +217,11 @@
 	return "told"
 }
 
-func (gateway *Gateway) respondPending(answer http.ResponseWriter, request *http.Request, queue *platform.Queue) {
+func (gateway *Gateway) respondPending(writer http.ResponseWriter, request *http.Request, queue *platform.Queue) {
 	count, err := gateway.directory.pendingJobs(request.Context(), queue.Name())
 	if err != nil {
-		respondRetryLater(answer, http.StatusServiceUnavailable)
+		respondRetryLater(writer, http.StatusServiceUnavailable)
 		return
 	}
-	platform.WritePending(answer, count)
+	platform.WritePending(writer, count)
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,26 +10,26 @@
 	"ambertiller.example/ambertiller/telemetry"
 )
 
-// metrics are the gateway's instruments.
+// metrics holds the gateway's metric instruments.
 type metrics struct {
 	answers       metric.Int64Counter
 	duration      metric.Float64Histogram
 	configuration metric.Int64Gauge
 }
 
-// newMetrics makes the instruments. Their names are constants that the library
-// accepts, so its errors can't occur.
+// newMetrics creates the instruments. Errors are ignored because the library returns them only for invalid
+// names, and these names are valid constants.
 func newMetrics(provider metric.MeterProvider) metrics {
 	meter := telemetry.Meter(provider, "gateway")
-	var made metrics
-	made.answers, _ = meter.Int64Counter("ambertiller.request.answered", metric.WithDescription("Clients' requests, by kind and outcome."))
-	made.duration, _ = meter.Float64Histogram("ambertiller.request.duration", metric.WithUnit("s"), metric.WithDescription("Time to the answer, by kind."))
-	made.configuration, _ = meter.Int64Gauge("ambertiller.configuration.version", metric.WithDescription("Version of the configuration in force."))
-	return made
+	var instruments metrics
+	instruments.answers, _ = meter.Int64Counter("ambertiller.request.answered", metric.WithDescription("Clients' requests, by kind and outcome."))
+	instruments.duration, _ = meter.Float64Histogram("ambertiller.request.duration", metric.WithUnit("s"), metric.WithDescription("Time to the answer, by kind."))
+	instruments.configuration, _ = meter.Int64Gauge("ambertiller.configuration.version", metric.WithDescription("Version of the configuration in force."))
+	return instruments
 }
 
-// recordAnswer counts one answer.
-func (made *metrics) recordAnswer(ctx context.Context, kind, outcome string, took time.Duration) {
-	made.answers.Add(ctx, 1, metric.WithAttributes(attribute.String("kind", kind), attribute.String("outcome", outcome)))
-	made.duration.Record(ctx, took.Seconds(), metric.WithAttributes(attribute.String("kind", kind)))
+// recordAnswer counts a response and records its duration.
+func (instruments *metrics) recordAnswer(ctx context.Context, kind, outcome string, duration time.Duration) {
+	instruments.answers.Add(ctx, 1, metric.WithAttributes(attribute.String("kind", kind), attribute.String("outcome", outcome)))
+	instruments.duration.Record(ctx, duration.Seconds(), metric.WithAttributes(attribute.String("kind", kind)))
 }
--- a/gateway/outage.go
+++ b/gateway/outage.go
@@ -6,56 +6,56 @@
 )
 
 const (
-	// breakerOpenDelay is for how long nothing has been taken, here or by way of a peer,
-	// until the store is known to be away: an append that was lost is sent again
-	// after 0.9 s, and single answers are lost on ordinary days.
+	// breakerOpenDelay is how long all appends, direct ones and those relayed by a peer, must have failed
+	// before the breaker opens. It is longer than the 0.9 s after which an unanswered append is sent again,
+	// because single answers are lost in normal operation.
 	breakerOpenDelay = time.Second
-	// breakerProbeInterval is how often a request is let through all the same, to find out
-	// whether the store is back.
+	// breakerProbeInterval is how often an open breaker lets one append through, to find out whether the
+	// store is available again.
 	breakerProbeInterval = 150 * time.Millisecond
-	// breakerFailureMaxAge is how old the last failure may be: an append that is not answered,
-	// here and by a peer, fails after 1.5 s.
+	// breakerFailureMaxAge is how long after the last failure the breaker stays open. It is longer than the
+	// 1.5 s after which an append fails that neither the store nor a peer answers.
 	breakerFailureMaxAge = 2 * time.Second
 )
 
-// circuitBreaker follows whether the store takes records, from here or by way of a peer. It may
+// circuitBreaker rejects appends while the store is unavailable, both directly and by way of a peer. It may
 // be used by many goroutines.
 type circuitBreaker struct {
 	mu sync.Mutex
-	// failingSince is when an append failed first after the last one that did not, zero if
-	// none has.
+	// failingSince is the time of the first failed append after the last successful one, or zero if there is
+	// none.
 	failingSince  time.Time
 	lastFailureAt time.Time
 	lastProbeAt   time.Time
 }
 
-// recordFailure notes that the store has not taken a record.
-func (seen *circuitBreaker) recordFailure(now time.Time) {
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	if seen.failingSince.IsZero() || now.Sub(seen.lastFailureAt) > breakerFailureMaxAge {
-		seen.failingSince, seen.lastProbeAt = now, now
+// recordFailure records that an append failed.
+func (breaker *circuitBreaker) recordFailure(now time.Time) {
+	breaker.mu.Lock()
+	defer breaker.mu.Unlock()
+	if breaker.failingSince.IsZero() || now.Sub(breaker.lastFailureAt) > breakerFailureMaxAge {
+		breaker.failingSince, breaker.lastProbeAt = now, now
 	}
-	seen.lastFailureAt = now
+	breaker.lastFailureAt = now
 }
 
-// recordSuccess notes that the store has taken a record.
-func (seen *circuitBreaker) recordSuccess() {
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	seen.failingSince = time.Time{}
+// recordSuccess records that an append succeeded, which closes the breaker.
+func (breaker *circuitBreaker) recordSuccess() {
+	breaker.mu.Lock()
+	defer breaker.mu.Unlock()
+	breaker.failingSince = time.Time{}
 }
 
-// shouldReject reports whether the store is away for certain, so that a record need not be
-// tried. Now and then it reports false for one caller, which finds out.
-func (seen *circuitBreaker) shouldReject(now time.Time) bool {
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	if seen.failingSince.IsZero() || now.Sub(seen.failingSince) < breakerOpenDelay || now.Sub(seen.lastFailureAt) > breakerFailureMaxAge {
+// shouldReject reports whether an append must be rejected without being sent, because the store is
+// unavailable. Once every breakerProbeInterval it reports false to one caller, whose append probes the store.
+func (breaker *circuitBreaker) shouldReject(now time.Time) bool {
+	breaker.mu.Lock()
+	defer breaker.mu.Unlock()
+	if breaker.failingSince.IsZero() || now.Sub(breaker.failingSince) < breakerOpenDelay || now.Sub(breaker.lastFailureAt) > breakerFailureMaxAge {
 		return false
 	}
-	if now.Sub(seen.lastProbeAt) >= breakerProbeInterval {
-		seen.lastProbeAt = now
+	if now.Sub(breaker.lastProbeAt) >= breakerProbeInterval {
+		breaker.lastProbeAt = now
 		return false
 	}
 	return true
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -11,10 +11,10 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// peerTimeout bounds a question to another entry, which may be gone.
+// peerTimeout bounds one request to another entry, which may have stopped.
 const peerTimeout = 700 * time.Millisecond
 
-// jobState asks the owner of the job's shard.
+// jobState returns the state of a job from the owner of its shard.
 func (directory *ownerDirectory) jobState(ctx context.Context, id string) (*wire.JobStateReply, error) {
 	shard := job.ShardOf(id, directory.options.Shards)
 	request := &wire.JobStateRequest{Id: id, Shard: int32(shard)}
@@ -29,8 +29,8 @@
 	return reply, nil
 }
 
-// queryOwner asks this process's own owner, and the one that the store names if that
-// is another one.
+// queryOwner requests the state from the owner in this process and, if that fails, from the entry that owns
+// the shard according to the store.
 func (directory *ownerDirectory) queryOwner(ctx context.Context, shard int, request *wire.JobStateRequest) (*wire.JobStateReply, error) {
 	reply, err := directory.options.Owner.JobState(ctx, request)
 	if err == nil {
@@ -44,32 +44,34 @@
 	return directory.requestState(ctx, member, request)
 }
 
-// requestState asks another entry.
+// requestState requests the state of a job from another entry.
 func (directory *ownerDirectory) requestState(ctx context.Context, member string, request *wire.JobStateRequest) (*wire.JobStateReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	return directory.peerClient(member).JobState(ctx, request)
 }
 
-// notifyOwner tells the owner of a shard what the store has taken. It is an economy of
-// time only: an owner that is not told reads it. It goes on for longer than the
-// client's request, which has been answered by then; ctx does not end with that.
+// notifyOwner sends the owner of a shard a record that is in the store. This only saves time, because an
+// owner that is not notified reads the record from the store. It may outlast the client's request, which has
+// been answered by then, so ctx must not end with that request.
 func (directory *ownerDirectory) notifyOwner(ctx context.Context, request *wire.TakenRequest) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	directory.refresh(ctx, ownersMaxAge)
 	member := directory.ownerOf(int(request.GetShard()))
 	if member == directory.options.MemberName || member == "" {
-		// Only a shard that is not owned here is passed over in silence.
+		// The owner ignores a record of a shard that it doesn't own, so there is no error to handle.
 		_, _ = directory.options.Owner.Taken(ctx, request)
 		return
 	}
 	_, _ = directory.peerClient(member).Taken(ctx, request)
 }
 
-// relay has a peer append a record that the store does not take from here.
+// relay asks one peer after another to append a record, after the store has not accepted it from this entry.
+// The result is appendRefused only if every peer that was asked either could not be reached or was refused by
+// the store.
 func (directory *ownerDirectory) relay(ctx context.Context, request *wire.RelayRequest) appendResult {
-	result := appendResult{status: appendRefused, reason: "the store refuses, and no peer answers"}
+	result := appendResult{status: appendRefused, reason: "neither the store nor a peer accepted the record"}
 	for _, member := range directory.peers() {
 		if ctx.Err() != nil {
 			return result
@@ -81,16 +83,16 @@
 		case err == nil && !reply.GetUnsure():
 			continue
 		}
-		var dial *rpc.DialError
-		if err != nil && errors.As(err, &dial) {
+		var dialError *rpc.DialError
+		if err != nil && errors.As(err, &dialError) {
 			continue
 		}
-		result = appendResult{status: appendUnknown, reason: "a peer did not say whether the store took the record"}
+		result = appendResult{status: appendUnknown, reason: "a peer did not answer whether the store accepted the record"}
 	}
 	return result
 }
 
-// requestRelay has one peer append a record.
+// requestRelay asks one peer to append a record.
 func (directory *ownerDirectory) requestRelay(ctx context.Context, member string, request *wire.RelayRequest) (*wire.RelayReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -9,17 +9,17 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// pendingCountMaxAge is how long a count of waiting jobs is told again.
+// pendingCountMaxAge is how long a count of pending jobs is cached.
 const pendingCountMaxAge = 500 * time.Millisecond
 
-// pendingCount is what the owners of all shards said together.
+// pendingCount is the number of pending jobs of a queue, summed over the owners of all shards.
 type pendingCount struct {
 	count     int64
 	countedAt time.Time
 }
 
-// pendingJobs returns how many jobs of a queue wait, over all shards. It fails
-// rather than leave a shard out.
+// pendingJobs returns the number of pending jobs of a queue over all shards: those none of whose tasks has
+// started. It fails rather than return a count that omits a shard.
 func (directory *ownerDirectory) pendingJobs(ctx context.Context, queue string) (int64, error) {
 	now := directory.options.Clock.Now()
 	if count, fresh := directory.recentPendingCount(queue, now); fresh {
@@ -39,45 +39,46 @@
 	return count, nil
 }
 
-// recentPendingCount returns the last count of a queue, if it may still be told.
+// recentPendingCount returns the cached count of a queue, and whether it is recent enough to be used.
 func (directory *ownerDirectory) recentPendingCount(queue string, now time.Time) (int64, bool) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	known, found := directory.pendingCounts[queue]
-	return known.count, found && now.Sub(known.countedAt) < pendingCountMaxAge
+	cached, found := directory.pendingCounts[queue]
+	return cached.count, found && now.Sub(cached.countedAt) < pendingCountMaxAge
 }
 
-// countPending asks the owner in this process and those of the other entries.
+// countPending sums the counts of the owner in this process and of the other entries. It fails if the answers
+// don't cover all shards.
 func (directory *ownerDirectory) countPending(ctx context.Context, queue string) (int64, error) {
 	directory.refresh(ctx, ownersMaxAge)
 	request := &wire.PendingRequest{Queue: queue}
-	counted := map[int32]bool{}
+	countedShards := map[int32]bool{}
 	total := int64(0)
-	note := func(reply *wire.PendingReply) {
+	addReply := func(reply *wire.PendingReply) {
 		total += reply.GetPending()
 		for _, shard := range reply.GetShards() {
-			counted[shard] = true
+			countedShards[shard] = true
 		}
 	}
-	own, err := directory.options.Owner.Pending(ctx, request)
+	localReply, err := directory.options.Owner.Pending(ctx, request)
 	if err != nil {
 		return 0, err
 	}
-	note(own)
+	addReply(localReply)
 	for _, member := range directory.peers() {
 		reply, err := directory.requestPending(ctx, member, request)
 		if err != nil {
 			return 0, err
 		}
-		note(reply)
+		addReply(reply)
 	}
-	if len(counted) < directory.options.Shards {
-		return 0, errors.Errorf("%d of %d shards have an owner that answers", len(counted), directory.options.Shards)
+	if len(countedShards) < directory.options.Shards {
+		return 0, errors.Errorf("%d of %d shards have an owner that answered", len(countedShards), directory.options.Shards)
 	}
 	return total, nil
 }
 
-// requestPending asks another entry how many jobs wait in its shards.
+// requestPending requests the number of pending jobs in the shards of another entry.
 func (directory *ownerDirectory) requestPending(ctx context.Context, member string, request *wire.PendingRequest) (*wire.PendingReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
