--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,11 +1,10 @@
-// Package policy runs the short programs in which operators say where work
-// should go.
+// Package policy compiles and evaluates placement policies: short programs with which operators control where
+// tasks are placed.
 //
-// A program is one expression of the expr language. It sees the task and one
-// worker that could take it, and returns a score; the worker with the highest
-// score gets the task. The language has no loops, and the functions that walk
-// ranges or lists are left out here, so a program's cost is bounded by its
-// length, which is bounded in turn.
+// A program is one expression of the expr language (github.com/expr-lang/expr). Its inputs are a task and a
+// worker that could run it, and its result is a score; the task is placed on the worker with the highest
+// score. The language has no loops, and this package rejects ranges and the functions that iterate over
+// lists. The cost of a program is therefore bounded by its length, which is limited too.
 //
 // # Usage
 //
@@ -14,8 +13,8 @@
 //
 // # Inputs
 //
-// The fields of [Task] and [Worker], under the names in their tags. Memory is
-// in GiB, times are in seconds, processors are counts.
+// A program reads the fields of [Task] and [Worker] by the names in their tags. Memory is in GiB, times are
+// in seconds, and processors are counts.
 package policy
 
 import (
@@ -30,20 +29,22 @@
 )
 
 const (
+	// maxNodes limits the nodes of a program's syntax tree.
 	maxNodes       = 400
 	maxSourceBytes = 16 << 10
-	memoryBudget   = 10_000
+	// memoryBudget limits the elements of lists and maps that one evaluation may create.
+	memoryBudget = 10_000
 )
 
-// Placement is the name of the policy that places tasks.
+// Placement is the name of the policy that scores workers for the placement of a task.
 const Placement = "placement"
 
-// BuiltInPlacement scores when no policy is published or the published one fails: it
-// prefers workers whose processors are least committed and whose service is
-// least busy, and keeps accelerators for those who ask for them.
+// BuiltInPlacement is the source of the placement policy that is used if no policy is published or the
+// published one fails. It prefers workers with the largest share of free processors and the least loaded
+// service, and keeps workers with accelerators for tasks that need them.
 const BuiltInPlacement = `worker.free_processors / worker.processors - worker.load - (task.accelerators == 0 ? 0.1 * worker.free_accelerators : 0)`
 
-// Task is what a program knows of the task.
+// Task holds the inputs that describe the task to be placed.
 type Task struct {
 	Team           string  `expr:"team"`
 	Kind           string  `expr:"kind"`
@@ -57,7 +58,7 @@
 	Attempts       float64 `expr:"attempts"`
 }
 
-// Worker is what a program knows of a worker that could take the task.
+// Worker holds the inputs that describe a worker that could run the task.
 type Worker struct {
 	Name             string  `expr:"name"`
 	FailureDomain    string  `expr:"failure_domain"`
@@ -75,19 +76,19 @@
 	StartFailures    float64 `expr:"start_failures"`
 }
 
-// Inputs is what a program decides from.
+// Inputs holds all inputs of a program.
 type Inputs struct {
 	Task   Task   `expr:"task"`
 	Worker Worker `expr:"worker"`
 }
 
-// Program is a compiled policy. It may be used by many goroutines.
+// Program is a compiled policy. It is safe for concurrent use.
 type Program struct {
 	source   string
 	compiled *vm.Program
 }
 
-// SyntaxError says what is wrong in a program and where.
+// SyntaxError describes an error in the source of a program and its position. Lines and columns start at 1.
 type SyntaxError struct {
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
@@ -95,11 +96,11 @@
 }
 
 // Error implements error.
-func (syntax *SyntaxError) Error() string {
-	return fmt.Sprintf("%d:%d: %s", syntax.Line, syntax.Column, syntax.Message)
+func (syntaxErr *SyntaxError) Error() string {
+	return fmt.Sprintf("%d:%d: %s", syntaxErr.Line, syntaxErr.Column, syntaxErr.Message)
 }
 
-// Compile checks a program's syntax and types.
+// Compile parses a program, checks its types and cost, and compiles it. Every error is a [*SyntaxError].
 func Compile(source string) (*Program, error) {
 	if len(source) > maxSourceBytes {
 		return nil, &SyntaxError{Line: 1, Column: 1, Message: fmt.Sprintf("the program has %d bytes; the most is %d", len(source), maxSourceBytes)}
@@ -124,41 +125,41 @@
 	return &Program{source: source, compiled: compiled}, nil
 }
 
-// checkCost refuses what makes a program's cost grow beyond its length. The
-// case: the functions that walk a list with a predicate (all, map, sum, ...)
-// are not among those that the language lets one disable.
+// checkCost rejects programs whose cost is not bounded by their length. It is needed because the functions
+// that apply a predicate to each element of a list (all, map, sum and others) are not among the builtins that
+// expr.DisableAllBuiltins disables.
 func checkCost(source string, compiled *vm.Program) error {
 	node := compiled.Node()
-	found := &iterationFinder{}
-	ast.Walk(&node, found)
-	if found.message == "" {
+	finder := &iterationFinder{}
+	ast.Walk(&node, finder)
+	if finder.message == "" {
 		return nil
 	}
-	located := (&file.Error{Location: found.location}).Bind(file.NewSource(source))
-	return &SyntaxError{Line: located.Line, Column: located.Column + 1, Message: found.message}
+	located := (&file.Error{Location: finder.location}).Bind(file.NewSource(source))
+	return &SyntaxError{Line: located.Line, Column: located.Column + 1, Message: finder.message}
 }
 
-// iterationFinder finds the first part of a program that walks a list or a range.
+// iterationFinder is an ast.Visitor that finds the first node that iterates over a list or makes a range.
 type iterationFinder struct {
 	message  string
 	location file.Location
 }
 
 // Visit implements ast.Visitor.
-func (found *iterationFinder) Visit(node *ast.Node) {
-	switch part := (*node).(type) {
+func (finder *iterationFinder) Visit(node *ast.Node) {
+	switch node := (*node).(type) {
 	case *ast.PredicateNode:
-		found.report(part.Location(), "a policy can't walk lists; compare the inputs one by one")
+		finder.report(node.Location(), "a policy can't walk lists; compare the inputs one by one")
 	case *ast.BinaryNode:
-		if part.Operator == ".." {
-			found.report(part.Location(), "a policy can't make a range; compare the inputs one by one")
+		if node.Operator == ".." {
+			finder.report(node.Location(), "a policy can't make a range; compare the inputs one by one")
 		}
 	}
 }
 
-func (found *iterationFinder) report(location file.Location, message string) {
-	if found.message == "" {
-		found.message, found.location = message, location
+func (finder *iterationFinder) report(location file.Location, message string) {
+	if finder.message == "" {
+		finder.message, finder.location = message, location
 	}
 }
 
@@ -170,21 +171,21 @@
 	return &SyntaxError{Line: 1, Column: 1, Message: err.Error()}
 }
 
-// Source returns the program's text.
+// Source returns the source of the program.
 func (program *Program) Source() string { return program.source }
 
-// Runner runs programs for one goroutine and reuses its memory.
+// Runner evaluates programs and reuses memory between evaluations. It must not be used concurrently.
 type Runner struct {
 	vm vm.VM
 }
 
-// NewRunner returns a Runner.
+// NewRunner returns a Runner whose evaluations are limited in memory.
 func NewRunner() *Runner {
 	return &Runner{vm: vm.VM{MemoryBudget: memoryBudget}}
 }
 
-// Score runs a program. It fails when the program does, or when it returns
-// something that can't be compared.
+// Score evaluates a program. It returns an error if the evaluation fails, or if the result can't be compared
+// with other scores, as is the case for NaN.
 func (runner *Runner) Score(program *Program, inputs *Inputs) (float64, error) {
 	value, err := runner.vm.Run(program.compiled, inputs)
 	if err != nil {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -22,11 +22,11 @@
 		want   float64
 		fails  bool
 	}{
-		"a number":         {"3", 3, false},
+		"literal":          {"3", 3, false},
 		"inputs":           {"worker.free_processors - task.processors", 12, false},
-		"a choice":         {`task.kind == "transcription" ? 1 : 0`, 1, false},
-		"the functions":    {"min(worker.load, 1) + max(2, 1) + abs(-1)", 3.25, false},
-		"built in":         {policy.BuiltInPlacement, 0.15, false},
+		"conditional":      {`task.kind == "transcription" ? 1 : 0`, 1, false},
+		"functions":        {"min(worker.load, 1) + max(2, 1) + abs(-1)", 3.25, false},
+		"built-in policy":  {policy.BuiltInPlacement, 0.15, false},
 		"division by zero": {"worker.latency / worker.latency", 0, true},
 	}
 	for name, test := range tests {
@@ -49,26 +49,26 @@
 		line, column int
 		want         string
 	}{
-		"unknown input":        {"1 +\n worker.nam", 2, 9, "no field nam"},
-		"not a number":         {`"high"`, 1, 1, "float64"},
-		"a loop over a range":  {"sum(map(1..1000000, #))", 1, 10, "range"},
-		"a builtin left out":   {"len(filter([1], true))", 1, 1, "len"},
-		"a walk over a list":   {"all([1, 2], # > 0) ? 1 : 0", 1, 1, "walk"},
-		"a range":              {"(1..1000000)[0]", 1, 3, "range"},
-		"unfinished":           {"worker.load >", 1, 13, "unexpected token EOF"},
-		"too many parts":       {strings.Repeat("1+", 500) + "1", 1, 1, "exceeds maximum"},
-		"too many bytes":       {strings.Repeat(" ", 20_000) + "1", 1, 1, "16384"},
-		"a comparison of text": {`worker.load > "high"`, 1, 13, "mismatched types"},
+		"unknown input":            {"1 +\n worker.nam", 2, 9, "no field nam"},
+		"result of another type":   {`"high"`, 1, 1, "float64"},
+		"loop over a range":        {"sum(map(1..1000000, #))", 1, 10, "range"},
+		"disabled builtin":         {"len(filter([1], true))", 1, 1, "len"},
+		"loop over a list":         {"all([1, 2], # > 0) ? 1 : 0", 1, 1, "walk"},
+		"range":                    {"(1..1000000)[0]", 1, 3, "range"},
+		"unexpected end":           {"worker.load >", 1, 13, "unexpected token EOF"},
+		"too many nodes":           {strings.Repeat("1+", 500) + "1", 1, 1, "exceeds maximum"},
+		"too many bytes":           {strings.Repeat(" ", 20_000) + "1", 1, 1, "16384"},
+		"comparison with a string": {`worker.load > "high"`, 1, 13, "mismatched types"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			_, err := policy.Compile(test.source)
-			var syntax *policy.SyntaxError
-			if !errors.As(err, &syntax) {
+			var syntaxErr *policy.SyntaxError
+			if !errors.As(err, &syntaxErr) {
 				t.Fatalf("got %v", err)
 			}
-			if !strings.Contains(syntax.Message, test.want) || (test.want != "" && (syntax.Line != test.line)) {
-				t.Errorf("got %v", syntax)
+			if !strings.Contains(syntaxErr.Message, test.want) || (test.want != "" && (syntaxErr.Line != test.line)) {
+				t.Errorf("got %v", syntaxErr)
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 	}
 }
 
-// FuzzCompile: a program that compiles gives a score or an error, never a panic.
+// FuzzCompile checks that a program that compiles evaluates to a score or an error and never panics.
 func FuzzCompile(f *testing.F) {
 	for _, seed := range []string{"1", policy.BuiltInPlacement, "worker.nam", `task.kind == "x" ? 1 : 0`, "1/0", "[1][5]", "nil", "{}.a.b"} {
 		f.Add(seed)
@@ -107,7 +107,7 @@
 	})
 }
 
-// BenchmarkScore is the cost of one worker in one decision.
+// BenchmarkScore measures the cost of scoring one worker in a placement decision.
 func BenchmarkScore(b *testing.B) {
 	program, err := policy.Compile(policy.BuiltInPlacement)
 	if err != nil {
