--- a/loop/loop.go
+++ b/loop/loop.go
@@ -1,19 +1,21 @@
-// Package loop runs the decisions of a process one after another on one
-// goroutine, so that what they decide on needs no locks.
+// Package loop implements an event loop: it runs functions one after another on a single goroutine, so that
+// the state they share needs no locks.
 //
 // # Usage
 //
-//	decisions := loop.New(clockwork.NewRealClock())
-//	go decisions.Run(ctx, 100*time.Millisecond, func(now time.Time) { ... })
-//	decisions.Post(func(now time.Time) { state.note(answer, now) })
+//	eventLoop := loop.New(clockwork.NewRealClock())
+//	go eventLoop.Run(ctx, 100*time.Millisecond, func(now time.Time) { ... })
+//	eventLoop.Post(func(now time.Time) { state.update(answer, now) })
 //
-// A posted function must not block: what takes time runs on a goroutine of its
-// own and posts what came of it.
+// A posted function must not block. Work that takes time runs on a goroutine of its own, which posts its
+// result.
 //
 // # Suspension
 //
-// The time that a function is given doesn't go on while the machine is suspended. A loop
-// that watches for it has what was noted before made older first, and then goes on.
+// The monotonic clock stands still while the machine is suspended, so an age that is computed from the time
+// passed to a function omits the suspension. [Loop.WatchSuspension] sets a handler that runs after each
+// suspension, before any other function. The handler adds the suspended time to the ages of what was recorded
+// before.
 package loop
 
 import (
@@ -25,13 +27,14 @@
 )
 
 const (
-	// queueLength is how many functions may be queued before Post waits.
+	// queueLength is the number of functions that may be queued before Post blocks.
 	queueLength = 4096
-	// maxBatch bounds how many functions run before step does.
+	// maxBatch is the maximum number of queued functions that run as one batch after the first one, before
+	// tick runs.
 	maxBatch = 256
 )
 
-// Loop is a queue of functions that run one after another.
+// Loop is an event loop. Post and Call may be used by many goroutines.
 type Loop struct {
 	clock      clockwork.Clock
 	queue      chan func(now time.Time)
@@ -39,77 +42,76 @@
 	suspension suspension
 }
 
-// New returns a loop that runs nothing yet.
+// New returns a loop. Posted functions are queued until Run is called.
 func New(clock clockwork.Clock) *Loop {
 	return &Loop{clock: clock, queue: make(chan func(now time.Time), queueLength), done: make(chan struct{})}
 }
 
-// Post queues a function. It waits while the queue is full, and does nothing
-// once the loop has ended.
-func (decisions *Loop) Post(run func(now time.Time)) {
+// Post queues a function. It blocks while the queue is full, and does nothing once Run has returned.
+func (loop *Loop) Post(run func(now time.Time)) {
 	select {
-	case decisions.queue <- run:
-	case <-decisions.done:
+	case loop.queue <- run:
+	case <-loop.done:
 	}
 }
 
-// Call runs a function on the loop and waits for it. It reports false when the
-// loop or ctx ended first; then the function never runs, so what it refers to may be
-// used again.
-func (decisions *Loop) Call(ctx context.Context, run func(now time.Time)) bool {
-	answered := make(chan struct{})
-	// settled is set by whichever is first: the loop that runs the function, or the
-	// caller that gives it up.
-	var settled atomic.Bool
-	decisions.Post(func(now time.Time) {
-		if settled.CompareAndSwap(false, true) {
+// Call runs a function on the loop and waits until it has returned. It returns false if Run returned or ctx
+// ended before the function started; the function then never runs, so the caller may use what it refers to.
+func (loop *Loop) Call(ctx context.Context, run func(now time.Time)) bool {
+	finished := make(chan struct{})
+	// decided is set by whichever comes first: the loop that starts the function, or the caller that abandons
+	// it.
+	var decided atomic.Bool
+	loop.Post(func(now time.Time) {
+		if decided.CompareAndSwap(false, true) {
 			run(now)
-			close(answered)
+			close(finished)
 		}
 	})
 	select {
-	case <-answered:
+	case <-finished:
 		return true
-	case <-decisions.done:
+	case <-loop.done:
 	case <-ctx.Done():
 	}
-	if settled.CompareAndSwap(false, true) {
+	if decided.CompareAndSwap(false, true) {
 		return false
 	}
-	<-answered
+	<-finished
 	return true
 }
 
-// Run runs what is posted until ctx ends, and step after each batch and at
-// least once every interval.
-func (decisions *Loop) Run(ctx context.Context, interval time.Duration, step func(now time.Time)) {
-	defer close(decisions.done)
-	ticker := decisions.clock.NewTicker(interval)
+// Run runs posted functions until ctx ends. It calls tick after each batch of functions, and at least once
+// every interval.
+func (loop *Loop) Run(ctx context.Context, interval time.Duration, tick func(now time.Time)) {
+	defer close(loop.done)
+	ticker := loop.clock.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-		case run := <-decisions.queue:
-			decisions.execute(run)
-			decisions.executeBatch()
+		case run := <-loop.queue:
+			loop.execute(run)
+			loop.executeBatch()
 		}
-		decisions.execute(step)
+		loop.execute(tick)
 	}
 }
 
-// RunNext waits for one function and runs it, for tests that make the decisions of
-// a loop themselves.
-func (decisions *Loop) RunNext(now time.Time) {
-	run := <-decisions.queue
+// RunNext waits for a posted function and runs it. It is for tests that run functions one by one, without
+// Run.
+func (loop *Loop) RunNext(now time.Time) {
+	run := <-loop.queue
 	run(now)
 }
 
-// TryRunNext runs the next function if one is queued, for the same tests, and reports whether it has.
-func (decisions *Loop) TryRunNext(now time.Time) bool {
+// TryRunNext runs the next function if one is queued, and reports whether it did. Like RunNext, it is for
+// tests.
+func (loop *Loop) TryRunNext(now time.Time) bool {
 	select {
-	case run := <-decisions.queue:
+	case run := <-loop.queue:
 		run(now)
 		return true
 	default:
@@ -117,19 +119,19 @@
 	}
 }
 
-// execute runs a function, after what a suspension before it has to change.
-func (decisions *Loop) execute(run func(now time.Time)) {
-	now := decisions.clock.Now()
-	decisions.suspension.check(now)
+// execute runs a function, after the handler of a suspension if there was one.
+func (loop *Loop) execute(run func(now time.Time)) {
+	now := loop.clock.Now()
+	loop.suspension.check(now)
 	run(now)
 }
 
-// executeBatch runs what is queued, a batch at most, so that step is not kept waiting.
-func (decisions *Loop) executeBatch() {
+// executeBatch runs queued functions, at most maxBatch, so that a full queue doesn't delay tick.
+func (loop *Loop) executeBatch() {
 	for range maxBatch {
 		select {
-		case run := <-decisions.queue:
-			decisions.execute(run)
+		case run := <-loop.queue:
+			loop.execute(run)
 		default:
 			return
 		}
--- a/loop/loop_test.go
+++ b/loop/loop_test.go
@@ -10,40 +10,40 @@
 	"ambertiller.example/ambertiller/loop"
 )
 
-// TestAbandonedCallNeverRuns: the case that forced it is a question to the owner of
-// a shard whose client's time ended while it was queued. It ran later, when what it
-// was about had been let go of, and the process ended of a nil pointer.
+// TestAbandonedCallNeverRuns checks that a function doesn't run after its Call was abandoned. A request to
+// the owner of a shard whose client's deadline passed while the function was queued once ran it later, when
+// the shard had been released, and the process crashed with a nil pointer dereference.
 func TestAbandonedCallNeverRuns(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	decisions := loop.New(clock)
-	asked, giveUp := context.WithCancel(context.Background())
-	giveUp()
+	eventLoop := loop.New(clock)
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
 	ran := false
-	if decisions.Call(asked, func(time.Time) { ran = true }) {
-		t.Error("answered without a loop")
+	if eventLoop.Call(ctx, func(time.Time) { ran = true }) {
+		t.Error("Call returned true though the loop does not run")
 	}
-	decisions.RunNext(clock.Now())
+	eventLoop.RunNext(clock.Now())
 	if ran {
-		t.Error("it ran after it was given up on")
+		t.Error("the function ran after its Call was abandoned")
 	}
 }
 
-// TestRunningCallIsAwaited: a question that runs already when its time ends is
-// answered, so that what it writes to is not read meanwhile.
+// TestRunningCallIsAwaited checks that Call waits for a function that is already running when its context
+// ends, so that the caller doesn't read what the function still writes to.
 func TestRunningCallIsAwaited(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	decisions := loop.New(clock)
-	asked, giveUp := context.WithCancel(context.Background())
-	answered := make(chan bool)
-	wrote := false
+	eventLoop := loop.New(clock)
+	ctx, cancel := context.WithCancel(context.Background())
+	returned := make(chan bool)
+	written := false
 	go func() {
-		answered <- decisions.Call(asked, func(time.Time) {
-			giveUp()
-			wrote = true
+		returned <- eventLoop.Call(ctx, func(time.Time) {
+			cancel()
+			written = true
 		})
 	}()
-	decisions.RunNext(clock.Now())
-	if !<-answered || !wrote {
-		t.Error("given up on while it ran")
+	eventLoop.RunNext(clock.Now())
+	if !<-returned || !written {
+		t.Error("Call was abandoned while the function ran")
 	}
 }
--- a/loop/suspension.go
+++ b/loop/suspension.go
@@ -3,57 +3,59 @@
 import "time"
 
 const (
-	// minSuspension is from which length a suspension counts: the clocks that it is reckoned
-	// from are read one after the other, which may take a millisecond.
+	// minSuspension is the shortest suspension that is reported. Shorter ones may be measurement errors,
+	// since the clocks that are compared are read one after the other, which may take a millisecond.
 	minSuspension = 5 * time.Millisecond
-	// checkInterval is how often suspension is looked for without a sign of it.
+	// checkInterval is the interval between checks if the clocks show no sign of a suspension.
 	checkInterval = 100 * time.Millisecond
-	// minWallClockLead is how much more the time of day moves than the steady clock where that is
-	// taken for a sign of it: a step of the time of day is another one.
+	// minWallClockLead is how much more the wall clock must advance than the monotonic clock to count as a
+	// sign of a suspension. It is only a sign, because the wall clock may also have been set forward.
 	minWallClockLead = 20 * time.Millisecond
 )
 
-// suspension finds out that the machine was suspended.
+// suspension detects that the machine was suspended.
 type suspension struct {
-	readTotal    func() time.Duration // nil: it is not watched for
-	onResume     func(slept time.Duration, now time.Time)
-	suspendedFor time.Duration
+	readTotal    func() time.Duration // nil if suspensions are not watched for
+	onResume     func(duration time.Duration, now time.Time)
+	suspendedFor time.Duration // value of readTotal at WatchSuspension, or at the last call of onResume
 	checkedAt    time.Time
 }
 
-// WatchSuspension has woken run whenever the machine was suspended, before anything else. The
-// total is the time that it has been since it was booted. It is called before Run.
-func (decisions *Loop) WatchSuspension(total func() time.Duration, woken func(slept time.Duration, now time.Time)) {
-	decisions.suspension = suspension{readTotal: total, onResume: woken, suspendedFor: total(), checkedAt: decisions.clock.Now()}
+// WatchSuspension makes the loop call onResume after each suspension of the machine, before any other
+// function. readTotal returns how long the machine has been suspended since it booted. WatchSuspension must
+// be called before Run.
+func (loop *Loop) WatchSuspension(readTotal func() time.Duration, onResume func(duration time.Duration, now time.Time)) {
+	loop.suspension = suspension{readTotal: readTotal, onResume: onResume, suspendedFor: readTotal(), checkedAt: loop.clock.Now()}
 }
 
-// SuspendedFor returns for how long the machine had been suspended as far as the loop has taken
-// note of it. Only what runs on the loop may ask.
-func (decisions *Loop) SuspendedFor() time.Duration { return decisions.suspension.suspendedFor }
+// SuspendedFor returns how long the machine had been suspended since it booted when onResume was last called,
+// or at WatchSuspension if it wasn't called yet. It may only be called by functions that run on the loop.
+func (loop *Loop) SuspendedFor() time.Duration { return loop.suspension.suspendedFor }
 
-// check looks for a suspension.
+// check calls onResume if the machine was suspended since the last check.
 //
-// Performance: reading the clocks takes three system calls. Both clocks that tell whether
-// it is worth them are read without.
-func (sleep *suspension) check(now time.Time) {
-	if sleep.readTotal == nil {
+// Performance: readTotal takes three system calls. It is therefore called only if shouldCheck allows it,
+// which compares the monotonic and wall clock readings in now. Taking these needs no system call.
+func (suspension *suspension) check(now time.Time) {
+	if suspension.readTotal == nil {
 		return
 	}
-	steady, wall := now.Sub(sleep.checkedAt), now.Round(0).Sub(sleep.checkedAt.Round(0))
-	if !shouldCheck(steady, wall) {
+	monotonic, wall := now.Sub(suspension.checkedAt), now.Round(0).Sub(suspension.checkedAt.Round(0))
+	if !shouldCheck(monotonic, wall) {
 		return
 	}
-	sleep.checkedAt = now
-	total := sleep.readTotal()
-	slept := total - sleep.suspendedFor
-	if slept < minSuspension {
+	suspension.checkedAt = now
+	total := suspension.readTotal()
+	duration := total - suspension.suspendedFor
+	if duration < minSuspension {
 		return
 	}
-	sleep.suspendedFor = total
-	sleep.onResume(slept, now)
+	suspension.suspendedFor = total
+	suspension.onResume(duration, now)
 }
 
-// shouldCheck reports whether the clocks may show a suspension, by how far either has moved.
-func shouldCheck(steady, wall time.Duration) bool {
-	return steady >= checkInterval || wall-steady >= minWallClockLead
+// shouldCheck reports whether a check for a suspension is due, given how far the monotonic clock and the wall
+// clock have advanced since the last one.
+func shouldCheck(monotonic, wall time.Duration) bool {
+	return monotonic >= checkInterval || wall-monotonic >= minWallClockLead
 }
--- a/loop/suspension_test.go
+++ b/loop/suspension_test.go
@@ -11,50 +11,50 @@
 
 func TestShouldCheck(t *testing.T) {
 	tests := map[string]struct {
-		steady, wall time.Duration
-		want         bool
+		monotonic, wall time.Duration
+		want            bool
 	}{
-		"nothing has passed":                {0, 0, false},
-		"a short time":                      {50 * time.Millisecond, 51 * time.Millisecond, false},
-		"the time of day is ahead":          {time.Millisecond, 2 * time.Second, true},
-		"the time of day has been set back": {time.Millisecond, -2 * time.Second, false},
-		"set back, after the usual time":    {150 * time.Millisecond, -2 * time.Second, true},
-		"the usual time":                    {100 * time.Millisecond, 100 * time.Millisecond, true},
+		"no time":                            {0, 0, false},
+		"short time":                         {50 * time.Millisecond, 51 * time.Millisecond, false},
+		"wall clock ahead":                   {time.Millisecond, 2 * time.Second, true},
+		"wall clock set back":                {time.Millisecond, -2 * time.Second, false},
+		"wall clock set back, interval over": {150 * time.Millisecond, -2 * time.Second, true},
+		"interval over":                      {100 * time.Millisecond, 100 * time.Millisecond, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := shouldCheck(test.steady, test.wall); got != test.want {
-				t.Errorf("%v", got)
+			if got := shouldCheck(test.monotonic, test.wall); got != test.want {
+				t.Errorf("got %v", got)
 			}
 		})
 	}
 }
 
-// TestResumeHandlerRunsFirst: what was on its way when the machine was suspended runs only after what it
-// decides by has been made older.
+// TestResumeHandlerRunsFirst checks that functions queued when the machine was suspended run after the resume
+// handler, which has then added the suspended time to the ages that they use.
 func TestResumeHandlerRunsFirst(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	decisions := New(clock)
+	loop := New(clock)
 	var total atomic.Int64
-	older := time.Duration(0)
-	decisions.WatchSuspension(
+	age := time.Duration(0)
+	loop.WatchSuspension(
 		func() time.Duration { return time.Duration(total.Load()) },
-		func(slept time.Duration, _ time.Time) { older += slept },
+		func(duration time.Duration, _ time.Time) { age += duration },
 	)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	total.Store(int64(5 * time.Second))
 	clock.Advance(checkInterval)
-	seen := make(chan time.Duration, 1)
-	go decisions.Run(ctx, time.Hour, func(time.Time) {})
-	decisions.Post(func(time.Time) { seen <- older })
-	if got := <-seen; got != 5*time.Second {
-		t.Errorf("ran with what was known %v older", got)
+	ages := make(chan time.Duration, 1)
+	go loop.Run(ctx, time.Hour, func(time.Time) {})
+	loop.Post(func(time.Time) { ages <- age })
+	if got := <-ages; got != 5*time.Second {
+		t.Errorf("the function saw an age of %v", got)
 	}
-	if !decisions.Call(ctx, func(time.Time) { seen <- older + decisions.SuspendedFor() }) {
-		t.Fatal("not asked")
+	if !loop.Call(ctx, func(time.Time) { ages <- age + loop.SuspendedFor() }) {
+		t.Fatal("Call returned false")
 	}
-	if got := <-seen; got != 10*time.Second {
-		t.Errorf("in all %v", got)
+	if got := <-ages; got != 10*time.Second {
+		t.Errorf("age plus SuspendedFor is %v", got)
 	}
 }
