--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -1,12 +1,11 @@
-// Package kernel starts and stops the services of one process and lets them
-// find each other by name.
+// Package kernel starts and stops the services of one process in dependency order, and lets them look each
+// other up by name.
 //
-// A service has a name, the names of the services it needs, and functions to
-// start and stop it. The kernel starts services after everything they need and
-// stops them in the opposite order, so that a service can rely on what it
-// depends on until its own Stop has returned. That order is what makes a
-// planned stop cut nothing: the listener stops accepting first, then the work
-// in flight ends, then the connections it used are closed.
+// A service has a name, the names of the services it needs, and functions to start and stop it. The kernel
+// starts a service after those it needs and stops services in the reverse order, so a service can use its
+// dependencies until its own Stop has returned. This order lets a planned shutdown interrupt no work: the
+// listener stops accepting first, then the work in flight completes, then the connections that it used are
+// closed.
 //
 // # Usage
 //
@@ -16,10 +15,10 @@
 //	if err := kern.Start(ctx); err != nil { ... }
 //	defer kern.Stop(ctx)
 //
-// A service reaches another one inside its Start:
+// A service looks up another one in its Start function:
 //
-//	found, err := kern.Lookup("journal")
-//	records, ok := found.(*changelog.Journal)
+//	provided, err := kern.Lookup("journal")
+//	journal, ok := provided.(*changelog.Journal)
 package kernel
 
 import (
@@ -30,23 +29,23 @@
 	"github.com/pkg/errors"
 )
 
-// Service is one part of a process.
+// Service is a component of a process that the kernel starts and stops.
 type Service struct {
-	// Name is unique in its kernel.
+	// Name is unique among the services of a kernel.
 	Name string
 	// Needs names the services that start before this one and stop after it.
 	Needs []string
-	// Provides is what Lookup returns for this service's name.
+	// Provides is the value that Lookup returns for the service.
 	Provides any
-	// Start brings the service up and returns; it must not block for the
-	// service's life. Nil means there is nothing to start.
+	// Start starts the service and returns once it is up; it must not block for as long as the service runs.
+	// Nil means that there is nothing to start.
 	Start func(ctx context.Context) error
-	// Stop finishes what is in flight until ctx ends and returns. Nil means
-	// there is nothing to stop.
+	// Stop completes the work in flight, or as much of it as possible until ctx ends, and returns. Nil means
+	// that there is nothing to stop.
 	Stop func(ctx context.Context) error
 }
 
-// Kernel holds the services of one process.
+// Kernel starts and stops the services of one process.
 type Kernel struct {
 	mu         sync.Mutex
 	services   map[string]Service
@@ -59,34 +58,34 @@
 	return &Kernel{services: map[string]Service{}}
 }
 
-// Register adds a service. It fails on an empty name and on a name in use.
+// Register adds a service. It returns an error if the name is empty or already registered.
 func (kern *Kernel) Register(service Service) error {
 	kern.mu.Lock()
 	defer kern.mu.Unlock()
 	if service.Name == "" {
-		return errors.New("kernel: a service needs a name")
+		return errors.New("kernel: service has no name")
 	}
-	if _, taken := kern.services[service.Name]; taken {
-		return errors.Errorf("kernel: two services are named %q; rename one", service.Name)
+	if _, isRegistered := kern.services[service.Name]; isRegistered {
+		return errors.Errorf("kernel: service %q is already registered", service.Name)
 	}
 	kern.services[service.Name] = service
 	kern.registered = append(kern.registered, service.Name)
 	return nil
 }
 
-// Lookup returns what the named service provides.
+// Lookup returns the value that the named service provides.
 func (kern *Kernel) Lookup(name string) (any, error) {
 	kern.mu.Lock()
 	defer kern.mu.Unlock()
-	service, found := kern.services[name]
-	if !found {
-		return nil, errors.Errorf("kernel: no service is named %q; register it before it is looked up", name)
+	service, isRegistered := kern.services[name]
+	if !isRegistered {
+		return nil, errors.Errorf("kernel: service %q is not registered", name)
 	}
 	return service.Provides, nil
 }
 
-// Start starts every service in dependency order. When one fails, those that
-// had started are stopped again and the failure is returned.
+// Start starts all services in dependency order. If one fails to start, Start stops those that have started
+// and returns the error.
 func (kern *Kernel) Start(ctx context.Context) error {
 	sorted, err := kern.startOrder()
 	if err != nil {
@@ -96,7 +95,7 @@
 		if err := startService(ctx, service); err != nil {
 			stopErr := kern.Stop(ctx)
 			if stopErr != nil {
-				return errors.Wrapf(err, "kernel: start %s (and then stopping failed: %v)", service.Name, stopErr)
+				return errors.Wrapf(err, "kernel: start %s (stopping the started services failed too: %v)", service.Name, stopErr)
 			}
 			return errors.Wrapf(err, "kernel: start %s", service.Name)
 		}
@@ -107,16 +106,15 @@
 	return nil
 }
 
-// Stop stops the started services in the opposite order and returns the first
-// failure. Every service is stopped even when an earlier one fails. A second
-// call does nothing.
+// Stop stops the started services in the reverse of their start order and returns the first error. It stops
+// all of them even if some fail to stop. A second call does nothing.
 func (kern *Kernel) Stop(ctx context.Context) error {
 	kern.mu.Lock()
 	names := slices.Clone(kern.started)
 	kern.started = nil
 	kern.mu.Unlock()
 	slices.Reverse(names)
-	var first error
+	var firstErr error
 	for _, name := range names {
 		kern.mu.Lock()
 		service := kern.services[name]
@@ -124,11 +122,11 @@
 		if service.Stop == nil {
 			continue
 		}
-		if err := service.Stop(ctx); err != nil && first == nil {
-			first = errors.Wrapf(err, "kernel: stop %s", name)
+		if err := service.Stop(ctx); err != nil && firstErr == nil {
+			firstErr = errors.Wrapf(err, "kernel: stop %s", name)
 		}
 	}
-	return first
+	return firstErr
 }
 
 func startService(ctx context.Context, service Service) error {
@@ -138,25 +136,24 @@
 	return service.Start(ctx)
 }
 
-// startOrder returns the services in dependency order; among those that are free
-// to start, in the order of registration.
+// startOrder returns the services in dependency order, and otherwise in the order of their registration.
 func (kern *Kernel) startOrder() ([]Service, error) {
 	kern.mu.Lock()
 	defer kern.mu.Unlock()
 	var sorted []Service
-	placed := map[string]bool{}
+	visited := map[string]bool{}
 	visiting := map[string]bool{}
-	var visit func(name, from string) error
-	visit = func(name, from string) error {
-		if placed[name] {
+	var visit func(name, dependent string) error
+	visit = func(name, dependent string) error {
+		if visited[name] {
 			return nil
 		}
-		service, found := kern.services[name]
-		if !found {
-			return errors.Errorf("kernel: %s needs %q, which is not registered", from, name)
+		service, isRegistered := kern.services[name]
+		if !isRegistered {
+			return errors.Errorf("kernel: %s needs %q, which is not registered", dependent, name)
 		}
 		if visiting[name] {
-			return errors.Errorf("kernel: %s and %s need each other; remove one dependency", from, name)
+			return errors.Errorf("kernel: circular dependency between %s and %s", dependent, name)
 		}
 		visiting[name] = true
 		for _, need := range service.Needs {
@@ -164,7 +161,7 @@
 				return err
 			}
 		}
-		placed[name] = true
+		visited[name] = true
 		sorted = append(sorted, service)
 		return nil
 	}
--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -12,11 +12,11 @@
 	"ambertiller.example/ambertiller/kernel"
 )
 
-func newTracedService(name string, trace *[]string, needs ...string) kernel.Service {
+func newTracedService(name string, calls *[]string, needs ...string) kernel.Service {
 	return kernel.Service{
 		Name: name, Needs: needs, Provides: name + "'s value",
-		Start: func(context.Context) error { *trace = append(*trace, "start "+name); return nil },
-		Stop:  func(context.Context) error { *trace = append(*trace, "stop "+name); return nil },
+		Start: func(context.Context) error { *calls = append(*calls, "start "+name); return nil },
+		Stop:  func(context.Context) error { *calls = append(*calls, "stop "+name); return nil },
 	}
 }
 
@@ -32,8 +32,8 @@
 }
 
 func TestStartAndStopOrder(t *testing.T) {
-	var trace []string
-	kern := newKernel(t, newTracedService("http", &trace, "role"), newTracedService("role", &trace, "pool", "log"), newTracedService("log", &trace), newTracedService("pool", &trace))
+	var calls []string
+	kern := newKernel(t, newTracedService("http", &calls, "role"), newTracedService("role", &calls, "pool", "log"), newTracedService("log", &calls), newTracedService("pool", &calls))
 	if err := kern.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -44,31 +44,31 @@
 		t.Fatal(err)
 	}
 	want := []string{"start pool", "start log", "start role", "start http", "stop http", "stop role", "stop log", "stop pool"}
-	if !slices.Equal(trace, want) {
-		t.Errorf("got %v", trace)
+	if !slices.Equal(calls, want) {
+		t.Errorf("got %v", calls)
 	}
 }
 
 func TestFailedStartStopsStartedServices(t *testing.T) {
-	var trace []string
+	var calls []string
 	bad := kernel.Service{Name: "bad", Needs: []string{"log"}, Start: func(context.Context) error { return errors.New("no room") }}
-	kern := newKernel(t, newTracedService("log", &trace), bad, newTracedService("http", &trace, "bad"))
+	kern := newKernel(t, newTracedService("log", &calls), bad, newTracedService("http", &calls, "bad"))
 	if err := kern.Start(context.Background()); err == nil || !strings.Contains(err.Error(), "no room") {
 		t.Fatalf("got %v", err)
 	}
-	if !slices.Equal(trace, []string{"start log", "stop log"}) {
-		t.Errorf("got %v", trace)
+	if !slices.Equal(calls, []string{"start log", "stop log"}) {
+		t.Errorf("got %v", calls)
 	}
 }
 
 func TestErrors(t *testing.T) {
-	var trace []string
+	var calls []string
 	tests := map[string]struct {
 		services []kernel.Service
 		want     string
 	}{
-		"missing":  {[]kernel.Service{newTracedService("a", &trace, "b")}, `"b", which is not registered`},
-		"circular": {[]kernel.Service{newTracedService("a", &trace, "b"), newTracedService("b", &trace, "a")}, "need each other"},
+		"missing dependency":  {[]kernel.Service{newTracedService("a", &calls, "b")}, `"b", which is not registered`},
+		"circular dependency": {[]kernel.Service{newTracedService("a", &calls, "b"), newTracedService("b", &calls, "a")}, "circular dependency between b and a"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -77,9 +77,9 @@
 			}
 		})
 	}
-	kern := newKernel(t, newTracedService("a", &trace))
-	if kern.Register(newTracedService("a", &trace)) == nil || kern.Register(kernel.Service{}) == nil {
-		t.Error("a name in use or an empty one was taken")
+	kern := newKernel(t, newTracedService("a", &calls))
+	if kern.Register(newTracedService("a", &calls)) == nil || kern.Register(kernel.Service{}) == nil {
+		t.Error("a duplicate or empty name was accepted")
 	}
 }
 
@@ -87,8 +87,8 @@
 	kern := kernel.New()
 	log := kernel.Service{Name: "log", Provides: "the log"}
 	role := kernel.Service{Name: "role", Needs: []string{"log"}, Start: func(context.Context) error {
-		found, err := kern.Lookup("log")
-		fmt.Println("role found:", found)
+		provided, err := kern.Lookup("log")
+		fmt.Println("role found:", provided)
 		return err
 	}}
 	for _, service := range []kernel.Service{role, log} {
