--- a/telemetry/meter.go
+++ b/telemetry/meter.go
@@ -6,11 +6,10 @@
 	"go.opentelemetry.io/otel/metric/noop"
 )
 
-// meterPrefix begins the names of the project's meters.
+// meterPrefix is the prefix of all meter names of the project.
 const meterPrefix = "ambertiller.example/ambertiller/"
 
-// Meter returns the meter of a package. Without a provider its instruments count
-// nothing.
+// Meter returns the meter of the named package. If provider is nil, its instruments record nothing.
 func Meter(provider metric.MeterProvider, name string) metric.Meter {
 	if provider == nil {
 		provider = noop.NewMeterProvider()
@@ -18,7 +17,7 @@
 	return provider.Meter(meterPrefix + name)
 }
 
-// WithAttribute returns the attribute that tells one count from another.
+// WithAttribute returns a measurement option that sets one string attribute.
 func WithAttribute(key, value string) metric.MeasurementOption {
 	return metric.WithAttributes(attribute.String(key, value))
 }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,12 +1,11 @@
-// Package telemetry sets up the metrics of one process: OpenTelemetry
-// instruments that are scraped in the Prometheus format and, if an endpoint is
-// set, pushed by OTLP over HTTP.
+// Package telemetry exports the OpenTelemetry metrics of a process. They are served in the Prometheus text
+// format and, if an endpoint is set, pushed by OTLP over HTTP.
 //
 // # Usage
 //
-//	metering, err := telemetry.New(ctx, telemetry.Options{Role: "entry", Name: "entry-1"})
-//	mux.Handle("/metrics", metering.Handler())
-//	defer metering.Shutdown(ctx)
+//	metrics, err := telemetry.New(ctx, telemetry.Options{Role: "entry", Name: "entry-1"})
+//	mux.Handle("/metrics", metrics.Handler())
+//	defer metrics.Shutdown(ctx)
 package telemetry
 
 import (
@@ -25,55 +24,55 @@
 	"go.opentelemetry.io/otel/sdk/resource"
 )
 
-// Options sets up Metering.
+// Options configures Metrics.
 type Options struct {
-	// Role and Name tell the process apart from others.
+	// Role and Name identify the process in the resource attributes of its metrics.
 	Role string
 	Name string
-	// OTLPEndpoint is the URL that metrics are pushed to, empty for none.
+	// OTLPEndpoint is the URL to which metrics are pushed. If it is empty, metrics are not pushed.
 	OTLPEndpoint string
 }
 
-// Metrics holds the metrics of one process.
+// Metrics creates and exports the metrics of one process.
 type Metrics struct {
 	provider *sdk.MeterProvider
 	registry *prometheus.Registry
 }
 
-// New sets metrics up.
+// New sets up the exporters, and registers the standard metrics of the Go runtime and the process.
 func New(ctx context.Context, options Options) (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	scraped, err := otelprometheus.New(otelprometheus.WithRegisterer(registry))
+	prometheusExporter, err := otelprometheus.New(otelprometheus.WithRegisterer(registry))
 	if err != nil {
-		return nil, errors.Wrap(err, "set up the metrics scrape")
+		return nil, errors.Wrap(err, "set up the Prometheus exporter")
 	}
 	providerOptions := []sdk.Option{
-		sdk.WithReader(scraped),
+		sdk.WithReader(prometheusExporter),
 		sdk.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "ambertiller-"+options.Role),
 			attribute.String("service.instance.id", options.Name),
 		)),
 	}
 	if options.OTLPEndpoint != "" {
-		pushed, err := otlpmetrichttp.New(ctx, otlpmetrichttp.WithEndpointURL(options.OTLPEndpoint))
+		otlpExporter, err := otlpmetrichttp.New(ctx, otlpmetrichttp.WithEndpointURL(options.OTLPEndpoint))
 		if err != nil {
-			return nil, errors.Wrap(err, "set up the metrics push")
+			return nil, errors.Wrap(err, "set up the OTLP exporter")
 		}
-		providerOptions = append(providerOptions, sdk.WithReader(sdk.NewPeriodicReader(pushed)))
+		providerOptions = append(providerOptions, sdk.WithReader(sdk.NewPeriodicReader(otlpExporter)))
 	}
 	return &Metrics{provider: sdk.NewMeterProvider(providerOptions...), registry: registry}, nil
 }
 
-// Provider returns what instruments are made of.
-func (metering *Metrics) Provider() metric.MeterProvider { return metering.provider }
+// Provider returns the provider of the meters with which instruments are created.
+func (metrics *Metrics) Provider() metric.MeterProvider { return metrics.provider }
 
-// Handler answers scrapes.
-func (metering *Metrics) Handler() http.Handler {
-	return promhttp.HandlerFor(metering.registry, promhttp.HandlerOpts{})
+// Handler returns the handler of Prometheus scrapes.
+func (metrics *Metrics) Handler() http.Handler {
+	return promhttp.HandlerFor(metrics.registry, promhttp.HandlerOpts{})
 }
 
-// Shutdown pushes what is left and stops.
-func (metering *Metrics) Shutdown(ctx context.Context) error {
-	return errors.Wrap(metering.provider.Shutdown(ctx), "stop metrics")
+// Shutdown pushes the metrics not pushed yet and stops the exporters.
+func (metrics *Metrics) Shutdown(ctx context.Context) error {
+	return errors.Wrap(metrics.provider.Shutdown(ctx), "shut down the metrics provider")
 }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -11,7 +11,8 @@
 	"ambertiller.example/ambertiller/telemetry"
 )
 
-// TestScrapeAndPush counts once and finds it in the scrape and in the push.
+// TestScrapeAndPush checks that a counter is in the response to a scrape, and that Shutdown pushes metrics to
+// the OTLP endpoint.
 func TestScrapeAndPush(t *testing.T) {
 	var pushes atomic.Int64
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
@@ -21,24 +22,24 @@
 	}))
 	defer collector.Close()
 	ctx := context.Background()
-	metering, err := telemetry.New(ctx, telemetry.Options{Role: "entry", Name: "entry-1", OTLPEndpoint: collector.URL + "/v1/metrics"})
+	metrics, err := telemetry.New(ctx, telemetry.Options{Role: "entry", Name: "entry-1", OTLPEndpoint: collector.URL + "/v1/metrics"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	counter, err := metering.Provider().Meter("test").Int64Counter("ambertiller.test")
+	counter, err := metrics.Provider().Meter("test").Int64Counter("ambertiller.test")
 	if err != nil {
 		t.Fatal(err)
 	}
 	counter.Add(ctx, 3)
 	scrape := httptest.NewRecorder()
-	metering.Handler().ServeHTTP(scrape, httptest.NewRequestWithContext(ctx, http.MethodGet, "/metrics", nil))
+	metrics.Handler().ServeHTTP(scrape, httptest.NewRequestWithContext(ctx, http.MethodGet, "/metrics", nil))
 	if !strings.Contains(scrape.Body.String(), "ambertiller_test_total") {
-		t.Errorf("the scrape lacks the counter: %.500s", scrape.Body)
+		t.Errorf("the scrape response lacks the counter: %.500s", scrape.Body)
 	}
-	if err := metering.Shutdown(ctx); err != nil {
+	if err := metrics.Shutdown(ctx); err != nil {
 		t.Error(err)
 	}
 	if pushes.Load() == 0 {
-		t.Error("nothing was pushed at the end")
+		t.Error("Shutdown pushed nothing")
 	}
 }
