--- a/logline/logline.go
+++ b/logline/logline.go
@@ -1,12 +1,12 @@
-// Package logline finds the structured lines in the logs of processes.
+// Package logline finds the JSON objects in the logs of processes.
 //
 // # Usage
 //
 //	err := logline.Each(file, func(object []byte) { ... })
 //
-// Text before the JSON object on a line is passed over, and so are lines that hold
-// none: collectors put times and names there. An object may still be cut off; whoever
-// decodes it passes over those that fail.
+// Text before the object on a line is skipped, because log collectors put times and names there. Lines
+// without an object are skipped too. An object may be truncated, so callers must skip those that they can't
+// decode.
 package logline
 
 import (
@@ -17,17 +17,17 @@
 	"github.com/pkg/errors"
 )
 
-// maxLineBytes bounds a line; reading fails at a longer one.
+// maxLineBytes is the maximum length of a line. Each fails at a longer one.
 const maxLineBytes = 1 << 20
 
-// Each calls visit with the JSON object of each line. The bytes are only valid until
-// visit returns.
+// Each calls visit with the text of each line from its first opening brace, where a JSON object begins. The
+// bytes are only valid until visit returns.
 func Each(log io.Reader, visit func(object []byte)) error {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		if begin := bytes.IndexByte(lines.Bytes(), '{'); begin >= 0 {
-			visit(lines.Bytes()[begin:])
+		if start := bytes.IndexByte(lines.Bytes(), '{'); start >= 0 {
+			visit(lines.Bytes()[start:])
 		}
 	}
 	return errors.Wrap(lines.Err(), "read the log")
