--- a/trace/trace.go
+++ b/trace/trace.go
@@ -1,13 +1,13 @@
-// Package trace puts the lines that several processes logged about one job or
-// request in order, so that an on-call engineer sees its life on one page.
+// Package trace merges the log lines that several processes wrote about one job or request into one timeline,
+// which shows an on-call engineer what happened to it.
 //
 // # Usage
 //
-//	life, err := trace.Read("0123456789abcdef", files...)
-//	for _, line := range life.Lines() { fmt.Println(line) }
+//	timeline, err := trace.Read("0123456789abcdef", files...)
+//	for _, line := range timeline.Lines() { fmt.Println(line) }
 //
-// A line belongs to a job when it names the job or one of its tasks. Text before
-// the JSON object on a line is passed over, and so are lines that hold none.
+// A line belongs to a job if it names the job or one of its tasks. Text before the JSON object on a line is
+// skipped, and so are lines without an object.
 package trace
 
 import (
@@ -22,10 +22,10 @@
 	"ambertiller.example/ambertiller/logline"
 )
 
-// minGap is from which time on a silence is named.
+// minGap is the shortest time between two events for which Lines adds a line about the gap.
 const minGap = time.Second
 
-// event is one line of a log.
+// event is one log line about the job or request.
 type event struct {
 	at         time.Time
 	process    string
@@ -33,67 +33,67 @@
 	attributes []string
 }
 
-// Timeline is what happened to one job, in order.
+// Timeline holds the events of one job or request, ordered by time.
 type Timeline struct {
 	id     string
 	events []event
 }
 
-// Read finds the lines about an ID in logs.
+// Read returns the timeline of the job or request with an ID, from the given logs.
 func Read(id string, logs ...io.Reader) (Timeline, error) {
-	life := Timeline{id: id}
+	timeline := Timeline{id: id}
 	for _, log := range logs {
-		if err := life.readLog(log); err != nil {
+		if err := timeline.readLog(log); err != nil {
 			return Timeline{}, err
 		}
 	}
-	slices.SortStableFunc(life.events, func(a, b event) int { return a.at.Compare(b.at) })
-	return life, nil
+	slices.SortStableFunc(timeline.events, func(a, b event) int { return a.at.Compare(b.at) })
+	return timeline, nil
 }
 
-func (life *Timeline) readLog(log io.Reader) error {
+func (timeline *Timeline) readLog(log io.Reader) error {
 	return logline.Each(log, func(object []byte) {
-		if !bytes.Contains(object, []byte(life.id)) {
+		if !bytes.Contains(object, []byte(timeline.id)) {
 			return
 		}
 		var fields map[string]any
 		if err := json.Unmarshal(object, &fields); err != nil {
-			// A line that was cut off, or is not a log's.
+			// The object is truncated, or the line isn't from one of this project's processes.
 			return
 		}
-		if life.matches(fields) {
-			life.events = append(life.events, decodeEvent(fields))
+		if timeline.matches(fields) {
+			timeline.events = append(timeline.events, decodeEvent(fields))
 		}
 	})
 }
 
-func (life *Timeline) matches(fields map[string]any) bool {
+func (timeline *Timeline) matches(fields map[string]any) bool {
 	for _, key := range []string{"job", "request", "request_id"} {
-		if fields[key] == life.id {
+		if fields[key] == timeline.id {
 			return true
 		}
 	}
-	task, isText := fields["task"].(string)
-	return isText && (task == life.id || strings.HasPrefix(task, life.id+"."))
+	task, isString := fields["task"].(string)
+	return isString && (task == timeline.id || strings.HasPrefix(task, timeline.id+"."))
 }
 
 func decodeEvent(fields map[string]any) event {
-	found := event{message: fmt.Sprint(fields["msg"]), process: fmt.Sprint(fields["name"])}
-	if text, isText := fields["time"].(string); isText {
-		// A time that can't be read sorts first, where it is seen.
-		found.at, _ = time.Parse(time.RFC3339Nano, text)
+	decoded := event{message: fmt.Sprint(fields["msg"]), process: fmt.Sprint(fields["name"])}
+	if text, isString := fields["time"].(string); isString {
+		// An event with an invalid time gets the zero time and sorts first, where it is noticed.
+		decoded.at, _ = time.Parse(time.RFC3339Nano, text)
 	}
 	for key, value := range fields {
 		if slices.Contains([]string{"time", "level", "msg", "role", "name", "event", "job"}, key) {
 			continue
 		}
-		found.attributes = append(found.attributes, key+"="+formatValue(key, value))
+		decoded.attributes = append(decoded.attributes, key+"="+formatValue(key, value))
 	}
-	slices.Sort(found.attributes)
-	return found
+	slices.Sort(decoded.attributes)
+	return decoded
 }
 
-// durationKeys names the attributes that hold nanoseconds.
+// durationKeys are the keys of the attributes that hold durations in nanoseconds.
 var durationKeys = []string{"took", "age", "after", "ran", "retry_after", "since", "past_objective", "held", "valid", "waited", "recorded", "allowed", "left", "remaining"}
 
 func formatValue(key string, value any) string {
@@ -104,21 +104,21 @@
 	return fmt.Sprint(value)
 }
 
-// IsEmpty reports whether no line was found.
-func (life *Timeline) IsEmpty() bool { return len(life.events) == 0 }
+// IsEmpty reports whether no matching line was found.
+func (timeline *Timeline) IsEmpty() bool { return len(timeline.events) == 0 }
 
-// Lines returns a line for each event, with the time since the first one, and one
-// for each silence of a second or more.
-func (life *Timeline) Lines() []string {
+// Lines returns a line of text for each event, with the time since the first event, and one for each gap of a
+// second or more between events.
+func (timeline *Timeline) Lines() []string {
 	var lines []string
-	for index, one := range life.events {
+	for index, event := range timeline.events {
 		if index > 0 {
-			if gap := one.at.Sub(life.events[index-1].at); gap >= minGap {
+			if gap := event.at.Sub(timeline.events[index-1].at); gap >= minGap {
 				lines = append(lines, fmt.Sprintf("%10s  nothing was logged for %s", "", gap.Round(time.Millisecond)))
 			}
 		}
-		since := one.at.Sub(life.events[0].at).Round(time.Millisecond)
-		lines = append(lines, strings.TrimRight(fmt.Sprintf("%10s  %-18s %-22s %s", since, one.process, one.message, strings.Join(one.attributes, " ")), " "))
+		since := event.at.Sub(timeline.events[0].at).Round(time.Millisecond)
+		lines = append(lines, strings.TrimRight(fmt.Sprintf("%10s  %-18s %-22s %s", since, event.process, event.message, strings.Join(event.attributes, " ")), " "))
 	}
 	return lines
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -11,49 +11,50 @@
 	"ambertiller.example/ambertiller/trace"
 )
 
-// TestTimelines: the logs of several processes in a folder give the page beside it.
+// TestTimelines checks that the logs in each directory of testdata give the timeline in the golden file next
+// to it.
 func TestTimelines(t *testing.T) {
-	folders, err := filepath.Glob("testdata/*/id")
-	if err != nil || len(folders) == 0 {
-		t.Fatal(folders, err)
+	idFiles, err := filepath.Glob("testdata/*/id")
+	if err != nil || len(idFiles) == 0 {
+		t.Fatal(idFiles, err)
 	}
-	for _, id := range folders {
-		folder := filepath.Dir(id)
-		name := filepath.Base(folder)
+	for _, idFile := range idFiles {
+		dir := filepath.Dir(idFile)
+		name := filepath.Base(dir)
 		t.Run(name, func(t *testing.T) {
-			life := readTimeline(t, folder)
-			goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, name, []byte(strings.Join(life.Lines(), "\n")+"\n"))
+			timeline := readTimeline(t, dir)
+			goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, name, []byte(strings.Join(timeline.Lines(), "\n")+"\n"))
 		})
 	}
 }
 
-func readTimeline(t *testing.T, folder string) trace.Timeline {
-	id, err := os.ReadFile(filepath.Join(folder, "id"))
+func readTimeline(t *testing.T, dir string) trace.Timeline {
+	id, err := os.ReadFile(filepath.Join(dir, "id"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	logs, err := filepath.Glob(filepath.Join(folder, "*.log"))
+	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var text []string
+	var contents []string
 	for _, log := range logs {
 		content, err := os.ReadFile(log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		text = append(text, string(content))
+		contents = append(contents, string(content))
 	}
-	life, err := trace.Read(strings.TrimSpace(string(id)), strings.NewReader(strings.Join(text, "")))
+	timeline, err := trace.Read(strings.TrimSpace(string(id)), strings.NewReader(strings.Join(contents, "")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return life
+	return timeline
 }
 
 func TestNoMatchingLines(t *testing.T) {
-	life, err := trace.Read("0123456789abcdef", strings.NewReader("{\"msg\":\"run placed\",\"task\":\"ffffffffffffffff.0.0.0\"}\nnot a log\n{cut off 0123456789abcdef"))
-	if err != nil || !life.IsEmpty() {
-		t.Errorf("got %v, %v", life.Lines(), err)
+	timeline, err := trace.Read("0123456789abcdef", strings.NewReader("{\"msg\":\"run placed\",\"task\":\"ffffffffffffffff.0.0.0\"}\nnot a log\n{cut off 0123456789abcdef"))
+	if err != nil || !timeline.IsEmpty() {
+		t.Errorf("got %v, %v", timeline.Lines(), err)
 	}
 }
