--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -233,5 +233,5 @@
 	j.options.Events.Log(ctx, code, attributes...)
 }
 
-// Queued returns the number of proposals that wait to be sent.
-func (j *Journal) Queued() int { return len(j.queue) }
+// QueueLength returns the number of proposals that wait to be sent.
+func (j *Journal) QueueLength() int { return len(j.queue) }
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -88,7 +88,7 @@
 	for _, journal := range []*changelog.Journal{first, second} {
 		go func() {
 			outcomes, err := journal.Append(testContext(t), publishRecord(0, "x"))
-			results <- err == nil && outcomes[0].Accepted()
+			results <- err == nil && outcomes[0].IsAccepted()
 		}()
 	}
 	if one, other := <-results, <-results; one == other {
@@ -104,7 +104,7 @@
 	log.LoseAnswers(3)
 	journal := startJournal(t, log, changelog.Options{Writer: "one"})
 	outcomes, err := journal.Append(testContext(t), publishRecord(0, "x"))
-	if err != nil || !outcomes[0].Accepted() {
+	if err != nil || !outcomes[0].IsAccepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 	if configVersion(journal) != 1 {
@@ -176,7 +176,7 @@
 func TestThrottled(t *testing.T) {
 	log := &throttledLog{Log: standin.NewLog(0), remainingRefusals: 2}
 	journal := startJournal(t, log, changelog.Options{})
-	if outcomes, err := journal.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	if outcomes, err := journal.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].IsAccepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 	if log.Appends() != 1 {
@@ -211,7 +211,7 @@
 			errs <- err
 		}()
 	}
-	waitFor(t, "all proposals to be queued", func() bool { return journal.Queued() == proposals })
+	waitFor(t, "all proposals to be queued", func() bool { return journal.QueueLength() == proposals })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go journal.Run(ctx)
@@ -315,7 +315,7 @@
 		t.Fatal(err)
 	}
 	journal := startJournal(t, log, changelog.Options{})
-	if outcomes, err := journal.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	if outcomes, err := journal.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].IsAccepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 }
@@ -336,7 +336,7 @@
 	if !errors.Is(err, changelog.ErrHalted) {
 		t.Errorf("got error %v, want ErrHalted", err)
 	}
-	if outcomes, err := newer.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	if outcomes, err := newer.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].IsAccepted() {
 		t.Errorf("outcomes %v, %v", outcomes, err)
 	}
 }
--- a/changelog/example_test.go
+++ b/changelog/example_test.go
@@ -24,7 +24,7 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println("accepted:", outcomes[0].Accepted())
+	fmt.Println("accepted:", outcomes[0].IsAccepted())
 	journal.View(func(st *state.State) { fmt.Println("version:", st.Document("config").GetVersion()) })
 	// Output:
 	// accepted: true
--- a/route/queue.go
+++ b/route/queue.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// Queued returns the number of requests of a service that wait for a slot.
-func (t *Table) Queued(name string) int {
+// QueueLength returns the number of requests of a service that wait for a slot.
+func (t *Table) QueueLength(name string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if svc, found := t.services[name]; found {
--- a/state/state.go
+++ b/state/state.go
@@ -94,8 +94,8 @@
 // RecordID returns the record's ID.
 func (outcome Outcome) RecordID() string { return outcome.recordID }
 
-// Accepted reports whether the record took effect.
-func (outcome Outcome) Accepted() bool { return outcome.reason == "" }
+// IsAccepted reports whether the record took effect.
+func (outcome Outcome) IsAccepted() bool { return outcome.reason == "" }
 
 // Reason returns why the record was rejected. It is empty for an accepted record.
 func (outcome Outcome) Reason() Reason { return outcome.reason }
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		outcome := "accepted"
-		if !outcomes[0].Accepted() {
+		if !outcomes[0].IsAccepted() {
 			outcome = "lost: " + string(outcomes[0].Reason())
 		}
 		fmt.Fprintf(&out, "%-22s %s\n", outcome, line)
@@ -143,7 +143,7 @@
 			t.Errorf("the older reader's state changed (%v)", err)
 		}
 		mustApply(t, newer, raiseBatch)
-		if outcomes := mustApply(t, newer, newBatch("b-3", newCreateRecord("a", 2))); !outcomes[0].Accepted() {
+		if outcomes := mustApply(t, newer, newBatch("b-3", newCreateRecord("a", 2))); !outcomes[0].IsAccepted() {
 			t.Errorf("the newer reader rejected the record of format 2: %s", outcomes[0].Reason())
 		}
 	})
