--- a/event/async.go
+++ b/event/async.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxPendingBytes bounds the lines that wait for their reader.
+	// maxPendingBytes limits the lines that wait to be written.
 	maxPendingBytes = 256 << 10
-	// maxBytesPerSecond bounds the bytes written in a second, so that a flood of
-	// lines does not use up the process's share of a core.
+	// maxBytesPerSecond limits the bytes accepted per second, so that a flood of lines does not use up the
+	// process's share of a core.
 	maxBytesPerSecond = 512 << 10
 )
 
-// AsyncWriter passes lines on without making whoever logs wait for the reader.
-// Lines that don't fit are left out and counted.
+// AsyncWriter buffers log lines and writes them in the background, so that a slow reader of the log doesn't
+// block the goroutines that log. Lines that exceed its limits are dropped and counted.
 type AsyncWriter struct {
 	out io.Writer
 
@@ -30,63 +30,64 @@
 	wake        chan struct{}
 }
 
-// NewAsyncWriter returns a writer that passes nothing on until Run. now is the
-// clock that bounds the lines of a second.
+// NewAsyncWriter returns a writer to out that only buffers lines until Run is called. now is the clock that
+// the limit per second is measured with.
 func NewAsyncWriter(out io.Writer, now func() time.Time) *AsyncWriter {
 	return &AsyncWriter{out: out, now: now, wake: make(chan struct{}, 1)}
 }
 
-// Write implements io.Writer for one line. It never waits and never fails.
-func (writer *AsyncWriter) Write(line []byte) (int, error) {
-	writer.mu.Lock()
-	defer writer.mu.Unlock()
-	now := writer.now()
-	if now.Sub(writer.secondStart) >= time.Second {
-		writer.secondStart, writer.bytesLeft = now, maxBytesPerSecond
+// Write implements io.Writer for one line. It never waits for out and never fails.
+func (w *AsyncWriter) Write(line []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := w.now()
+	if now.Sub(w.secondStart) >= time.Second {
+		w.secondStart, w.bytesLeft = now, maxBytesPerSecond
 	}
-	if writer.pending.Len()+len(line) > maxPendingBytes || writer.bytesLeft < len(line) {
-		writer.dropped++
+	if w.pending.Len()+len(line) > maxPendingBytes || w.bytesLeft < len(line) {
+		w.dropped++
 		return len(line), nil
 	}
-	writer.bytesLeft -= len(line)
-	writer.pending.Write(line)
+	w.bytesLeft -= len(line)
+	w.pending.Write(line)
 	select {
-	case writer.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
-// TakeDropped returns how many lines were left out since it was last asked.
-func (writer *AsyncWriter) TakeDropped() int {
-	writer.mu.Lock()
-	defer writer.mu.Unlock()
-	count := writer.dropped
-	writer.dropped = 0
+// TakeDropped returns how many lines were dropped since the last call.
+func (w *AsyncWriter) TakeDropped() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	count := w.dropped
+	w.dropped = 0
 	return count
 }
 
-// Run passes lines on until ctx ends, then what is left.
-func (writer *AsyncWriter) Run(ctx context.Context) {
+// Run writes buffered lines until ctx ends, and then those that remain.
+func (w *AsyncWriter) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
-			writer.flush()
+			w.flush()
 			return
-		case <-writer.wake:
-			writer.flush()
+		case <-w.wake:
+			w.flush()
 		}
 	}
 }
 
-func (writer *AsyncWriter) flush() {
-	writer.mu.Lock()
-	lines := bytes.Clone(writer.pending.Bytes())
-	writer.pending.Reset()
-	writer.mu.Unlock()
+// flush writes the buffered lines. It doesn't hold the lock meanwhile, so that Write doesn't wait for out.
+func (w *AsyncWriter) flush() {
+	w.mu.Lock()
+	lines := bytes.Clone(w.pending.Bytes())
+	w.pending.Reset()
+	w.mu.Unlock()
 	if len(lines) == 0 {
 		return
 	}
-	// A log that can't be written has nowhere to say so.
-	_, _ = writer.out.Write(lines)
+	// There is nowhere to report that the log can't be written.
+	_, _ = w.out.Write(lines)
 }
--- a/event/async_test.go
+++ b/event/async_test.go
@@ -10,31 +10,31 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// blockedWriter is a reader that takes nothing until it is let go.
+// blockedWriter is a writer whose Write blocks until unblock is closed.
 type blockedWriter struct {
 	mu      sync.Mutex
 	written bytes.Buffer
 	unblock chan struct{}
 }
 
-func (reader *blockedWriter) Write(text []byte) (int, error) {
-	<-reader.unblock
-	reader.mu.Lock()
-	defer reader.mu.Unlock()
-	return reader.written.Write(text)
+func (out *blockedWriter) Write(text []byte) (int, error) {
+	<-out.unblock
+	out.mu.Lock()
+	defer out.mu.Unlock()
+	return out.written.Write(text)
 }
 
-// TestWriteDoesNotBlock writes far more than is kept while
-// nobody reads: no write waits, and what is left out is counted.
+// TestWriteDoesNotBlock writes far more lines than are buffered while the underlying writer blocks. No write
+// may wait, and all dropped lines must be counted.
 func TestWriteDoesNotBlock(t *testing.T) {
-	reader := &blockedWriter{unblock: make(chan struct{})}
+	out := &blockedWriter{unblock: make(chan struct{})}
 	now := time.Unix(0, 0)
-	writer := event.NewAsyncWriter(reader, func() time.Time { return now })
+	writer := event.NewAsyncWriter(out, func() time.Time { return now })
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		writer.Run(ctx)
-		close(ended)
+		close(done)
 	}()
 	line := bytes.Repeat([]byte("x"), 1000)
 	const lines = 3000
@@ -45,23 +45,23 @@
 		}
 	}
 	dropped := writer.TakeDropped()
-	close(reader.unblock)
+	close(out.unblock)
 	cancel()
-	<-ended
-	passed := reader.written.Len() / len(line)
-	if dropped == 0 || dropped+passed != lines {
-		t.Errorf("%d dropped, %d passed on, of %d", dropped, passed, lines)
+	<-done
+	written := out.written.Len() / len(line)
+	if dropped == 0 || dropped+written != lines {
+		t.Errorf("%d lines were dropped and %d written, of %d", dropped, written, lines)
 	}
 }
 
-// TestVolumeIsBounded writes ten times what a second may hold.
+// TestVolumeIsBounded writes up to ten times as much in a second as the limit allows.
 func TestVolumeIsBounded(t *testing.T) {
 	tests := map[string]struct {
 		lines int
 		kept  int
 	}{
 		"within the bound":   {200, 200},
-		"ten times too much": {5243, 262}, // 256 KiB wait at most
+		"ten times too much": {5243, 262}, // at most 256 KiB are buffered
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 				}
 			}
 			if kept := test.lines - writer.TakeDropped(); kept != test.kept {
-				t.Errorf("%d lines were kept", kept)
+				t.Errorf("%d lines were buffered", kept)
 			}
 		})
 	}
--- a/event/event.go
+++ b/event/event.go
@@ -1,16 +1,15 @@
-// Package event holds the catalogue of numbered log events and writes them
-// with log/slog.
+// Package event defines the catalogue of numbered log events, and logs them with log/slog.
 //
-// Each event has a code that never changes its meaning, a level, a title that
-// is the log line's message, and a text that says what it tells an operator.
-// docs/EVENTS.md is generated from the same catalogue.
+// Each event has a code whose meaning never changes, a level, a title that is the message of the log line,
+// and a description that tells operators what the event means. docs/EVENTS.md is generated from the
+// catalogue.
 //
 // # Usage
 //
 //	logger := event.New(slog.New(handler))
 //	logger.Log(ctx, event.TaskPlaced, slog.String("task", id))
 //
-// The line carries the code as the attribute "event".
+// The log line has the code as its attribute "event".
 package event
 
 import (
@@ -21,13 +20,13 @@
 	"github.com/pkg/errors"
 )
 
-// Logger writes events of the catalogue.
+// Logger logs events of the catalogue.
 type Logger struct {
 	out     *slog.Logger
 	entries map[Code]Entry
 }
 
-// New returns a Logger that writes to out.
+// New returns a Logger that logs to out.
 func New(out *slog.Logger) *Logger {
 	entries := make(map[Code]Entry, len(catalogue))
 	for _, entry := range catalogue {
@@ -36,13 +35,13 @@
 	return &Logger{out: out, entries: entries}
 }
 
-// Discard returns a Logger that writes nothing.
+// Discard returns a Logger that logs nothing.
 func Discard() *Logger {
 	return New(slog.New(slog.DiscardHandler))
 }
 
-// Open returns a Logger with the named format (json or text) and level (debug,
-// info, warn or error).
+// Open returns a Logger that writes to out. The format is json or text, and the level is debug, info, warn or
+// error.
 func Open(out io.Writer, format, level string) (*Logger, error) {
 	var threshold slog.Level
 	if err := threshold.UnmarshalText([]byte(level)); err != nil {
@@ -58,26 +57,26 @@
 	return nil, errors.Errorf("log format %q is not one of json, text", format)
 }
 
-// With returns a Logger that adds attributes to each line.
-func (logger *Logger) With(attributes ...any) *Logger {
-	return &Logger{out: logger.out.With(attributes...), entries: logger.entries}
+// With returns a Logger that adds the attributes to each line.
+func (l *Logger) With(attributes ...any) *Logger {
+	return &Logger{out: l.out.With(attributes...), entries: l.entries}
 }
 
-// Enabled reports whether an event of this code would be written, so that a
-// hot path can skip building its attributes.
-func (logger *Logger) Enabled(ctx context.Context, code Code) bool {
-	return logger.out.Enabled(ctx, logger.entries[code].Level)
+// Enabled reports whether events with this code are logged. Frequently executed code can check it before it
+// builds the attributes.
+func (l *Logger) Enabled(ctx context.Context, code Code) bool {
+	return l.out.Enabled(ctx, l.entries[code].Level)
 }
 
-// Log writes one event.
-func (logger *Logger) Log(ctx context.Context, code Code, attributes ...slog.Attr) {
-	entry := logger.entries[code]
-	if !logger.out.Enabled(ctx, entry.Level) {
+// Log logs an event with the given attributes.
+func (l *Logger) Log(ctx context.Context, code Code, attributes ...slog.Attr) {
+	entry := l.entries[code]
+	if !l.out.Enabled(ctx, entry.Level) {
 		return
 	}
-	// Performance: one slice for the code and the caller's attributes.
-	all := make([]slog.Attr, 0, len(attributes)+1)
-	all = append(all, slog.Int("event", int(code)))
-	all = append(all, attributes...)
-	logger.out.LogAttrs(ctx, entry.Level, entry.Title, all...)
+	// The code and the attributes share one slice, to allocate only once.
+	attrs := make([]slog.Attr, 0, len(attributes)+1)
+	attrs = append(attrs, slog.Int("event", int(code)))
+	attrs = append(attrs, attributes...)
+	l.out.LogAttrs(ctx, entry.Level, entry.Title, attrs...)
 }
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -17,6 +17,7 @@
 	"ambertiller.example/ambertiller/event"
 )
 
+// TestEventsPageIsCurrent checks that docs/EVENTS.md was generated from the present catalogue.
 func TestEventsPageIsCurrent(t *testing.T) {
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
@@ -31,17 +32,17 @@
 	seen := map[event.Code]string{}
 	for _, entry := range event.Catalogue() {
 		if other, taken := seen[entry.Code]; taken {
-			t.Errorf("%d is %q and %q", entry.Code, other, entry.Title)
+			t.Errorf("code %d is used for both %q and %q", entry.Code, other, entry.Title)
 		}
 		seen[entry.Code] = entry.Title
 		if entry.Title == "" || entry.Description == "" || entry.Since == "" {
-			t.Errorf("%d lacks a title, a text or the release it came with", entry.Code)
+			t.Errorf("event %d lacks a title, a description or the release that added it", entry.Code)
 		}
 	}
 }
 
-// TestUsedCodesAreListed finds every code that the source names as event.X and
-// every code that package event declares, and compares both with the catalogue.
+// TestUsedCodesAreListed checks that each declared code is in the catalogue, and that the code of each event
+// in the catalogue is used in the source as event.X.
 func TestUsedCodesAreListed(t *testing.T) {
 	declared := declaredCodes(t)
 	listed := listedCodes(t)
@@ -58,6 +59,7 @@
 	}
 }
 
+// parseFile parses a Go source file.
 func parseFile(t *testing.T, path string) *ast.File {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -67,6 +69,7 @@
 	return file
 }
 
+// declaredCodes returns the names of the exported constants that catalogue.go declares.
 func declaredCodes(t *testing.T) map[string]bool {
 	names := map[string]bool{}
 	for _, declaration := range parseFile(t, "catalogue.go").Decls {
@@ -85,6 +88,7 @@
 	return names
 }
 
+// listedCodes returns the names of the codes of the catalogue's entries.
 func listedCodes(t *testing.T) map[string]bool {
 	names := map[string]bool{}
 	ast.Inspect(parseFile(t, "catalogue.go"), func(node ast.Node) bool {
@@ -98,6 +102,7 @@
 	return names
 }
 
+// usedCodes returns which of the declared codes the source uses, tests excepted.
 func usedCodes(t *testing.T, declared map[string]bool) map[string]bool {
 	used := map[string]bool{}
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
--- a/event/markdown.go
+++ b/event/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown returns the catalogue as a page.
+// Markdown returns the catalogue formatted as the page docs/EVENTS.md.
 func Markdown() string {
 	var page strings.Builder
 	page.WriteString("# Events\n\nGenerated from the catalogue in package event; do not edit.\n\n")
