--- a/cmd/eventdoc/main.go
+++ b/cmd/eventdoc/main.go
@@ -1,4 +1,4 @@
-// Command eventdoc prints docs/EVENTS.md from the catalogue of events.
+// Command eventdoc prints the page docs/EVENTS.md, generated from the catalogue of events.
 package main
 
 import (
