--- a/route/route.go
+++ b/route/route.go
@@ -169,9 +169,9 @@
 	srv.address = guard.Address()
 	srv.domain = guard.FailureDomain()
 	srv.incarnation = guard.Incarnation()
-	srv.ready = guard.Ready() && !silent
-	srv.updateLoad(guard.Load(), guard.HeardAt())
-	svc.wakeWaiters(guard.HeardAt())
+	srv.ready = guard.IsReady() && !silent
+	srv.updateLoad(guard.Load(), guard.LastReportAt())
+	svc.wakeWaiters(guard.LastReportAt())
 }
 
 // ensureServer returns a server of the service and creates it if needed.
