--- a/operator/evacuations.go
+++ b/operator/evacuations.go
@@ -1,58 +1,56 @@
-// Package operator follows what operators write into the platform's store: the
-// configuration, and the failure domains that they evacuate.
+// Package operator follows the topic that operators write to. It holds the configuration and the failure
+// domains that are evacuated.
 //
 // # Evacuations
 //
-// No task may be started in an evacuated failure domain. Whoever starts tasks must not
-// only know which domains are evacuated, but also as of when it knows: a process that
-// hears nothing knows of no evacuation either. So Knowledge keeps both, and permits a
-// start only while it is fresh. What is known can be told to other processes, with the
-// moment translated to their clocks by PeerUptime.
+// No task may be started in an evacuated failure domain. A process that starts tasks has to know which
+// domains are evacuated and how old that information is, since a process that is cut off from the store
+// misses new evacuations. EvacuationState holds both, and permits a start only if the information is recent
+// enough. A process can forward it to other processes: PeerUptime converts its time to their clocks.
 //
 // # Usage
 //
 //	reader := operator.NewReader(store, clock)
-//	news, err := reader.Read(ctx)
-//	known.Note(news.Evacuations, news.AsOf)
-//	if known.Judge("milano-a", now, 4*time.Second) == operator.Permitted { ... }
+//	update, err := reader.Read(ctx)
+//	state.Update(update.Evacuations, update.AsOf)
+//	if state.Check("milano-a", now, 4*time.Second) == operator.Permitted { ... }
 package operator
 
 import "slices"
 
-// Evacuations are the failure domains that are evacuated as of one version of what
-// operators wrote: the number of their records that are taken account of.
+// Evacuations is the set of evacuated failure domains at a version of the operator topic. The version is the
+// number of records in the topic that the set reflects.
 type Evacuations struct {
 	version int64
 	domains []string
 }
 
-// NewEvacuations returns the failure domains that are evacuated as of a version.
+// NewEvacuations returns the set of evacuated failure domains at a version.
 func NewEvacuations(version int64, domains []string) Evacuations {
 	sorted := slices.Clone(domains)
 	slices.Sort(sorted)
 	return Evacuations{version: version, domains: slices.Compact(sorted)}
 }
 
-// Version returns how many of the operators' records are taken account of.
-func (of Evacuations) Version() int64 { return of.version }
+// Version returns the number of records in the operator topic that the set reflects.
+func (evacuations Evacuations) Version() int64 { return evacuations.version }
 
-// Domains returns the failure domains in the order of their names. They must not be
-// changed.
-func (of Evacuations) Domains() []string { return of.domains }
+// Domains returns the evacuated failure domains, sorted by name. The caller must not modify the slice.
+func (evacuations Evacuations) Domains() []string { return evacuations.domains }
 
 // Has reports whether a failure domain is evacuated.
-func (of Evacuations) Has(domain string) bool {
-	_, found := slices.BinarySearch(of.domains, domain)
+func (evacuations Evacuations) Has(domain string) bool {
+	_, found := slices.BinarySearch(evacuations.domains, domain)
 	return found
 }
 
-// Difference returns the failure domains of these that are not evacuated in others.
-func (of Evacuations) Difference(others Evacuations) []string {
-	var missing []string
-	for _, domain := range of.domains {
-		if !others.Has(domain) {
-			missing = append(missing, domain)
+// Difference returns the failure domains that are evacuated in this set but not in other.
+func (evacuations Evacuations) Difference(other Evacuations) []string {
+	var difference []string
+	for _, domain := range evacuations.domains {
+		if !other.Has(domain) {
+			difference = append(difference, domain)
 		}
 	}
-	return missing
+	return difference
 }
--- a/operator/reader.go
+++ b/operator/reader.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	// operatorPartition is the only partition of the operator's topic that is read.
+	// operatorPartition is the only partition of the operator topic that is in use.
 	operatorPartition = 0
-	// readWait is how long a read waits for news. One that waits while the store drops
-	// its history hears nothing until it is asked anew, and a configuration has to be in
-	// force within 2 s.
+	// readWait is how long a read waits for new records. A read that is waiting while the store drops its
+	// history receives nothing until it is repeated, and a configuration has to take effect within 2 s.
 	readWait = 800 * time.Millisecond
-	// readMargin is added to the wait for the way there and back.
+	// readMargin is the part of a read's timeout beyond its wait, for the round trip.
 	readMargin = 700 * time.Millisecond
-	// newestTimeout bounds a question for the newest records.
+	// newestTimeout is the timeout of reading the newest records.
 	newestTimeout = 1500 * time.Millisecond
 )
 
-// offsetUnknown is the offset of a reader that has to begin with the newest records.
+// offsetUnknown is the offset of a reader that has to start with the newest records.
 const offsetUnknown = -1
 
-// Reader follows the operator's topic. It is used by one goroutine.
+// Reader follows the operator topic. It must be used by one goroutine only.
 type Reader struct {
 	store      *platform.Store
 	clock      clockwork.Clock
 	nextOffset int64
-	// skipWait has the next read answered at once: after a failure it counts how soon it
-	// is known again what operators want.
+	// skipWait makes the next read return at once, even without new records. After a failed read, the
+	// current state has to be known as soon as possible.
 	skipWait  bool
 	evacuated map[string]bool
 }
 
-// Update is what a read found.
+// Update is the result of a read.
 type Update struct {
-	// Records are the operators' records in the order in which they were written, or the
-	// newest of each key.
+	// Records holds the new records in the order in which operators wrote them, or the newest record of
+	// each key if the reader has just been created or restarted.
 	Records     []platform.Record
 	Evacuations Evacuations
-	// AsOf is the moment up to which everything that operators wrote is taken account of;
-	// zero if the read did not reach the end of the topic.
+	// AsOf is the time up to which Evacuations reflects all records. It is zero if the read did not reach
+	// the end of the topic.
 	AsOf time.Time
 }
 
-// NewReader returns a reader that begins with the newest record of each key.
+// NewReader returns a reader that starts with the newest record of each key.
 func NewReader(store *platform.Store, clock clockwork.Clock) *Reader {
 	return &Reader{store: store, clock: clock, nextOffset: offsetUnknown, skipWait: true, evacuated: map[string]bool{}}
 }
 
-// Restart has the next read return the newest record of each key.
+// Restart makes the next read return the newest record of each key.
 func (reader *Reader) Restart() { reader.nextOffset = offsetUnknown }
 
-// Read waits for news, for less than a second. Without any it returns what is known
-// with the moment at which it was confirmed.
+// Read waits for new records for less than a second. If there are none, it returns the known evacuations
+// with the time at which it confirmed them. After an error that says that history is gone, the next read
+// starts with the newest records.
 func (reader *Reader) Read(ctx context.Context) (Update, error) {
-	asked := reader.clock.Now()
-	whole := reader.nextOffset == offsetUnknown
-	tail, err := reader.read(ctx)
+	startedAt := reader.clock.Now()
+	isRestart := reader.nextOffset == offsetUnknown
+	result, err := reader.read(ctx)
 	if err != nil {
 		reader.skipWait = true
 		if platform.IsGone(err) {
@@ -71,19 +71,19 @@
 		return Update{}, err
 	}
 	reader.skipWait = false
-	if whole {
-		// What is not among the newest records has been dropped.
+	if isRestart {
+		// An evacuation without a record among the newest ones has been deleted.
 		clear(reader.evacuated)
 	}
-	reader.nextOffset = tail.Next
-	for _, record := range tail.Records {
+	reader.nextOffset = result.Next
+	for _, record := range result.Records {
 		reader.apply(record)
 	}
-	news := Update{Records: tail.Records, Evacuations: NewEvacuations(reader.nextOffset, slices.Collect(maps.Keys(reader.evacuated)))}
-	if tail.Next >= tail.End {
-		news.AsOf = asked
+	update := Update{Records: result.Records, Evacuations: NewEvacuations(reader.nextOffset, slices.Collect(maps.Keys(reader.evacuated)))}
+	if result.Next >= result.End {
+		update.AsOf = startedAt
 	}
-	return news, nil
+	return update, nil
 }
 
 func (reader *Reader) read(ctx context.Context) (platform.ReadResult, error) {
@@ -101,6 +101,7 @@
 	return reader.store.Read(ctx, platform.OperatorTopic, operatorPartition, reader.nextOffset, wait)
 }
 
+// apply updates the evacuated failure domains if the record evacuates one or ends an evacuation.
 func (reader *Reader) apply(record platform.Record) {
 	domain, found := platform.ParseEvacuationKey(record.Key)
 	if !found {
--- a/operator/state.go
+++ b/operator/state.go
@@ -6,72 +6,74 @@
 	"ambertiller.example/ambertiller/lease"
 )
 
-// Verdict says whether a task may be started in a failure domain.
+// Verdict is the result of checking whether a task may be started in a failure domain.
 type Verdict int
 
-// The verdicts on a start.
 const (
-	// Permitted: the failure domain was not evacuated a short while ago.
+	// Permitted means that the failure domain is not evacuated, by information that is recent enough.
 	Permitted Verdict = iota
-	// Evacuated: it is.
+	// Evacuated means that the failure domain is evacuated.
 	Evacuated
-	// Outdated: what is known is too old to say.
+	// Outdated means that the information is too old to permit a start.
 	Outdated
 )
 
-// EvacuationState is what a process knows of evacuations. The zero value knows nothing.
+// EvacuationState is what a process knows of evacuations, and as of when. The zero value knows nothing.
 type EvacuationState struct {
 	evacuations Evacuations
 	asOf        time.Time
 }
 
-// Evacuations returns what is known.
-func (known *EvacuationState) Evacuations() Evacuations { return known.evacuations }
+// Evacuations returns the known evacuations.
+func (state *EvacuationState) Evacuations() Evacuations { return state.evacuations }
 
-// AsOf returns the moment up to which everything that operators wrote is taken account
-// of; zero while nothing is known.
-func (known *EvacuationState) AsOf() time.Time { return known.asOf }
+// AsOf returns the time up to which the known evacuations reflect all records of operators. It is zero if
+// nothing is known.
+func (state *EvacuationState) AsOf() time.Time { return state.asOf }
 
-// Update takes in what was found in the store as of a moment, here or by another process.
-// Of two versions the higher one holds. The later moment holds in any case: whoever saw
-// no more than a lower version then proves that the higher one was written after it.
-func (known *EvacuationState) Update(told Evacuations, asOf time.Time) {
-	if known.asOf.IsZero() || told.version > known.evacuations.version {
-		known.evacuations = told
+// Update adds the evacuations that this or another process read from the store, which reflected all records
+// at the time asOf. The state keeps the higher version and, independently of it, the later time. That is
+// correct because a process that found only a lower version at a later time proves that the higher version
+// was written after that time.
+func (state *EvacuationState) Update(evacuations Evacuations, asOf time.Time) {
+	if state.asOf.IsZero() || evacuations.version > state.evacuations.version {
+		state.evacuations = evacuations
 	}
-	if asOf.After(known.asOf) {
-		known.asOf = asOf
+	if asOf.After(state.asOf) {
+		state.asOf = asOf
 	}
 }
 
-// Backdate makes what is known older by a time that the clock did not count.
-func (known *EvacuationState) Backdate(uncounted time.Duration) {
-	if !known.asOf.IsZero() {
-		known.asOf = known.asOf.Add(-uncounted)
+// Backdate moves the time of the information back by a duration that the clock did not count, such as a
+// suspension of the machine.
+func (state *EvacuationState) Backdate(uncounted time.Duration) {
+	if !state.asOf.IsZero() {
+		state.asOf = state.asOf.Add(-uncounted)
 	}
 }
 
-// Check says whether a task may be started in a failure domain by what was known at most
-// so long ago.
-func (known *EvacuationState) Check(domain string, now time.Time, oldest time.Duration) Verdict {
+// Check reports whether a task may be started in a failure domain, based on information that is at most
+// maxAge old.
+func (state *EvacuationState) Check(domain string, now time.Time, maxAge time.Duration) Verdict {
 	switch {
-	case known.evacuations.Has(domain):
+	case state.evacuations.Has(domain):
 		return Evacuated
-	case known.asOf.IsZero() || now.Sub(known.asOf) > oldest:
+	case state.asOf.IsZero() || now.Sub(state.asOf) > maxAge:
 		return Outdated
 	}
 	return Permitted
 }
 
-// maxClockDrift is what two clocks may differ by over a while: each runs wrong by less than
-// the bound that leases assume.
+// maxClockDrift is the maximum relative drift between two clocks. The rate of each is off by less than the
+// bound that leases assume.
 const maxClockDrift = 2 * lease.ClockRateBound
 
-// PeerUptime translates a moment of this process's clock to the uptime of a peer, which
-// was at least uptime when it was heard. The result is never later than the moment was
-// on the peer's clock, so what is known as of it is not taken for fresher than it is.
-func PeerUptime(moment, heardAt time.Time, uptime time.Duration) time.Duration {
-	since := moment.Sub(heardAt)
+// PeerUptime converts a time of this process's clock to the uptime of a peer. At receivedAt, this process
+// received a message from the peer, whose uptime was at least uptime then. The result is never later than
+// the true uptime of the peer at that time, so information that is as of the result never appears more
+// recent than it is.
+func PeerUptime(at, receivedAt time.Time, uptime time.Duration) time.Duration {
+	since := at.Sub(receivedAt)
 	if since < 0 {
 		return uptime + time.Duration(float64(since)*(1+maxClockDrift))
 	}
