--- a/operator/reader_test.go
+++ b/operator/reader_test.go
@@ -15,47 +15,47 @@
 	"ambertiller.example/ambertiller/standin/wirestore"
 )
 
-// topicWriter is what the tests write into the operator's topic.
+// topicWriter writes records of operators to the operator topic.
 type topicWriter struct{ store *wirestore.Store }
 
-func (by topicWriter) evacuate(domain string) {
-	by.store.Put(platform.OperatorTopic, 0, platform.EvacuationKey(domain), []byte("{}"))
+func (writer topicWriter) evacuate(domain string) {
+	writer.store.Put(platform.OperatorTopic, 0, platform.EvacuationKey(domain), []byte("{}"))
 }
 
-func (by topicWriter) endEvacuation(domain string) {
-	by.store.Put(platform.OperatorTopic, 0, platform.EvacuationKey(domain), nil)
+func (writer topicWriter) endEvacuation(domain string) {
+	writer.store.Put(platform.OperatorTopic, 0, platform.EvacuationKey(domain), nil)
 }
 
-func (by topicWriter) writeConfiguration() {
-	by.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(`{"version":1}`))
+func (writer topicWriter) writeConfiguration() {
+	writer.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(`{"version":1}`))
 }
 
-// TestReader: whatever the store forgets or fails at in between, a reader ends up with the
-// failure domains that are evacuated.
+// TestReader checks that a reader finds the evacuated failure domains although a read fails, and although
+// the store may drop its history between two reads.
 func TestReader(t *testing.T) {
 	tests := map[string]struct {
-		before, between func(by topicWriter)
+		before, between func(writer topicWriter)
 		want            []string
 	}{
-		"nothing was written":         {func(topicWriter) {}, func(topicWriter) {}, nil},
-		"evacuated before the reader": {func(by topicWriter) { by.evacuate("a") }, topicWriter.writeConfiguration, []string{"a"}},
-		"evacuated after it":          {topicWriter.writeConfiguration, func(by topicWriter) { by.evacuate("a") }, []string{"a"}},
-		"several": {func(by topicWriter) { by.evacuate("b") }, func(by topicWriter) {
-			by.evacuate("a")
-			by.evacuate("c")
+		"no records":                      {func(topicWriter) {}, func(topicWriter) {}, nil},
+		"evacuated before the first read": {func(writer topicWriter) { writer.evacuate("a") }, topicWriter.writeConfiguration, []string{"a"}},
+		"evacuated after the first read":  {topicWriter.writeConfiguration, func(writer topicWriter) { writer.evacuate("a") }, []string{"a"}},
+		"several evacuations": {func(writer topicWriter) { writer.evacuate("b") }, func(writer topicWriter) {
+			writer.evacuate("a")
+			writer.evacuate("c")
 		}, []string{"a", "b", "c"}},
-		"given back": {func(by topicWriter) { by.evacuate("a") }, func(by topicWriter) { by.endEvacuation("a") }, nil},
-		"given back and evacuated again": {func(by topicWriter) { by.evacuate("a") }, func(by topicWriter) {
-			by.endEvacuation("a")
-			by.evacuate("a")
+		"evacuation ended": {func(writer topicWriter) { writer.evacuate("a") }, func(writer topicWriter) { writer.endEvacuation("a") }, nil},
+		"evacuation ended and started again": {func(writer topicWriter) { writer.evacuate("a") }, func(writer topicWriter) {
+			writer.endEvacuation("a")
+			writer.evacuate("a")
 		}, []string{"a"}},
-		"evacuated just before history was dropped": {topicWriter.writeConfiguration, func(by topicWriter) {
-			by.evacuate("a")
-			by.store.DropHistory()
+		"evacuated just before history is dropped": {topicWriter.writeConfiguration, func(writer topicWriter) {
+			writer.evacuate("a")
+			writer.store.DropHistory()
 		}, []string{"a"}},
-		"given back just before history was dropped": {func(by topicWriter) { by.evacuate("a") }, func(by topicWriter) {
-			by.endEvacuation("a")
-			by.store.DropHistory()
+		"evacuation ended just before history is dropped": {func(writer topicWriter) { writer.evacuate("a") }, func(writer topicWriter) {
+			writer.endEvacuation("a")
+			writer.store.DropHistory()
 		}, nil},
 	}
 	for name, test := range tests {
@@ -68,35 +68,35 @@
 			test.before(topicWriter{store})
 			first := mustRead(t, reader)
 			if !first.AsOf.Equal(clock.Now()) {
-				t.Errorf("known as of %v", first.AsOf)
+				t.Errorf("first read is as of %v", first.AsOf)
 			}
 			test.between(topicWriter{store})
 			clock.Advance(time.Second)
 			store.Fail(func(string) wirestore.Fault { return wirestore.FaultReset })
 			if _, err := reader.Read(context.Background()); err == nil {
-				t.Error("a read that was broken off found something")
+				t.Error("a read on a reset connection succeeded")
 			}
 			store.Fail(nil)
-			news := mustRead(t, reader)
-			if !news.AsOf.Equal(clock.Now()) || !slices.Equal(news.Evacuations.Domains(), test.want) {
-				t.Errorf("known %v as of %v", news.Evacuations.Domains(), news.AsOf)
+			second := mustRead(t, reader)
+			if !second.AsOf.Equal(clock.Now()) || !slices.Equal(second.Evacuations.Domains(), test.want) {
+				t.Errorf("got %v as of %v", second.Evacuations.Domains(), second.AsOf)
 			}
-			if first.Evacuations.Version() > news.Evacuations.Version() {
-				t.Errorf("went from version %d to %d", first.Evacuations.Version(), news.Evacuations.Version())
+			if first.Evacuations.Version() > second.Evacuations.Version() {
+				t.Errorf("version went from %d to %d", first.Evacuations.Version(), second.Evacuations.Version())
 			}
 		})
 	}
 }
 
-// mustRead reads until a read finds something, as its caller does.
+// mustRead repeats a read until it succeeds, as the callers of Read do.
 func mustRead(t *testing.T, reader *operator.Reader) operator.Update {
 	t.Helper()
-	const tries = 3 // one finds that history is gone, the next begins anew
+	const tries = 3 // One read finds that history is gone. The next one starts with the newest records.
 	for range tries {
-		if news, err := reader.Read(context.Background()); err == nil {
-			return news
+		if update, err := reader.Read(context.Background()); err == nil {
+			return update
 		}
 	}
-	t.Fatal("the reader found nothing")
+	t.Fatal("no read succeeded")
 	return operator.Update{}
 }
--- a/operator/state.go
+++ b/operator/state.go
@@ -27,8 +27,8 @@
 // Evacuations returns the known evacuations.
 func (state *EvacuationState) Evacuations() Evacuations { return state.evacuations }
 
-// AsOf returns the time up to which the known evacuations reflect all records of operators. It is zero if
-// nothing is known.
+// AsOf returns the time up to which the known evacuations reflect all records of operators. It is zero as
+// long as no such time is known.
 func (state *EvacuationState) AsOf() time.Time { return state.asOf }
 
 // Update adds the evacuations that this or another process read from the store, which reflected all records
