--- a/operator/state.go
+++ b/operator/state.go
@@ -70,8 +70,8 @@
 
 // PeerUptime converts a time of this process's clock to the uptime of a peer. At receivedAt, this process
 // received a message from the peer, whose uptime was at least uptime then. The result is never later than
-// the true uptime of the peer at that time, so information that is as of the result never appears more
-// recent than it is.
+// the true uptime of the peer at that time, so the peer never takes information with that time for newer
+// than it is.
 func PeerUptime(at, receivedAt time.Time, uptime time.Duration) time.Duration {
 	since := at.Sub(receivedAt)
 	if since < 0 {
