--- a/agent/ends.go
+++ b/agent/ends.go
@@ -98,7 +98,7 @@
 	}
 	agent.log(event.RunEnded, slog.String("task", end.Task), slog.Int("attempt", int(end.Attempt)),
 		slog.String("how", string(end.Reason)), slog.Int64("number", end.Number), slog.Int64("connection", sessionID))
-	agent.metrics.runEnds.Add(agent.ctx, 1, telemetry.By("how", string(end.Reason)))
+	agent.metrics.runEnds.Add(agent.ctx, 1, telemetry.WithAttribute("how", string(end.Reason)))
 	agent.queueEnd(runEnd, shard)
 	agent.markStatusChanged()
 }
--- a/agent/incarnation.go
+++ b/agent/incarnation.go
@@ -136,7 +136,7 @@
 		slog.Bool("draining", state.heartbeat.Draining), slog.Duration("unanswered", now.Sub(state.lastSignAt)),
 	}
 	agent.log(event.WorkerLost, append(id.LogAttributes(), attributes...)...)
-	agent.metrics.lostIncarnations.Add(agent.ctx, 1, telemetry.By("how", string(cause)))
+	agent.metrics.lostIncarnations.Add(agent.ctx, 1, telemetry.WithAttribute("how", string(cause)))
 	agent.reportEndedRuns(state, cause)
 	for _, end := range state.pendingEnds {
 		// No worker waits for the confirmation of this end any more, but a later owner may have to be told of it.
--- a/agent/order.go
+++ b/agent/order.go
@@ -31,7 +31,7 @@
 	run := &runState{task: order.GetTask(), attempt: order.GetAttempt(), shard: order.GetShard(), demand: order.GetDemand(), phase: phaseStarting, pacePercent: fullPercent, isSuspect: order.GetSuspect(), fromScratch: order.GetCheckpoint() == ""}
 	state := agent.worker
 	outcome := agent.checkStart(s, order, now)
-	agent.metrics.startOrders.Add(agent.ctx, 1, telemetry.By("outcome", outcome.String()))
+	agent.metrics.startOrders.Add(agent.ctx, 1, telemetry.WithAttribute("outcome", outcome.String()))
 	if outcome != wire.StartOutcome_START_STARTED {
 		agent.logRun(event.OrderRefused, run, slog.String("outcome", outcome.String()))
 		s.results = append(s.results, &wire.StartResult{Task: run.task, Attempt: run.attempt, Worker: order.GetWorker(), Born: order.GetBorn(), Outcome: outcome})
--- a/agent/register.go
+++ b/agent/register.go
@@ -76,7 +76,7 @@
 // newRecord returns the agent's record for the store, or false once the agent has ended.
 func (agent *Agent) newRecord(ctx context.Context, address string) (*job.AgentRecord, bool) {
 	var ended []incarnation.ID
-	if !agent.eventLoop.Ask(ctx, func(time.Time) { ended = slices.Clone(agent.endedToRegister) }) {
+	if !agent.eventLoop.Call(ctx, func(time.Time) { ended = slices.Clone(agent.endedToRegister) }) {
 		return nil, false
 	}
 	return job.NewAgentRecord(agent.options.Name, address, ended), true
--- a/command/trace.go
+++ b/command/trace.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	if life.Empty() {
+	if life.IsEmpty() {
 		return &exitError{code: ExitNotFound, cause: errors.Errorf("the logs say nothing about %s; are those of all gateways and agents there?", id)}
 	}
 	for _, line := range life.Lines() {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -161,7 +161,7 @@
 	}
 }
 
-func metricsService(metering *telemetry.Metering) kernel.Service {
+func metricsService(metering *telemetry.Metrics) kernel.Service {
 	return kernel.Service{Name: ServiceMetrics, Provides: metering, Stop: metering.Shutdown}
 }
 
@@ -179,7 +179,7 @@
 	}
 }
 
-func adminMux(metering *telemetry.Metering, ready func() bool) *http.ServeMux {
+func adminMux(metering *telemetry.Metrics, ready func() bool) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", metering.Handler())
 	mux.HandleFunc("GET /healthz", func(writer http.ResponseWriter, _ *http.Request) {
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -142,7 +142,7 @@
 	}
 }
 
-func withMetrics(handler http.Handler, metering *telemetry.Metering) http.Handler {
+func withMetrics(handler http.Handler, metering *telemetry.Metrics) http.Handler {
 	scrape := metering.Handler()
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/metrics" {
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -65,7 +65,7 @@
 // base is what every role on the users' platform is built on.
 type base struct {
 	events   *event.Logger
-	metering *telemetry.Metering
+	metering *telemetry.Metrics
 	clock    clockwork.Clock
 	clocks   *uptime.Clocks
 	store    *platform.Store
@@ -104,7 +104,7 @@
 	})
 	front := gateway.New(gateway.Options{
 		Name: settings.Name(), Shards: settings.Partitions(), Store: made.store, Owner: owning,
-		Self: owning.MemberName(), Pool: pool, Clock: made.clock, Events: made.events, Meters: made.metering.Provider(),
+		MemberName: owning.MemberName(), Pool: pool, Clock: made.clock, Events: made.events, Meters: made.metering.Provider(),
 	})
 	running := &Gateway{Daemon: Daemon{kern: kernel.New(), events: made.events}}
 	return running, registerAll(running.kern,
@@ -114,8 +114,8 @@
 		roleService(front.Run, front, ServiceOwner, ServiceMetrics),
 		rpcService(address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterPeer(mux, owning) }),
 		httpService(ServiceHTTP, []string{ServiceRole}, settings.ClientAddress(), front),
-		httpService(ServiceReadiness, []string{ServiceRole}, settings.ReadinessAddress(), readyHandler(front.Ready)),
-		httpService("scrape", nil, settings.AddressWithPort(metricsPort), adminMux(made.metering, front.Ready)),
+		httpService(ServiceReadiness, []string{ServiceRole}, settings.ReadinessAddress(), readyHandler(front.IsReady)),
+		httpService("scrape", nil, settings.AddressWithPort(metricsPort), adminMux(made.metering, front.IsReady)),
 		gatewayDrainService(front, owning),
 	)
 }
@@ -145,7 +145,7 @@
 		Name:  ServiceDrain,
 		Needs: []string{ServiceRPC, ServiceHTTP, ServiceReadiness},
 		Stop: func(ctx context.Context) error {
-			front.Leave()
+			front.BeginShutdown()
 			err := owning.Leave(ctx)
 			pause(ctx, gatewayLeave)
 			return err
--- a/document/document.go
+++ b/document/document.go
@@ -65,7 +65,7 @@
 
 // NewShelf returns a shelf on which only the built-in placement policy stands.
 func NewShelf() *Shelf {
-	program, err := policy.Compile(policy.BuiltIn)
+	program, err := policy.Compile(policy.BuiltInPlacement)
 	if err != nil {
 		// The built-in policy is a constant that a test compiles.
 		panic(err)
--- a/gateway/append.go
+++ b/gateway/append.go
@@ -17,73 +17,73 @@
 	appendTimeout = 900 * time.Millisecond
 	// relayTimeout bounds the same by way of a peer.
 	relayTimeout = 600 * time.Millisecond
-	// appendPause keeps tries apart.
-	appendPause = 60 * time.Millisecond
+	// appendRetryDelay keeps tries apart.
+	appendRetryDelay = 60 * time.Millisecond
 )
 
-type appendKind int
+type appendStatus int
 
 const (
-	unsure appendKind = iota
-	appended
-	refused
+	appendUnknown appendStatus = iota
+	appendSucceeded
+	appendRefused
 )
 
 // String names the kind in metrics.
-func (kind appendKind) String() string {
+func (kind appendStatus) String() string {
 	switch kind {
-	case appended:
+	case appendSucceeded:
 		return "appended"
-	case refused:
+	case appendRefused:
 		return "refused"
-	case unsure:
+	case appendUnknown:
 	}
 	return "unsure"
 }
 
-// outcome says what became of an append.
-type outcome struct {
-	kind   appendKind
-	reason string
-	by     string // the entry that the store took it from
+// appendResult says what became of an append.
+type appendResult struct {
+	status     appendStatus
+	reason     string
+	appendedBy string // the entry that the store took it from
 }
 
-// append puts a record of a job into the store. The record is the same however
+// appendRecord puts a record of a job into the store. The record is the same however
 // often it is sent, so one that was not answered is sent again. While the store is known
 // to be away nothing is sent, so that the refusal is true and comes at once.
-func (gateway *Gateway) append(ctx context.Context, id, key string, value []byte) outcome {
+func (gateway *Gateway) appendRecord(ctx context.Context, id, key string, value []byte) appendResult {
 	shard := job.ShardOf(id, gateway.options.Shards)
 	add := platform.Append{Topic: job.TopicJobs, Partition: shard, Records: []platform.Record{{Key: key, Value: value}}}
-	if gateway.outage.known(gateway.options.Clock.Now()) {
-		return outcome{kind: refused, reason: "the platform's store is away"}
+	if gateway.breaker.shouldReject(gateway.options.Clock.Now()) {
+		return appendResult{status: appendRefused, reason: "the platform's store is away"}
 	}
 	doubt := false // whether an earlier try may have taken effect
 	reason := "the client's time is over"
 	for ctx.Err() == nil {
 		err := gateway.appendOnce(ctx, add)
 		if err == nil {
-			gateway.outage.over()
-			go gateway.directory.taken(context.WithoutCancel(ctx), &wire.TakenRequest{Shard: int32(shard), Key: key, Value: value})
-			return outcome{kind: appended, by: gateway.options.Name}
+			gateway.breaker.recordSuccess()
+			go gateway.directory.notifyOwner(context.WithoutCancel(ctx), &wire.TakenRequest{Shard: int32(shard), Key: key, Value: value})
+			return appendResult{status: appendSucceeded, appendedBy: gateway.options.Name}
 		}
 		reason = err.Error()
 		doubt = doubt || !platform.IsRefused(err)
 		relayed := gateway.directory.relay(ctx, &wire.RelayRequest{Shard: int32(shard), Key: key, Value: value})
-		if relayed.kind == appended {
-			gateway.outage.over()
+		if relayed.status == appendSucceeded {
+			gateway.breaker.recordSuccess()
 			return relayed
 		}
-		gateway.outage.failed(gateway.options.Clock.Now())
-		doubt = doubt || relayed.kind == unsure
+		gateway.breaker.recordFailure(gateway.options.Clock.Now())
+		doubt = doubt || relayed.status == appendUnknown
 		if !doubt {
 			break
 		}
-		pause(ctx, gateway.options.Clock, appendPause)
+		sleep(ctx, gateway.options.Clock, appendRetryDelay)
 	}
 	if doubt {
-		return outcome{kind: unsure, reason: reason}
+		return appendResult{status: appendUnknown, reason: reason}
 	}
-	return outcome{kind: refused, reason: reason}
+	return appendResult{status: appendRefused, reason: reason}
 }
 
 func (gateway *Gateway) appendOnce(ctx context.Context, add platform.Append) error {
@@ -93,8 +93,8 @@
 	return err
 }
 
-// pause waits for a while, or until ctx ends.
-func pause(ctx context.Context, clock clockwork.Clock, length time.Duration) {
+// sleep waits for a while, or until ctx ends.
+func sleep(ctx context.Context, clock clockwork.Clock, length time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-clock.After(length):
--- a/gateway/configure.go
+++ b/gateway/configure.go
@@ -10,9 +10,9 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// operatorPause keeps reads of the operator's topic apart that failed or found nothing to
+// operatorRetryDelay keeps reads of the operator's topic apart that failed or found nothing to
 // go on with.
-const operatorPause = 100 * time.Millisecond
+const operatorRetryDelay = 100 * time.Millisecond
 
 // Run follows what operators write until ctx ends: the configuration, and for the owner
 // in this process the failure domains that are evacuated.
@@ -21,26 +21,26 @@
 	for ctx.Err() == nil {
 		news, err := reader.Read(ctx)
 		if err != nil {
-			pause(ctx, gateway.options.Clock, operatorPause)
+			sleep(ctx, gateway.options.Clock, operatorRetryDelay)
 			continue
 		}
 		gateway.options.Owner.UpdateEvacuations(news.Evacuations, news.AsOf)
 		for _, record := range news.Records {
 			if record.Key == platform.ConfigurationKey {
-				gateway.configure(ctx, record.Value)
+				gateway.applyConfiguration(ctx, record.Value)
 			}
 		}
 		if gateway.configuration.Load() == nil {
 			// Records of the first configuration may be removed before they
 			// are read: ask for the newest.
 			reader.Restart()
-			pause(ctx, gateway.options.Clock, operatorPause)
+			sleep(ctx, gateway.options.Clock, operatorRetryDelay)
 		}
 	}
 }
 
-// configure puts a configuration in force unless a later one is.
-func (gateway *Gateway) configure(ctx context.Context, text []byte) {
+// applyConfiguration puts a configuration in force unless a later one is.
+func (gateway *Gateway) applyConfiguration(ctx context.Context, text []byte) {
 	parsed, err := platform.ParseConfiguration(text)
 	if err != nil {
 		gateway.options.Events.Log(ctx, event.ConfigurationRefused, slog.Any("error", err))
@@ -51,6 +51,6 @@
 		return
 	}
 	gateway.configuration.Store(parsed)
-	gateway.meters.configuration.Record(ctx, parsed.Version())
+	gateway.metrics.configuration.Record(ctx, parsed.Version())
 	gateway.options.Events.Log(ctx, event.ConfigurationInForce, slog.Int64("version", parsed.Version()))
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -37,19 +37,19 @@
 )
 
 const (
-	// answerWithin is how long a client is taken to wait that does not say.
-	answerWithin = 2500 * time.Millisecond
-	// answerMargin is left of a client's time for the answer's way back.
-	answerMargin = 150 * time.Millisecond
-	// comeBack tells a refused client when the store may answer again: its
+	// defaultTimeout is how long a client is taken to wait that does not say.
+	defaultTimeout = 2500 * time.Millisecond
+	// responseMargin is left of a client's time for the answer's way back.
+	responseMargin = 150 * time.Millisecond
+	// retryDelay tells a refused client when the store may answer again: its
 	// outages last seconds.
-	comeBack = time.Second
-	// bodyMost bounds a job as it is handed in, unless the configuration allows
+	retryDelay = time.Second
+	// defaultMaxBodyBytes bounds a job as it is handed in, unless the configuration allows
 	// for more.
-	bodyMost = 1 << 20
-	// idDigits is the length of a job's ID, in hexadecimal digits.
-	idDigits   = 16
-	retryAfter = "Retry-After"
+	defaultMaxBodyBytes = 1 << 20
+	// jobIDDigits is the length of a job's ID, in hexadecimal digits.
+	jobIDDigits      = 16
+	retryAfterHeader = "Retry-After"
 )
 
 // Options sets up a Gateway.
@@ -58,11 +58,11 @@
 	Shards int
 	Store  *platform.Store
 	// Owner is this process's own owner of shards.
-	Owner  *owner.Owner
-	Self   string // its member name
-	Pool   *rpc.Pool
-	Clock  clockwork.Clock
-	Events *event.Logger
+	Owner      *owner.Owner
+	MemberName string // its member name
+	Pool       *rpc.Pool
+	Clock      clockwork.Clock
+	Events     *event.Logger
 	// Meters makes the instruments; nil for none.
 	Meters metric.MeterProvider
 }
@@ -71,31 +71,31 @@
 type Gateway struct {
 	options       Options
 	configuration atomic.Pointer[platform.Configuration]
-	directory     *directory
-	stopping      atomic.Bool
-	outage        outage
-	meters        meters
+	directory     *ownerDirectory
+	shuttingDown  atomic.Bool
+	breaker       circuitBreaker
+	metrics       metrics
 }
 
 // New returns a gateway that refuses clients until Run has read a configuration.
 func New(options Options) *Gateway {
-	return &Gateway{options: options, directory: newDirectory(options), meters: newMeters(options.Meters)}
+	return &Gateway{options: options, directory: newOwnerDirectory(options), metrics: newMetrics(options.Meters)}
 }
 
-// Ready reports whether the gateway takes clients.
-func (gateway *Gateway) Ready() bool {
-	return gateway.configuration.Load() != nil && !gateway.stopping.Load()
+// IsReady reports whether the gateway takes clients.
+func (gateway *Gateway) IsReady() bool {
+	return gateway.configuration.Load() != nil && !gateway.shuttingDown.Load()
 }
 
-// Leave has the platform send clients elsewhere. Requests that come all the same
+// BeginShutdown has the platform send clients elsewhere. Requests that come all the same
 // are answered.
-func (gateway *Gateway) Leave() { gateway.stopping.Store(true) }
+func (gateway *Gateway) BeginShutdown() { gateway.shuttingDown.Store(true) }
 
 // ServeHTTP implements http.Handler.
 func (gateway *Gateway) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
 	configuration := gateway.configuration.Load()
 	if configuration == nil {
-		gateway.refuse(answer, "", "no configuration has been read yet")
+		gateway.respondRefused(answer, "", "no configuration has been read yet")
 		return
 	}
 	queue, found := configuration.Match(request.Host, request.URL.Path)
@@ -104,36 +104,36 @@
 		return
 	}
 	id := queue.TrimPrefix(request.URL.Path)
-	ctx, cancel := context.WithTimeout(request.Context(), platform.ClientTimeout(request, answerWithin)-answerMargin)
+	ctx, cancel := context.WithTimeout(request.Context(), platform.ClientTimeout(request, defaultTimeout)-responseMargin)
 	defer cancel()
 	request = request.WithContext(ctx)
 	switch {
 	case request.Method == http.MethodGet && id == "":
-		gateway.answerPending(answer, request, queue)
-	case !isID(id):
+		gateway.respondPending(answer, request, queue)
+	case !isJobID(id):
 		answer.WriteHeader(http.StatusNotFound)
 	case request.Method == http.MethodPost:
-		gateway.submit(answer, request, configuration, queue, id)
+		gateway.submitJob(answer, request, configuration, queue, id)
 	case request.Method == http.MethodGet:
-		gateway.answerState(answer, request, id)
+		gateway.respondState(answer, request, id)
 	case request.Method == http.MethodDelete:
-		gateway.cancel(answer, request, id)
+		gateway.cancelJob(answer, request, id)
 	default:
 		answer.WriteHeader(http.StatusMethodNotAllowed)
 	}
 }
 
-func isID(text string) bool {
-	if len(text) != idDigits {
+func isJobID(text string) bool {
+	if len(text) != jobIDDigits {
 		return false
 	}
 	_, err := strconv.ParseUint(text, 16, 64)
 	return err == nil
 }
 
-func (gateway *Gateway) submit(answer http.ResponseWriter, request *http.Request, configuration *platform.Configuration, queue *platform.Queue, id string) {
+func (gateway *Gateway) submitJob(answer http.ResponseWriter, request *http.Request, configuration *platform.Configuration, queue *platform.Queue, id string) {
 	now := gateway.options.Clock.Now()
-	body, err := io.ReadAll(http.MaxBytesReader(answer, request.Body, max(configuration.MaxBodyBytes(), bodyMost)))
+	body, err := io.ReadAll(http.MaxBytesReader(answer, request.Body, max(configuration.MaxBodyBytes(), defaultMaxBodyBytes)))
 	if err != nil {
 		answer.WriteHeader(http.StatusBadRequest)
 		return
@@ -146,61 +146,61 @@
 	}
 	value, err := proto.Marshal(submission)
 	if err != nil {
-		gateway.refuse(answer, id, err.Error())
+		gateway.respondRefused(answer, id, err.Error())
 		return
 	}
-	outcome := gateway.append(request.Context(), id, job.SubmissionKey(id), value)
-	gateway.answerAppend(answer, request, outcome, id, event.JobAccepted, configuration.Version(), now)
+	outcome := gateway.appendRecord(request.Context(), id, job.SubmissionKey(id), value)
+	gateway.respondAppend(answer, request, outcome, id, event.JobAccepted, configuration.Version(), now)
 }
 
-func (gateway *Gateway) cancel(answer http.ResponseWriter, request *http.Request, id string) {
+func (gateway *Gateway) cancelJob(answer http.ResponseWriter, request *http.Request, id string) {
 	now := gateway.options.Clock.Now()
 	value, err := proto.Marshal(&job.Cancellation{Id: id, AtMs: now.UnixMilli()})
 	if err != nil {
-		gateway.refuse(answer, id, err.Error())
+		gateway.respondRefused(answer, id, err.Error())
 		return
 	}
-	outcome := gateway.append(request.Context(), id, job.CancellationKey(id), value)
-	gateway.answerAppend(answer, request, outcome, id, event.JobCancelAccepted, 0, now)
+	outcome := gateway.appendRecord(request.Context(), id, job.CancellationKey(id), value)
+	gateway.respondAppend(answer, request, outcome, id, event.JobCancelAccepted, 0, now)
 }
 
-func (gateway *Gateway) answerAppend(answer http.ResponseWriter, request *http.Request, outcome outcome, id string, accepted event.Code, version int64, began time.Time) {
+func (gateway *Gateway) respondAppend(answer http.ResponseWriter, request *http.Request, outcome appendResult, id string, accepted event.Code, version int64, began time.Time) {
 	took := gateway.options.Clock.Now().Sub(began)
-	gateway.meters.answered(request.Context(), request.Method, outcome.kind.String(), took)
-	switch outcome.kind {
-	case appended:
+	gateway.metrics.recordAnswer(request.Context(), request.Method, outcome.status.String(), took)
+	switch outcome.status {
+	case appendSucceeded:
 		gateway.options.Events.Log(request.Context(), accepted, slog.String("job", id), slog.Duration("took", took),
-			slog.String("by", outcome.by), slog.Int64("configuration", version))
+			slog.String("by", outcome.appendedBy), slog.Int64("configuration", version))
 		answer.WriteHeader(http.StatusOK)
-	case refused:
-		gateway.refuse(answer, id, outcome.reason)
+	case appendRefused:
+		gateway.respondRefused(answer, id, outcome.reason)
 	default:
 		gateway.options.Events.Log(request.Context(), event.JobUnsettled, slog.String("job", id), slog.Duration("took", took), slog.String("reason", outcome.reason))
-		sayWhen(answer, http.StatusGatewayTimeout)
+		respondRetryLater(answer, http.StatusGatewayTimeout)
 	}
 }
 
-// sayWhen answers with a status and when to come back.
-func sayWhen(answer http.ResponseWriter, status int) {
-	answer.Header().Set(retryAfter, strconv.Itoa(int(comeBack.Seconds())))
+// respondRetryLater answers with a status and when to come back.
+func respondRetryLater(answer http.ResponseWriter, status int) {
+	answer.Header().Set(retryAfterHeader, strconv.Itoa(int(retryDelay.Seconds())))
 	answer.WriteHeader(status)
 }
 
-// refuse answers that nothing was done, and when to come back.
-func (gateway *Gateway) refuse(answer http.ResponseWriter, id, reason string) {
-	gateway.options.Events.Log(context.Background(), event.JobRefused, slog.String("job", id), slog.String("reason", reason), slog.Duration("retry_after", comeBack))
-	sayWhen(answer, http.StatusServiceUnavailable)
+// respondRefused answers that nothing was done, and when to come back.
+func (gateway *Gateway) respondRefused(answer http.ResponseWriter, id, reason string) {
+	gateway.options.Events.Log(context.Background(), event.JobRefused, slog.String("job", id), slog.String("reason", reason), slog.Duration("retry_after", retryDelay))
+	respondRetryLater(answer, http.StatusServiceUnavailable)
 }
 
-func (gateway *Gateway) answerState(answer http.ResponseWriter, request *http.Request, id string) {
+func (gateway *Gateway) respondState(answer http.ResponseWriter, request *http.Request, id string) {
 	began := gateway.options.Clock.Now()
 	reply, err := gateway.directory.jobState(request.Context(), id)
-	gateway.meters.answered(request.Context(), request.Method, stateOutcome(reply, err), gateway.options.Clock.Since(began))
+	gateway.metrics.recordAnswer(request.Context(), request.Method, stateOutcome(reply, err), gateway.options.Clock.Since(began))
 	gateway.options.Events.Log(request.Context(), event.JobAsked, slog.String("job", id), slog.String("state", reply.GetState().String()),
 		slog.Bool("known", reply.GetKnown()), slog.Any("error", err))
 	switch {
 	case err != nil:
-		sayWhen(answer, http.StatusServiceUnavailable)
+		respondRetryLater(answer, http.StatusServiceUnavailable)
 	case !reply.GetKnown():
 		answer.WriteHeader(http.StatusGone)
 	default:
@@ -218,10 +218,10 @@
 	return "told"
 }
 
-func (gateway *Gateway) answerPending(answer http.ResponseWriter, request *http.Request, queue *platform.Queue) {
-	count, err := gateway.directory.pending(request.Context(), queue.Name())
+func (gateway *Gateway) respondPending(answer http.ResponseWriter, request *http.Request, queue *platform.Queue) {
+	count, err := gateway.directory.pendingJobs(request.Context(), queue.Name())
 	if err != nil {
-		sayWhen(answer, http.StatusServiceUnavailable)
+		respondRetryLater(answer, http.StatusServiceUnavailable)
 		return
 	}
 	platform.WritePending(answer, count)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -21,19 +21,19 @@
 )
 
 const (
-	shards = 2
-	jobID  = "0123456789abcdef"
-	body   = `{"spec":"s","steps":[{"count":1,"cpu":500,"mem_mb":256,"estimate_ms":900}]}`
-	config = `{"version":7,"routes":[{"name":"r-1","host":"q.example","path_prefix":"/q/","service":"s","attempts":2,"extension":1.5}]}`
+	shardCount          = 2
+	jobID               = "0123456789abcdef"
+	submissionBody      = `{"spec":"s","steps":[{"count":1,"cpu":500,"mem_mb":256,"estimate_ms":900}]}`
+	routesConfiguration = `{"version":7,"routes":[{"name":"r-1","host":"q.example","path_prefix":"/q/","service":"s","attempts":2,"extension":1.5}]}`
 )
 
-type bench struct {
-	store *wirestore.Store
-	front *gateway.Gateway
+type harness struct {
+	store   *wirestore.Store
+	gateway *gateway.Gateway
 }
 
-func newBench(t *testing.T, published string) *bench {
-	behind := wirestore.New(shards, time.Now)
+func newHarness(t *testing.T, published string) *harness {
+	behind := wirestore.New(shardCount, time.Now)
 	if published != "" {
 		behind.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(published))
 	}
@@ -41,12 +41,12 @@
 	store := platform.NewStore(strings.TrimPrefix(server.URL, "http://"), platform.NewTransport())
 	clock := clockwork.NewRealClock()
 	scheduling := owner.New(owner.Options{
-		Name: "edge-1", Strong: true, Address: "127.0.0.1:1", Shards: shards, GrantDuration: time.Second, MemberTimeout: time.Second, Store: store,
+		Name: "edge-1", Strong: true, Address: "127.0.0.1:1", Shards: shardCount, GrantDuration: time.Second, MemberTimeout: time.Second, Store: store,
 		Clock: clock, Events: event.Discard(),
 		Dial: func(context.Context, string) (drpc.Conn, error) { return nil, context.Canceled },
 	})
 	front := gateway.New(gateway.Options{
-		Name: "edge-1", Shards: shards, Store: store, Owner: scheduling, Self: scheduling.MemberName(),
+		Name: "edge-1", Shards: shardCount, Store: store, Owner: scheduling, MemberName: scheduling.MemberName(),
 		Pool: rpc.NewPool(nil), Clock: clock, Events: event.Discard(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -58,36 +58,36 @@
 	go scheduling.Run(ctx)
 	go front.Run(ctx)
 	if published != "" {
-		for !front.Ready() {
+		for !front.IsReady() {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	return &bench{store: behind, front: front}
+	return &harness{store: behind, gateway: front}
 }
 
-func (made *bench) ask(method, path, text, deadline string) *httptest.ResponseRecorder {
+func (made *harness) send(method, path, text, deadline string) *httptest.ResponseRecorder {
 	request := httptest.NewRequestWithContext(context.Background(), method, "http://q.example"+path, strings.NewReader(text))
 	if deadline != "" {
 		request.Header.Set(platform.DeadlineHeader, deadline)
 	}
 	answer := httptest.NewRecorder()
-	made.front.ServeHTTP(answer, request)
+	made.gateway.ServeHTTP(answer, request)
 	return answer
 }
 
-func (made *bench) kept() bool {
-	_, found := made.store.Newest(job.TopicJobs, job.ShardOf(jobID, shards), job.SubmissionKey(jobID))
+func (made *harness) isStored() bool {
+	_, found := made.store.Newest(job.TopicJobs, job.ShardOf(jobID, shardCount), job.SubmissionKey(jobID))
 	return found
 }
 
-func TestAnswers(t *testing.T) {
-	made := newBench(t, config)
+func TestResponseStatus(t *testing.T) {
+	made := newHarness(t, routesConfiguration)
 	tests := map[string]struct {
 		method, path, body string
 		status             int
 	}{
-		"no such queue":  {http.MethodPost, "/other/" + jobID, body, http.StatusNotFound},
-		"no ID":          {http.MethodPost, "/q/short", body, http.StatusNotFound},
+		"no such queue":  {http.MethodPost, "/other/" + jobID, submissionBody, http.StatusNotFound},
+		"no ID":          {http.MethodPost, "/q/short", submissionBody, http.StatusNotFound},
 		"not a job":      {http.MethodPost, "/q/" + jobID, "{", http.StatusBadRequest},
 		"an unknown job": {http.MethodGet, "/q/ffffffffffffffff", "", http.StatusGone},
 		"an empty queue": {http.MethodGet, "/q/", "", http.StatusOK},
@@ -95,49 +95,49 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := made.ask(test.method, test.path, test.body, ""); got.Code != test.status {
+			if got := made.send(test.method, test.path, test.body, ""); got.Code != test.status {
 				t.Errorf("status %d, body %s", got.Code, got.Body)
 			}
 		})
 	}
 }
 
-// TestNoTimeLeftIsNoCount: a client whose time is over is not told that nothing
+// TestPendingCountAfterDeadline: a client whose time is over is not told that nothing
 // waits.
-func TestNoTimeLeftIsNoCount(t *testing.T) {
-	made := newBench(t, config)
-	if got := made.ask(http.MethodGet, "/q/", "", "1"); got.Code != http.StatusServiceUnavailable {
+func TestPendingCountAfterDeadline(t *testing.T) {
+	made := newHarness(t, routesConfiguration)
+	if got := made.send(http.MethodGet, "/q/", "", "1"); got.Code != http.StatusServiceUnavailable {
 		t.Errorf("status %d, body %s", got.Code, got.Body)
 	}
 }
 
-func TestNoConfigurationRefuses(t *testing.T) {
-	made := newBench(t, "")
-	got := made.ask(http.MethodPost, "/q/"+jobID, body, "")
+func TestRefusesWithoutConfiguration(t *testing.T) {
+	made := newHarness(t, "")
+	got := made.send(http.MethodPost, "/q/"+jobID, submissionBody, "")
 	if got.Code != http.StatusServiceUnavailable || got.Header().Get("Retry-After") == "" {
 		t.Errorf("status %d, headers %v", got.Code, got.Header())
 	}
 }
 
-func TestJobFromHandingInToCancelling(t *testing.T) {
-	made := newBench(t, config)
-	if got := made.ask(http.MethodPost, "/q/"+jobID, body, ""); got.Code != http.StatusOK || !made.kept() {
-		t.Fatalf("status %d, kept %v", got.Code, made.kept())
+func TestJobLifecycle(t *testing.T) {
+	made := newHarness(t, routesConfiguration)
+	if got := made.send(http.MethodPost, "/q/"+jobID, submissionBody, ""); got.Code != http.StatusOK || !made.isStored() {
+		t.Fatalf("status %d, kept %v", got.Code, made.isStored())
 	}
-	if got := made.ask(http.MethodPost, "/q/"+jobID, body, ""); got.Code != http.StatusOK {
+	if got := made.send(http.MethodPost, "/q/"+jobID, submissionBody, ""); got.Code != http.StatusOK {
 		t.Fatalf("the same again: status %d", got.Code)
 	}
-	if got := made.ask(http.MethodGet, "/q/"+jobID, "", ""); got.Code != http.StatusOK || !strings.Contains(got.Body.String(), "queued") {
+	if got := made.send(http.MethodGet, "/q/"+jobID, "", ""); got.Code != http.StatusOK || !strings.Contains(got.Body.String(), "queued") {
 		t.Errorf("status %d, body %s", got.Code, got.Body)
 	}
-	if got := made.ask(http.MethodGet, "/q/", "", ""); !strings.Contains(got.Body.String(), `"pending":1`) {
+	if got := made.send(http.MethodGet, "/q/", "", ""); !strings.Contains(got.Body.String(), `"pending":1`) {
 		t.Errorf("pending: %s", got.Body)
 	}
-	if got := made.ask(http.MethodDelete, "/q/"+jobID, "", ""); got.Code != http.StatusOK {
+	if got := made.send(http.MethodDelete, "/q/"+jobID, "", ""); got.Code != http.StatusOK {
 		t.Errorf("cancel: status %d", got.Code)
 	}
 	for {
-		got := made.ask(http.MethodGet, "/q/"+jobID, "", "")
+		got := made.send(http.MethodGet, "/q/"+jobID, "", "")
 		if strings.Contains(got.Body.String(), "cancelled") {
 			return
 		}
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestRefusedMeansNotTaken: a job is refused only when the store has proved that
+// TestRefusedJobIsNotStored: a job is refused only when the store has proved that
 // it is not there; after any doubt the answer is neither yes nor no.
-func TestRefusedMeansNotTaken(t *testing.T) {
+func TestRefusedJobIsNotStored(t *testing.T) {
 	tests := map[string]struct {
 		faults []wirestore.Fault // of the appends of jobs, the last one from there on
 		status int
@@ -162,16 +162,16 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newBench(t, config)
+			made := newHarness(t, routesConfiguration)
 			count := 0
 			made.store.FailTopic(job.TopicJobs, func() wirestore.Fault {
 				fault := test.faults[min(count, len(test.faults)-1)]
 				count++
 				return fault
 			})
-			got := made.ask(http.MethodPost, "/q/"+jobID, body, "600")
-			if got.Code != test.status || made.kept() != test.kept {
-				t.Errorf("status %d, kept %v", got.Code, made.kept())
+			got := made.send(http.MethodPost, "/q/"+jobID, submissionBody, "600")
+			if got.Code != test.status || made.isStored() != test.kept {
+				t.Errorf("status %d, kept %v", got.Code, made.isStored())
 			}
 		})
 	}
--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -9,24 +9,24 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// pendingFresh is how long a count of waiting jobs is told again.
-const pendingFresh = 500 * time.Millisecond
+// pendingCountMaxAge is how long a count of waiting jobs is told again.
+const pendingCountMaxAge = 500 * time.Millisecond
 
 // pendingCount is what the owners of all shards said together.
 type pendingCount struct {
-	count int64
-	at    time.Time
+	count     int64
+	countedAt time.Time
 }
 
-// pending returns how many jobs of a queue wait, over all shards. It fails
+// pendingJobs returns how many jobs of a queue wait, over all shards. It fails
 // rather than leave a shard out.
-func (directory *directory) pending(ctx context.Context, queue string) (int64, error) {
+func (directory *ownerDirectory) pendingJobs(ctx context.Context, queue string) (int64, error) {
 	now := directory.options.Clock.Now()
-	if count, fresh := directory.countedLately(queue, now); fresh {
+	if count, fresh := directory.recentPendingCount(queue, now); fresh {
 		return count, nil
 	}
 	count := int64(0)
-	err := directory.untilAnswered(ctx, "ask the owners of all shards", func() (err error) {
+	err := directory.retryUntilAnswered(ctx, "ask the owners of all shards", func() (err error) {
 		count, err = directory.countPending(ctx, queue)
 		return err
 	})
@@ -35,21 +35,21 @@
 	}
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	directory.counts[queue] = pendingCount{count: count, at: now}
+	directory.pendingCounts[queue] = pendingCount{count: count, countedAt: now}
 	return count, nil
 }
 
-// countedLately returns the last count of a queue, if it may still be told.
-func (directory *directory) countedLately(queue string, now time.Time) (int64, bool) {
+// recentPendingCount returns the last count of a queue, if it may still be told.
+func (directory *ownerDirectory) recentPendingCount(queue string, now time.Time) (int64, bool) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	known, found := directory.counts[queue]
-	return known.count, found && now.Sub(known.at) < pendingFresh
+	known, found := directory.pendingCounts[queue]
+	return known.count, found && now.Sub(known.countedAt) < pendingCountMaxAge
 }
 
 // countPending asks the owner in this process and those of the other entries.
-func (directory *directory) countPending(ctx context.Context, queue string) (int64, error) {
-	directory.refresh(ctx, ownersFresh)
+func (directory *ownerDirectory) countPending(ctx context.Context, queue string) (int64, error) {
+	directory.refresh(ctx, ownersMaxAge)
 	request := &wire.PendingRequest{Queue: queue}
 	counted := map[int32]bool{}
 	total := int64(0)
@@ -65,7 +65,7 @@
 	}
 	note(own)
 	for _, member := range directory.peers() {
-		reply, err := directory.askPending(ctx, member, request)
+		reply, err := directory.requestPending(ctx, member, request)
 		if err != nil {
 			return 0, err
 		}
@@ -77,9 +77,9 @@
 	return total, nil
 }
 
-// askPending asks another entry how many jobs wait in its shards.
-func (directory *directory) askPending(ctx context.Context, member string, request *wire.PendingRequest) (*wire.PendingReply, error) {
+// requestPending asks another entry how many jobs wait in its shards.
+func (directory *ownerDirectory) requestPending(ctx context.Context, member string, request *wire.PendingRequest) (*wire.PendingReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	return directory.peer(member).Pending(ctx, request)
+	return directory.peerClient(member).Pending(ctx, request)
 }
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -48,10 +48,10 @@
 
 // Kernel holds the services of one process.
 type Kernel struct {
-	mu       sync.Mutex
-	services map[string]Service
-	order    []string
-	started  []string
+	mu         sync.Mutex
+	services   map[string]Service
+	registered []string
+	started    []string
 }
 
 // New returns a kernel without services.
@@ -70,7 +70,7 @@
 		return errors.Errorf("kernel: two services are named %q; rename one", service.Name)
 	}
 	kern.services[service.Name] = service
-	kern.order = append(kern.order, service.Name)
+	kern.registered = append(kern.registered, service.Name)
 	return nil
 }
 
@@ -88,7 +88,7 @@
 // Start starts every service in dependency order. When one fails, those that
 // had started are stopped again and the failure is returned.
 func (kern *Kernel) Start(ctx context.Context) error {
-	sorted, err := kern.sorted()
+	sorted, err := kern.startOrder()
 	if err != nil {
 		return err
 	}
@@ -138,9 +138,9 @@
 	return service.Start(ctx)
 }
 
-// sorted returns the services in dependency order; among those that are free
+// startOrder returns the services in dependency order; among those that are free
 // to start, in the order of registration.
-func (kern *Kernel) sorted() ([]Service, error) {
+func (kern *Kernel) startOrder() ([]Service, error) {
 	kern.mu.Lock()
 	defer kern.mu.Unlock()
 	var sorted []Service
@@ -168,7 +168,7 @@
 		sorted = append(sorted, service)
 		return nil
 	}
-	for _, name := range kern.order {
+	for _, name := range kern.registered {
 		if err := visit(name, "the kernel"); err != nil {
 			return nil, err
 		}
--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -12,7 +12,7 @@
 	"ambertiller.example/ambertiller/kernel"
 )
 
-func tracked(name string, trace *[]string, needs ...string) kernel.Service {
+func newTracedService(name string, trace *[]string, needs ...string) kernel.Service {
 	return kernel.Service{
 		Name: name, Needs: needs, Provides: name + "'s value",
 		Start: func(context.Context) error { *trace = append(*trace, "start "+name); return nil },
@@ -20,7 +20,7 @@
 	}
 }
 
-func build(t *testing.T, services ...kernel.Service) *kernel.Kernel {
+func newKernel(t *testing.T, services ...kernel.Service) *kernel.Kernel {
 	t.Helper()
 	kern := kernel.New()
 	for _, service := range services {
@@ -31,9 +31,9 @@
 	return kern
 }
 
-func TestOrder(t *testing.T) {
+func TestStartAndStopOrder(t *testing.T) {
 	var trace []string
-	kern := build(t, tracked("http", &trace, "role"), tracked("role", &trace, "pool", "log"), tracked("log", &trace), tracked("pool", &trace))
+	kern := newKernel(t, newTracedService("http", &trace, "role"), newTracedService("role", &trace, "pool", "log"), newTracedService("log", &trace), newTracedService("pool", &trace))
 	if err := kern.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -49,10 +49,10 @@
 	}
 }
 
-func TestFailedStartStopsTheStarted(t *testing.T) {
+func TestFailedStartStopsStartedServices(t *testing.T) {
 	var trace []string
 	bad := kernel.Service{Name: "bad", Needs: []string{"log"}, Start: func(context.Context) error { return errors.New("no room") }}
-	kern := build(t, tracked("log", &trace), bad, tracked("http", &trace, "bad"))
+	kern := newKernel(t, newTracedService("log", &trace), bad, newTracedService("http", &trace, "bad"))
 	if err := kern.Start(context.Background()); err == nil || !strings.Contains(err.Error(), "no room") {
 		t.Fatalf("got %v", err)
 	}
@@ -61,24 +61,24 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestErrors(t *testing.T) {
 	var trace []string
 	tests := map[string]struct {
 		services []kernel.Service
 		want     string
 	}{
-		"missing":  {[]kernel.Service{tracked("a", &trace, "b")}, `"b", which is not registered`},
-		"circular": {[]kernel.Service{tracked("a", &trace, "b"), tracked("b", &trace, "a")}, "need each other"},
+		"missing":  {[]kernel.Service{newTracedService("a", &trace, "b")}, `"b", which is not registered`},
+		"circular": {[]kernel.Service{newTracedService("a", &trace, "b"), newTracedService("b", &trace, "a")}, "need each other"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if err := build(t, test.services...).Start(context.Background()); err == nil || !strings.Contains(err.Error(), test.want) {
+			if err := newKernel(t, test.services...).Start(context.Background()); err == nil || !strings.Contains(err.Error(), test.want) {
 				t.Errorf("got %v", err)
 			}
 		})
 	}
-	kern := build(t, tracked("a", &trace))
-	if kern.Register(tracked("a", &trace)) == nil || kern.Register(kernel.Service{}) == nil {
+	kern := newKernel(t, newTracedService("a", &trace))
+	if kern.Register(newTracedService("a", &trace)) == nil || kern.Register(kernel.Service{}) == nil {
 		t.Error("a name in use or an empty one was taken")
 	}
 }
--- a/logline/logline.go
+++ b/logline/logline.go
@@ -17,14 +17,14 @@
 	"github.com/pkg/errors"
 )
 
-// lineBytesMost bounds a line; reading fails at a longer one.
-const lineBytesMost = 1 << 20
+// maxLineBytes bounds a line; reading fails at a longer one.
+const maxLineBytes = 1 << 20
 
 // Each calls visit with the JSON object of each line. The bytes are only valid until
 // visit returns.
 func Each(log io.Reader, visit func(object []byte)) error {
 	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, lineBytesMost)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		if begin := bytes.IndexByte(lines.Bytes(), '{'); begin >= 0 {
 			visit(lines.Bytes()[begin:])
--- a/loop/loop.go
+++ b/loop/loop.go
@@ -27,16 +27,16 @@
 const (
 	// queueLength is how many functions may be queued before Post waits.
 	queueLength = 4096
-	// batchMost bounds how many functions run before step does.
-	batchMost = 256
+	// maxBatch bounds how many functions run before step does.
+	maxBatch = 256
 )
 
 // Loop is a queue of functions that run one after another.
 type Loop struct {
-	clock clockwork.Clock
-	queue chan func(now time.Time)
-	done  chan struct{}
-	sleep suspension
+	clock      clockwork.Clock
+	queue      chan func(now time.Time)
+	done       chan struct{}
+	suspension suspension
 }
 
 // New returns a loop that runs nothing yet.
@@ -53,10 +53,10 @@
 	}
 }
 
-// Ask runs a function on the loop and waits for it. It reports false when the
+// Call runs a function on the loop and waits for it. It reports false when the
 // loop or ctx ended first; then the function never runs, so what it refers to may be
 // used again.
-func (decisions *Loop) Ask(ctx context.Context, run func(now time.Time)) bool {
+func (decisions *Loop) Call(ctx context.Context, run func(now time.Time)) bool {
 	answered := make(chan struct{})
 	// settled is set by whichever is first: the loop that runs the function, or the
 	// caller that gives it up.
@@ -92,22 +92,22 @@
 			return
 		case <-ticker.Chan():
 		case run := <-decisions.queue:
-			decisions.do(run)
-			decisions.drain()
+			decisions.execute(run)
+			decisions.executeBatch()
 		}
-		decisions.do(step)
+		decisions.execute(step)
 	}
 }
 
-// RunOne waits for one function and runs it, for tests that make the decisions of
+// RunNext waits for one function and runs it, for tests that make the decisions of
 // a loop themselves.
-func (decisions *Loop) RunOne(now time.Time) {
+func (decisions *Loop) RunNext(now time.Time) {
 	run := <-decisions.queue
 	run(now)
 }
 
-// RunAny runs the next function if one is queued, for the same tests, and reports whether it has.
-func (decisions *Loop) RunAny(now time.Time) bool {
+// TryRunNext runs the next function if one is queued, for the same tests, and reports whether it has.
+func (decisions *Loop) TryRunNext(now time.Time) bool {
 	select {
 	case run := <-decisions.queue:
 		run(now)
@@ -117,19 +117,19 @@
 	}
 }
 
-// do runs a function, after what a suspension before it has to change.
-func (decisions *Loop) do(run func(now time.Time)) {
+// execute runs a function, after what a suspension before it has to change.
+func (decisions *Loop) execute(run func(now time.Time)) {
 	now := decisions.clock.Now()
-	decisions.sleep.note(now)
+	decisions.suspension.check(now)
 	run(now)
 }
 
-// drain runs what is queued, a batch at most, so that step is not kept waiting.
-func (decisions *Loop) drain() {
-	for range batchMost {
+// executeBatch runs what is queued, a batch at most, so that step is not kept waiting.
+func (decisions *Loop) executeBatch() {
+	for range maxBatch {
 		select {
 		case run := <-decisions.queue:
-			decisions.do(run)
+			decisions.execute(run)
 		default:
 			return
 		}
--- a/loop/suspension_test.go
+++ b/loop/suspension_test.go
@@ -9,7 +9,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-func TestWorthALook(t *testing.T) {
+func TestShouldCheck(t *testing.T) {
 	tests := map[string]struct {
 		steady, wall time.Duration
 		want         bool
@@ -23,16 +23,16 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := worthALook(test.steady, test.wall); got != test.want {
+			if got := shouldCheck(test.steady, test.wall); got != test.want {
 				t.Errorf("%v", got)
 			}
 		})
 	}
 }
 
-// TestWokenFirst: what was on its way when the machine was suspended runs only after what it
+// TestResumeHandlerRunsFirst: what was on its way when the machine was suspended runs only after what it
 // decides by has been made older.
-func TestWokenFirst(t *testing.T) {
+func TestResumeHandlerRunsFirst(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	decisions := New(clock)
 	var total atomic.Int64
@@ -44,14 +44,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	total.Store(int64(5 * time.Second))
-	clock.Advance(lookEvery)
+	clock.Advance(checkInterval)
 	seen := make(chan time.Duration, 1)
 	go decisions.Run(ctx, time.Hour, func(time.Time) {})
 	decisions.Post(func(time.Time) { seen <- older })
 	if got := <-seen; got != 5*time.Second {
 		t.Errorf("ran with what was known %v older", got)
 	}
-	if !decisions.Ask(ctx, func(time.Time) { seen <- older + decisions.Suspended() }) {
+	if !decisions.Call(ctx, func(time.Time) { seen <- older + decisions.SuspendedFor() }) {
 		t.Fatal("not asked")
 	}
 	if got := <-seen; got != 10*time.Second {
--- a/owner/candidacy.go
+++ b/owner/candidacy.go
@@ -127,7 +127,7 @@
 // none, those that are registered in the store.
 func (owner *Owner) countAgents(ctx context.Context, seat *candidacy.Candidacy) {
 	count := 0
-	if !owner.eventLoop.Ask(ctx, func(time.Time) { count = len(owner.agents) }) {
+	if !owner.eventLoop.Call(ctx, func(time.Time) { count = len(owner.agents) }) {
 		return
 	}
 	if count > 0 {
@@ -165,7 +165,7 @@
 // has ended.
 func (owner *Owner) updateSession(ctx context.Context, seat *candidacy.Candidacy) bool {
 	isCandidate := false
-	if !owner.eventLoop.Ask(ctx, func(now time.Time) { isCandidate = seat.Decide(len(owner.shards), now) }) {
+	if !owner.eventLoop.Call(ctx, func(now time.Time) { isCandidate = seat.Decide(len(owner.shards), now) }) {
 		return false
 	}
 	switch {
@@ -185,7 +185,7 @@
 
 // startSession joins the group of owners and connects to all agents.
 func (owner *Owner) startSession(ctx context.Context) *ownerSession {
-	owner.eventLoop.Ask(ctx, func(time.Time) { owner.agentsDropped = false })
+	owner.eventLoop.Call(ctx, func(time.Time) { owner.agentsDropped = false })
 	session := &ownerSession{joinDone: make(chan struct{})}
 	session.joinCtx, session.cancelJoin = context.WithCancel(owner.ctx)
 	agentsCtx, disconnectAgents := context.WithCancel(owner.ctx)
@@ -209,14 +209,14 @@
 	session.cancelJoin()
 	<-session.joinDone
 	// Once the event loop has ended there is nothing left to release.
-	owner.eventLoop.Ask(ctx, func(now time.Time) {
+	owner.eventLoop.Call(ctx, func(now time.Time) {
 		for _, s := range owner.shards {
 			owner.releaseShard(s, reason, now)
 		}
 	})
 	err := owner.leaveGroup(ctx, job.OwnersGroup, owner.MemberName())
 	session.disconnectAgents()
-	owner.eventLoop.Ask(ctx, func(time.Time) { owner.dropAgents() })
+	owner.eventLoop.Call(ctx, func(time.Time) { owner.dropAgents() })
 	return err
 }
 
--- a/owner/candidacy_test.go
+++ b/owner/candidacy_test.go
@@ -80,7 +80,7 @@
 // over all entries.
 func (g *entryGroup) counts() (views, shards int) {
 	for _, owner := range g.owners {
-		owner.eventLoop.Ask(context.Background(), func(time.Time) { views += len(owner.agents) })
+		owner.eventLoop.Call(context.Background(), func(time.Time) { views += len(owner.agents) })
 		shards += len(ownedEpochs(owner))
 	}
 	return views, shards
--- a/owner/forget_test.go
+++ b/owner/forget_test.go
@@ -84,7 +84,7 @@
 // runPending gives what is on its way a moment, and runs what has come back.
 func (made *harness) runPending() {
 	time.Sleep(2 * time.Millisecond)
-	for made.owner.eventLoop.RunAny(made.clock.Now()) {
+	for made.owner.eventLoop.TryRunNext(made.clock.Now()) {
 	}
 }
 
--- a/owner/harness_test.go
+++ b/owner/harness_test.go
@@ -152,7 +152,7 @@
 // awaitWrites waits until the shard's pending writes to the store have been answered.
 func (h *harness) awaitWrites() {
 	for h.shard.writing {
-		h.owner.eventLoop.RunOne(h.clock.Now())
+		h.owner.eventLoop.RunNext(h.clock.Now())
 	}
 }
 
--- a/owner/membership.go
+++ b/owner/membership.go
@@ -41,8 +41,8 @@
 		lost = time.Time{}
 		changed := deal.Generation != heard
 		heard = deal.Generation
-		if !owner.eventLoop.Ask(ctx, func(now time.Time) {
-			owner.applyAssignment(deal, sent.Add(min(sentAfter-owner.eventLoop.Suspended(), 0)), now)
+		if !owner.eventLoop.Call(ctx, func(now time.Time) {
+			owner.applyAssignment(deal, sent.Add(min(sentAfter-owner.eventLoop.SuspendedFor(), 0)), now)
 		}) {
 			return
 		}
--- a/owner/membership_test.go
+++ b/owner/membership_test.go
@@ -33,7 +33,7 @@
 
 func ownedEpochs(asked *Owner) map[int]int64 {
 	found := map[int]int64{}
-	asked.eventLoop.Ask(context.Background(), func(time.Time) {
+	asked.eventLoop.Call(context.Background(), func(time.Time) {
 		for number, held := range asked.shards {
 			if held.loaded {
 				found[number] = held.epoch
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -50,8 +50,8 @@
 }
 
 func (made *metrics) recordJobEnd(ctx context.Context, of *job.Job) {
-	made.jobsEnded.Add(ctx, 1, telemetry.By("state", of.State().String()))
-	made.jobDuration.Record(ctx, of.EndedAt().Sub(time.UnixMilli(of.Submission().GetSubmittedMs())).Seconds(), telemetry.By("queue", of.Submission().GetQueue()))
+	made.jobsEnded.Add(ctx, 1, telemetry.WithAttribute("state", of.State().String()))
+	made.jobDuration.Record(ctx, of.EndedAt().Sub(time.UnixMilli(of.Submission().GetSubmittedMs())).Seconds(), telemetry.WithAttribute("queue", of.Submission().GetQueue()))
 }
 
 // gaugeInterval is how often the gauges are set: metrics are read every few seconds.
--- a/owner/peer.go
+++ b/owner/peer.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read the shard to its end")
 	}
-	owner.eventLoop.Ask(ctx, func(now time.Time) { owner.applyRecords(held, tail, now) })
+	owner.eventLoop.Call(ctx, func(now time.Time) { owner.applyRecords(held, tail, now) })
 	reply, held, _ = owner.findJob(ctx, request.GetId())
 	if held == nil {
 		return nil, &NotOwnedError{shard: int(request.GetShard())}
@@ -46,7 +46,7 @@
 	reply := &wire.JobStateReply{}
 	var found *shard
 	next := int64(0)
-	asked := owner.eventLoop.Ask(ctx, func(time.Time) {
+	asked := owner.eventLoop.Call(ctx, func(time.Time) {
 		held, made := owner.loadedJob(id)
 		if held == nil {
 			return
@@ -76,7 +76,7 @@
 // this entry owns, none of whose tasks has begun.
 func (owner *Owner) Pending(ctx context.Context, request *wire.PendingRequest) (*wire.PendingReply, error) {
 	reply := &wire.PendingReply{}
-	asked := owner.eventLoop.Ask(ctx, func(time.Time) {
+	asked := owner.eventLoop.Call(ctx, func(time.Time) {
 		for _, held := range owner.shards {
 			if !held.loaded {
 				continue
--- a/owner/remember.go
+++ b/owner/remember.go
@@ -59,7 +59,7 @@
 // reports false once this owner is not to write any more.
 func (owner *Owner) writeLearned(record *learnedRecord) bool {
 	var learned []*job.Interference
-	if !owner.eventLoop.Ask(record.shard.ctx, func(time.Time) { learned = record.shard.learned.meansExcluding(nil) }) {
+	if !owner.eventLoop.Call(record.shard.ctx, func(time.Time) { learned = record.shard.learned.meansExcluding(nil) }) {
 		return false
 	}
 	value, err := proto.Marshal(&job.Learned{Pairs: pairsToStore(learned)})
--- a/owner/remember_test.go
+++ b/owner/remember_test.go
@@ -36,14 +36,14 @@
 	held := made.addInterferenceShard(ctx, 4)
 	held.learned.update(made.agent, []*job.Interference{{Serving: "s", Fill: "f", Weight: 0.5, Readings: 55}})
 	go made.owner.persistLearned(held)
-	made.owner.eventLoop.RunOne(made.clock.Now()) // Nothing is remembered yet.
+	made.owner.eventLoop.RunNext(made.clock.Now()) // Nothing is remembered yet.
 	for range 2 {
 		// The second time it is the same, and is not written again.
 		if err := made.clock.BlockUntilContext(ctx, 1); err != nil {
 			t.Fatal(err)
 		}
 		made.clock.Advance(learnedWriteInterval)
-		made.owner.eventLoop.RunOne(made.clock.Now())
+		made.owner.eventLoop.RunNext(made.clock.Now())
 	}
 	if err := made.clock.BlockUntilContext(ctx, 1); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	next := after.addInterferenceShard(ctx, 5)
 	after.agent.learnedSentAt = after.clock.Now()
 	go after.owner.persistLearned(next)
-	after.owner.eventLoop.RunOne(after.clock.Now())
+	after.owner.eventLoop.RunNext(after.clock.Now())
 	weight, readings := learnedWeight(next.learned.meansExcluding(after.agent))
 	if weight != 0.5 || readings != maxStoredReadings {
 		t.Errorf("the next owner tells a weight of %v by %d readings", weight, readings)
--- a/owner/runs.go
+++ b/owner/runs.go
@@ -105,7 +105,7 @@
 		return
 	}
 	owner.logRun(event.RunNotStarted, entry, slog.String("worker", entry.place.Incarnation.WorkerID()), slog.String("outcome", result.GetOutcome().String()))
-	owner.metrics.startsRefused.Add(owner.ctx, 1, telemetry.By("outcome", result.GetOutcome().String()))
+	owner.metrics.startsRefused.Add(owner.ctx, 1, telemetry.WithAttribute("outcome", result.GetOutcome().String()))
 	made := entry.task.Job()
 	if result.GetOutcome() == wire.StartOutcome_START_NO_ROOM {
 		entry.task.AddRefusal()
@@ -180,7 +180,7 @@
 	owner.log(event.RunEnded, slog.String("task", end.GetTask()), slog.Int("attempt", int(end.GetAttempt())),
 		slog.String("worker", end.GetWorker()), slog.String("how", end.GetReason().String()), slog.Duration("ran", now.Sub(task.StartedAt())),
 		slog.Duration("recorded", recorded))
-	owner.metrics.runsEnded.Add(owner.ctx, 1, telemetry.By("reason", end.GetReason().String()))
+	owner.metrics.runsEnded.Add(owner.ctx, 1, telemetry.WithAttribute("reason", end.GetReason().String()))
 	if reason.IsCrash() && task.State() == job.TaskState_TASK_FAILED {
 		owner.log(event.TaskGivenUp, slog.String("task", end.GetTask()), slog.Int("crashes", task.Crashes()), slog.Int("doubts", task.AmbiguousCrashes()))
 	}
@@ -249,7 +249,7 @@
 	made := entry.task.Job()
 	owner.logRun(event.RunLost, entry, slog.String("worker", entry.place.Incarnation.WorkerID()), slog.Int64("born", entry.place.Incarnation.StartedMs()), slog.String("reason", reason), slog.Duration("after", now.Sub(entry.task.StartedAt())),
 		slog.Bool("attached", view.conn != nil), slog.Duration("unheard", now.Sub(view.lastMessageAt)), slog.Bool("inherited", entry.inherited))
-	owner.metrics.runsLost.Add(owner.ctx, 1, telemetry.By("reason", reason))
+	owner.metrics.runsLost.Add(owner.ctx, 1, telemetry.WithAttribute("reason", reason))
 	made.Requeue(entry.task, now)
 	owner.markRunOver(entry.shard, made, view)
 	entry.shard.removeIfSettled(made)
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -86,7 +86,7 @@
 	}
 	made.clock.Advance(time.Minute)
 	made.tick()
-	made.owner.eventLoop.RunOne(made.clock.Now()) // What was handed in is dropped.
+	made.owner.eventLoop.RunNext(made.clock.Now()) // What was handed in is dropped.
 	made.tick()
 	made.awaitWrites()
 	if made.shard.jobs[jobID] != nil {
@@ -106,7 +106,7 @@
 		if _, err := made.owner.Taken(context.Background(), request); err != nil {
 			t.Fatal(err)
 		}
-		made.owner.eventLoop.RunOne(made.clock.Now())
+		made.owner.eventLoop.RunNext(made.clock.Now())
 	}
 	handed := newRecord(t, job.SubmissionKey(jobID), newSubmission())
 	tell(handed)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -38,10 +38,10 @@
 // Placement is the name of the policy that places tasks.
 const Placement = "placement"
 
-// BuiltIn scores when no policy is published or the published one fails: it
+// BuiltInPlacement scores when no policy is published or the published one fails: it
 // prefers workers whose processors are least committed and whose service is
 // least busy, and keeps accelerators for those who ask for them.
-const BuiltIn = `worker.free_processors / worker.processors - worker.load - (task.accelerators == 0 ? 0.1 * worker.free_accelerators : 0)`
+const BuiltInPlacement = `worker.free_processors / worker.processors - worker.load - (task.accelerators == 0 ? 0.1 * worker.free_accelerators : 0)`
 
 // Task is what a program knows of the task.
 type Task struct {
@@ -118,18 +118,18 @@
 	if err != nil {
 		return nil, syntaxError(err)
 	}
-	if err := checkBounded(source, compiled); err != nil {
+	if err := checkCost(source, compiled); err != nil {
 		return nil, err
 	}
 	return &Program{source: source, compiled: compiled}, nil
 }
 
-// checkBounded refuses what makes a program's cost grow beyond its length. The
+// checkCost refuses what makes a program's cost grow beyond its length. The
 // case: the functions that walk a list with a predicate (all, map, sum, ...)
 // are not among those that the language lets one disable.
-func checkBounded(source string, compiled *vm.Program) error {
+func checkCost(source string, compiled *vm.Program) error {
 	node := compiled.Node()
-	found := &walks{}
+	found := &iterationFinder{}
 	ast.Walk(&node, found)
 	if found.message == "" {
 		return nil
@@ -138,25 +138,25 @@
 	return &SyntaxError{Line: located.Line, Column: located.Column + 1, Message: found.message}
 }
 
-// walks finds the first part of a program that walks a list or a range.
-type walks struct {
+// iterationFinder finds the first part of a program that walks a list or a range.
+type iterationFinder struct {
 	message  string
 	location file.Location
 }
 
 // Visit implements ast.Visitor.
-func (found *walks) Visit(node *ast.Node) {
+func (found *iterationFinder) Visit(node *ast.Node) {
 	switch part := (*node).(type) {
 	case *ast.PredicateNode:
-		found.note(part.Location(), "a policy can't walk lists; compare the inputs one by one")
+		found.report(part.Location(), "a policy can't walk lists; compare the inputs one by one")
 	case *ast.BinaryNode:
 		if part.Operator == ".." {
-			found.note(part.Location(), "a policy can't make a range; compare the inputs one by one")
+			found.report(part.Location(), "a policy can't make a range; compare the inputs one by one")
 		}
 	}
 }
 
-func (found *walks) note(location file.Location, message string) {
+func (found *iterationFinder) report(location file.Location, message string) {
 	if found.message == "" {
 		found.message, found.location = message, location
 	}
@@ -175,18 +175,18 @@
 
 // Runner runs programs for one goroutine and reuses its memory.
 type Runner struct {
-	machine vm.VM
+	vm vm.VM
 }
 
 // NewRunner returns a Runner.
 func NewRunner() *Runner {
-	return &Runner{machine: vm.VM{MemoryBudget: memoryBudget}}
+	return &Runner{vm: vm.VM{MemoryBudget: memoryBudget}}
 }
 
 // Score runs a program. It fails when the program does, or when it returns
 // something that can't be compared.
 func (runner *Runner) Score(program *Program, inputs *Inputs) (float64, error) {
-	value, err := runner.machine.Run(program.compiled, inputs)
+	value, err := runner.vm.Run(program.compiled, inputs)
 	if err != nil {
 		return 0, errors.Wrap(err, "the policy failed")
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -26,7 +26,7 @@
 		"inputs":           {"worker.free_processors - task.processors", 12, false},
 		"a choice":         {`task.kind == "transcription" ? 1 : 0`, 1, false},
 		"the functions":    {"min(worker.load, 1) + max(2, 1) + abs(-1)", 3.25, false},
-		"built in":         {policy.BuiltIn, 0.15, false},
+		"built in":         {policy.BuiltInPlacement, 0.15, false},
 		"division by zero": {"worker.latency / worker.latency", 0, true},
 	}
 	for name, test := range tests {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestCompileFaults(t *testing.T) {
+func TestCompileErrors(t *testing.T) {
 	tests := map[string]struct {
 		source       string
 		line, column int
@@ -94,7 +94,7 @@
 
 // FuzzCompile: a program that compiles gives a score or an error, never a panic.
 func FuzzCompile(f *testing.F) {
-	for _, seed := range []string{"1", policy.BuiltIn, "worker.nam", `task.kind == "x" ? 1 : 0`, "1/0", "[1][5]", "nil", "{}.a.b"} {
+	for _, seed := range []string{"1", policy.BuiltInPlacement, "worker.nam", `task.kind == "x" ? 1 : 0`, "1/0", "[1][5]", "nil", "{}.a.b"} {
 		f.Add(seed)
 	}
 	runner := policy.NewRunner()
@@ -109,7 +109,7 @@
 
 // BenchmarkScore is the cost of one worker in one decision.
 func BenchmarkScore(b *testing.B) {
-	program, err := policy.Compile(policy.BuiltIn)
+	program, err := policy.Compile(policy.BuiltInPlacement)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/telemetry/meter.go
+++ b/telemetry/meter.go
@@ -18,7 +18,7 @@
 	return provider.Meter(meterPrefix + name)
 }
 
-// By returns the attribute that tells one count from another.
-func By(key, value string) metric.MeasurementOption {
+// WithAttribute returns the attribute that tells one count from another.
+func WithAttribute(key, value string) metric.MeasurementOption {
 	return metric.WithAttributes(attribute.String(key, value))
 }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -34,14 +34,14 @@
 	OTLPEndpoint string
 }
 
-// Metering holds the metrics of one process.
-type Metering struct {
+// Metrics holds the metrics of one process.
+type Metrics struct {
 	provider *sdk.MeterProvider
 	registry *prometheus.Registry
 }
 
 // New sets metrics up.
-func New(ctx context.Context, options Options) (*Metering, error) {
+func New(ctx context.Context, options Options) (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	scraped, err := otelprometheus.New(otelprometheus.WithRegisterer(registry))
@@ -62,18 +62,18 @@
 		}
 		providerOptions = append(providerOptions, sdk.WithReader(sdk.NewPeriodicReader(pushed)))
 	}
-	return &Metering{provider: sdk.NewMeterProvider(providerOptions...), registry: registry}, nil
+	return &Metrics{provider: sdk.NewMeterProvider(providerOptions...), registry: registry}, nil
 }
 
 // Provider returns what instruments are made of.
-func (metering *Metering) Provider() metric.MeterProvider { return metering.provider }
+func (metering *Metrics) Provider() metric.MeterProvider { return metering.provider }
 
 // Handler answers scrapes.
-func (metering *Metering) Handler() http.Handler {
+func (metering *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(metering.registry, promhttp.HandlerOpts{})
 }
 
 // Shutdown pushes what is left and stops.
-func (metering *Metering) Shutdown(ctx context.Context) error {
+func (metering *Metrics) Shutdown(ctx context.Context) error {
 	return errors.Wrap(metering.provider.Shutdown(ctx), "stop metrics")
 }
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -22,36 +22,36 @@
 	"ambertiller.example/ambertiller/logline"
 )
 
-// gapLeast is from which time on a silence is named.
-const gapLeast = time.Second
+// minGap is from which time on a silence is named.
+const minGap = time.Second
 
 // event is one line of a log.
 type event struct {
-	at    time.Time
-	node  string
-	title string
-	rest  []string
+	at         time.Time
+	process    string
+	message    string
+	attributes []string
 }
 
-// Life is what happened to one job, in order.
-type Life struct {
+// Timeline is what happened to one job, in order.
+type Timeline struct {
 	id     string
 	events []event
 }
 
 // Read finds the lines about an ID in logs.
-func Read(id string, logs ...io.Reader) (Life, error) {
-	life := Life{id: id}
+func Read(id string, logs ...io.Reader) (Timeline, error) {
+	life := Timeline{id: id}
 	for _, log := range logs {
-		if err := life.read(log); err != nil {
-			return Life{}, err
+		if err := life.readLog(log); err != nil {
+			return Timeline{}, err
 		}
 	}
 	slices.SortStableFunc(life.events, func(a, b event) int { return a.at.Compare(b.at) })
 	return life, nil
 }
 
-func (life *Life) read(log io.Reader) error {
+func (life *Timeline) readLog(log io.Reader) error {
 	return logline.Each(log, func(object []byte) {
 		if !bytes.Contains(object, []byte(life.id)) {
 			return
@@ -61,13 +61,13 @@
 			// A line that was cut off, or is not a log's.
 			return
 		}
-		if life.concerns(fields) {
-			life.events = append(life.events, decode(fields))
+		if life.matches(fields) {
+			life.events = append(life.events, decodeEvent(fields))
 		}
 	})
 }
 
-func (life *Life) concerns(fields map[string]any) bool {
+func (life *Timeline) matches(fields map[string]any) bool {
 	for _, key := range []string{"job", "request", "request_id"} {
 		if fields[key] == life.id {
 			return true
@@ -77,8 +77,8 @@
 	return isText && (task == life.id || strings.HasPrefix(task, life.id+"."))
 }
 
-func decode(fields map[string]any) event {
-	found := event{title: fmt.Sprint(fields["msg"]), node: fmt.Sprint(fields["name"])}
+func decodeEvent(fields map[string]any) event {
+	found := event{message: fmt.Sprint(fields["msg"]), process: fmt.Sprint(fields["name"])}
 	if text, isText := fields["time"].(string); isText {
 		// A time that can't be read sorts first, where it is seen.
 		found.at, _ = time.Parse(time.RFC3339Nano, text)
@@ -87,38 +87,38 @@
 		if slices.Contains([]string{"time", "level", "msg", "role", "name", "event", "job"}, key) {
 			continue
 		}
-		found.rest = append(found.rest, key+"="+show(key, value))
+		found.attributes = append(found.attributes, key+"="+formatValue(key, value))
 	}
-	slices.Sort(found.rest)
+	slices.Sort(found.attributes)
 	return found
 }
 
-// durations names the attributes that hold nanoseconds.
-var durations = []string{"took", "age", "after", "ran", "retry_after", "since", "past_objective", "held", "valid", "waited", "recorded", "allowed", "left", "remaining"}
+// durationKeys names the attributes that hold nanoseconds.
+var durationKeys = []string{"took", "age", "after", "ran", "retry_after", "since", "past_objective", "held", "valid", "waited", "recorded", "allowed", "left", "remaining"}
 
-func show(key string, value any) string {
+func formatValue(key string, value any) string {
 	number, isNumber := value.(float64)
-	if isNumber && slices.Contains(durations, key) {
+	if isNumber && slices.Contains(durationKeys, key) {
 		return time.Duration(number).Round(time.Millisecond).String()
 	}
 	return fmt.Sprint(value)
 }
 
-// Empty reports whether no line was found.
-func (life *Life) Empty() bool { return len(life.events) == 0 }
+// IsEmpty reports whether no line was found.
+func (life *Timeline) IsEmpty() bool { return len(life.events) == 0 }
 
 // Lines returns a line for each event, with the time since the first one, and one
 // for each silence of a second or more.
-func (life *Life) Lines() []string {
+func (life *Timeline) Lines() []string {
 	var lines []string
 	for index, one := range life.events {
 		if index > 0 {
-			if gap := one.at.Sub(life.events[index-1].at); gap >= gapLeast {
+			if gap := one.at.Sub(life.events[index-1].at); gap >= minGap {
 				lines = append(lines, fmt.Sprintf("%10s  nothing was logged for %s", "", gap.Round(time.Millisecond)))
 			}
 		}
 		since := one.at.Sub(life.events[0].at).Round(time.Millisecond)
-		lines = append(lines, strings.TrimRight(fmt.Sprintf("%10s  %-18s %-22s %s", since, one.node, one.title, strings.Join(one.rest, " ")), " "))
+		lines = append(lines, strings.TrimRight(fmt.Sprintf("%10s  %-18s %-22s %s", since, one.process, one.message, strings.Join(one.attributes, " ")), " "))
 	}
 	return lines
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -11,8 +11,8 @@
 	"ambertiller.example/ambertiller/trace"
 )
 
-// TestLives: the logs of several processes in a folder give the page beside it.
-func TestLives(t *testing.T) {
+// TestTimelines: the logs of several processes in a folder give the page beside it.
+func TestTimelines(t *testing.T) {
 	folders, err := filepath.Glob("testdata/*/id")
 	if err != nil || len(folders) == 0 {
 		t.Fatal(folders, err)
@@ -21,13 +21,13 @@
 		folder := filepath.Dir(id)
 		name := filepath.Base(folder)
 		t.Run(name, func(t *testing.T) {
-			life := read(t, folder)
+			life := readTimeline(t, folder)
 			goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, name, []byte(strings.Join(life.Lines(), "\n")+"\n"))
 		})
 	}
 }
 
-func read(t *testing.T, folder string) trace.Life {
+func readTimeline(t *testing.T, folder string) trace.Timeline {
 	id, err := os.ReadFile(filepath.Join(folder, "id"))
 	if err != nil {
 		t.Fatal(err)
@@ -51,9 +51,9 @@
 	return life
 }
 
-func TestNothingFound(t *testing.T) {
+func TestNoMatchingLines(t *testing.T) {
 	life, err := trace.Read("0123456789abcdef", strings.NewReader("{\"msg\":\"run placed\",\"task\":\"ffffffffffffffff.0.0.0\"}\nnot a log\n{cut off 0123456789abcdef"))
-	if err != nil || !life.Empty() {
+	if err != nil || !life.IsEmpty() {
 		t.Errorf("got %v, %v", life.Lines(), err)
 	}
 }
