--- a/command/platform.go
+++ b/command/platform.go
@@ -106,7 +106,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if count := writer.Dropped(); count > 0 {
+			if count := writer.TakeDropped(); count > 0 {
 				events.Log(ctx, event.LinesDropped, slog.Int("count", count))
 			}
 		}
--- a/command/report.go
+++ b/command/report.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	if found.Lines == 0 {
+	if found.LineCount == 0 {
 		return &exitError{code: ExitNotFound, cause: errors.New("the logs hold no structured lines; name the files that processes wrote with their standard output")}
 	}
 	if page != "" {
@@ -58,7 +58,7 @@
 		return errors.Wrap(err, "create the page; name a file in a folder that may be written")
 	}
 	defer file.Close() //nolint:errcheck // Sync has told whether it is whole.
-	if err := found.WritePage(file); err != nil {
+	if err := found.WriteHTML(file); err != nil {
 		return err
 	}
 	return errors.Wrap(file.Sync(), "write the page")
--- a/event/async.go
+++ b/event/async.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// asyncBytes bounds the lines that wait for their reader.
-	asyncBytes = 256 << 10
-	// asyncPerSecond bounds the bytes written in a second, so that a flood of
+	// maxPendingBytes bounds the lines that wait for their reader.
+	maxPendingBytes = 256 << 10
+	// maxBytesPerSecond bounds the bytes written in a second, so that a flood of
 	// lines does not use up the process's share of a core.
-	asyncPerSecond = 512 << 10
+	maxBytesPerSecond = 512 << 10
 )
 
 // AsyncWriter passes lines on without making whoever logs wait for the reader.
@@ -21,13 +21,13 @@
 type AsyncWriter struct {
 	out io.Writer
 
-	mu      sync.Mutex
-	pending bytes.Buffer
-	dropped int
-	budget  int
-	second  time.Time
-	now     func() time.Time
-	wake    chan struct{}
+	mu          sync.Mutex
+	pending     bytes.Buffer
+	dropped     int
+	bytesLeft   int
+	secondStart time.Time
+	now         func() time.Time
+	wake        chan struct{}
 }
 
 // NewAsyncWriter returns a writer that passes nothing on until Run. now is the
@@ -41,14 +41,14 @@
 	writer.mu.Lock()
 	defer writer.mu.Unlock()
 	now := writer.now()
-	if now.Sub(writer.second) >= time.Second {
-		writer.second, writer.budget = now, asyncPerSecond
+	if now.Sub(writer.secondStart) >= time.Second {
+		writer.secondStart, writer.bytesLeft = now, maxBytesPerSecond
 	}
-	if writer.pending.Len()+len(line) > asyncBytes || writer.budget < len(line) {
+	if writer.pending.Len()+len(line) > maxPendingBytes || writer.bytesLeft < len(line) {
 		writer.dropped++
 		return len(line), nil
 	}
-	writer.budget -= len(line)
+	writer.bytesLeft -= len(line)
 	writer.pending.Write(line)
 	select {
 	case writer.wake <- struct{}{}:
@@ -57,8 +57,8 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out since it was last asked.
-func (writer *AsyncWriter) Dropped() int {
+// TakeDropped returns how many lines were left out since it was last asked.
+func (writer *AsyncWriter) TakeDropped() int {
 	writer.mu.Lock()
 	defer writer.mu.Unlock()
 	count := writer.dropped
@@ -71,15 +71,15 @@
 	for {
 		select {
 		case <-ctx.Done():
-			writer.passOn()
+			writer.flush()
 			return
 		case <-writer.wake:
-			writer.passOn()
+			writer.flush()
 		}
 	}
 }
 
-func (writer *AsyncWriter) passOn() {
+func (writer *AsyncWriter) flush() {
 	writer.mu.Lock()
 	lines := bytes.Clone(writer.pending.Bytes())
 	writer.pending.Reset()
--- a/event/async_test.go
+++ b/event/async_test.go
@@ -10,24 +10,24 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// held is a reader that takes nothing until it is let go.
-type held struct {
-	mu    sync.Mutex
-	taken bytes.Buffer
-	let   chan struct{}
+// blockedWriter is a reader that takes nothing until it is let go.
+type blockedWriter struct {
+	mu      sync.Mutex
+	written bytes.Buffer
+	unblock chan struct{}
 }
 
-func (reader *held) Write(text []byte) (int, error) {
-	<-reader.let
+func (reader *blockedWriter) Write(text []byte) (int, error) {
+	<-reader.unblock
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
-	return reader.taken.Write(text)
+	return reader.written.Write(text)
 }
 
-// TestAReaderThatStandsStillHoldsNobodyUp writes far more than is kept while
+// TestWriteDoesNotBlock writes far more than is kept while
 // nobody reads: no write waits, and what is left out is counted.
-func TestAReaderThatStandsStillHoldsNobodyUp(t *testing.T) {
-	reader := &held{let: make(chan struct{})}
+func TestWriteDoesNotBlock(t *testing.T) {
+	reader := &blockedWriter{unblock: make(chan struct{})}
 	now := time.Unix(0, 0)
 	writer := event.NewAsyncWriter(reader, func() time.Time { return now })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -44,11 +44,11 @@
 			t.Fatal(err)
 		}
 	}
-	dropped := writer.Dropped()
-	close(reader.let)
+	dropped := writer.TakeDropped()
+	close(reader.unblock)
 	cancel()
 	<-ended
-	passed := reader.taken.Len() / len(line)
+	passed := reader.written.Len() / len(line)
 	if dropped == 0 || dropped+passed != lines {
 		t.Errorf("%d dropped, %d passed on, of %d", dropped, passed, lines)
 	}
@@ -72,7 +72,7 @@
 					t.Fatal(err)
 				}
 			}
-			if kept := test.lines - writer.Dropped(); kept != test.kept {
+			if kept := test.lines - writer.TakeDropped(); kept != test.kept {
 				t.Errorf("%d lines were kept", kept)
 			}
 		})
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -168,32 +168,32 @@
 
 // Entry describes one event.
 type Entry struct {
-	Code  Code
-	Level slog.Level
-	Title string
-	Text  string
-	Since string
+	Code        Code
+	Level       slog.Level
+	Title       string
+	Description string
+	Since       string
 }
 
 const (
 	firstRelease    = "0.1"
 	platformRelease = "0.2"
-	// preemptRelease is the one with pre-emption and leaving workers.
-	preemptRelease = "0.3"
+	// preemptionRelease is the one with pre-emption and leaving workers.
+	preemptionRelease = "0.3"
 	// reportRelease is the one with reports from logs.
 	reportRelease = "0.4"
-	// sizeRelease is the one for deployments of hundreds of machines.
-	sizeRelease = "0.5"
-	// shiftRelease is the one for work that has shifted.
-	shiftRelease = "0.6"
-	// crashRelease is the one for tasks that bring workers down.
-	crashRelease = "0.7"
-	// settleRelease is the one in which it can be told how each end was settled.
-	settleRelease = "0.8"
-	// rebornRelease is the one that tells the lives of a worker apart.
-	rebornRelease = "0.9"
-	// fleetRelease is the one in which only some entries of a fleet are candidates for shards.
-	fleetRelease = "0.10"
+	// largeFleetRelease is the one for deployments of hundreds of machines.
+	largeFleetRelease = "0.5"
+	// evacuationRelease is the one for work that has shifted.
+	evacuationRelease = "0.6"
+	// crashSuspectRelease is the one for tasks that bring workers down.
+	crashSuspectRelease = "0.7"
+	// endTrackingRelease is the one in which it can be told how each end was settled.
+	endTrackingRelease = "0.8"
+	// incarnationRelease is the one that tells the lives of a worker apart.
+	incarnationRelease = "0.9"
+	// candidacyRelease is the one in which only some entries of a fleet are candidates for shards.
+	candidacyRelease = "0.10"
 )
 
 // catalogue is the single source of docs/EVENTS.md.
@@ -203,7 +203,7 @@
 	{ProcessStopped, slog.LevelInfo, "process stopped", "The planned stop has ended.", firstRelease},
 	{SettingsReloaded, slog.LevelInfo, "settings reloaded", "The settings file was read again.", platformRelease},
 	{SettingsRefused, slog.LevelError, "settings refused", "The settings file has changed and has faults. The settings before it stay in force.", platformRelease},
-	{ProcessFailed, slog.LevelError, "process failed", "The program has a fault and ends with it. The attribute fault says which, frames the places in the code that led to it, the nearest first: report both.", preemptRelease},
+	{ProcessFailed, slog.LevelError, "process failed", "The program has a fault and ends with it. The attribute fault says which, frames the places in the code that led to it, the nearest first: report both.", preemptionRelease},
 
 	{RequestRouted, slog.LevelInfo, "request routed", "A request was sent to a backend server and its whole answer was passed on. The attributes give the worker, what its load was believed to be, how many workers were considered and which were rejected and why.", firstRelease},
 	{RequestNotRun, slog.LevelInfo, "request not run", "A request was given up and proved not to have run. The attribute reason says why, retry_after when to come back.", firstRelease},
@@ -267,11 +267,11 @@
 	{ConfigurationRefused, slog.LevelError, "configuration refused", "A version of the configuration can't be decoded. The version before it stays in force.", platformRelease},
 
 	{StoreSlow, slog.LevelWarn, "store slow", "An append took much longer than the store usually does. The attribute took says how long; all that waits for the store waits as long.", platformRelease},
-	{OwnersUnknown, slog.LevelWarn, "owners unknown", "The store does not say which entry owns which shard. The owners known before are asked on until it does.", preemptRelease},
+	{OwnersUnknown, slog.LevelWarn, "owners unknown", "The store does not say which entry owns which shard. The owners known before are asked on until it does.", preemptionRelease},
 	{LearnedTakenUp, slog.LevelInfo, "learned interference taken up", "What earlier processes had learned of which tasks disturb which was read from the store and is told to the agents.", reportRelease},
 	{LearnedNotKept, slog.LevelWarn, "learned interference not kept", "The store refused what was learned of interference, since another entry has taken the shard over that it is kept with.", reportRelease},
-	{CandidacyBegun, slog.LevelInfo, "candidacy begun", "This entry offers itself as an owner of shards from here on and connects to all agents. The attribute strong says whether its machine bears the work of an owner; others are candidates only while they are needed.", fleetRelease},
-	{CandidacyEnded, slog.LevelInfo, "candidacy ended", "This entry no longer offers itself as an owner of shards: enough others do.", fleetRelease},
+	{CandidacyBegun, slog.LevelInfo, "candidacy begun", "This entry offers itself as an owner of shards from here on and connects to all agents. The attribute strong says whether its machine bears the work of an owner; others are candidates only while they are needed.", candidacyRelease},
+	{CandidacyEnded, slog.LevelInfo, "candidacy ended", "This entry no longer offers itself as an owner of shards: enough others do.", candidacyRelease},
 
 	{JobAccepted, slog.LevelInfo, "job accepted", "A job is in the store and its client was told so.", platformRelease},
 	{JobRefused, slog.LevelInfo, "job refused", "A job was not taken and will never run from this request. The attributes give the reason and when to come back.", platformRelease},
@@ -288,11 +288,11 @@
 	{RunLost, slog.LevelWarn, "run lost", "A run is over for certain although no end was listed: its worker's incarnation ended, or its lease must have run out. The task waits again. At an agent, lived is how long the run was on the worker: from its start to the worker's last sign of life.", platformRelease},
 	{RunStopOrdered, slog.LevelInfo, "run stop ordered", "The agent was told to stop a run.", platformRelease},
 	{AdviceTaken, slog.LevelInfo, "advice taken", "The service that knows which workers may run a step answered.", platformRelease},
-	{RunPreempted, slog.LevelInfo, "run pre-empted", "A more urgent task found no room: at an owner, its agent was asked to make room; at an agent, a run was stopped, which goes on elsewhere from its checkpoint.", preemptRelease},
+	{RunPreempted, slog.LevelInfo, "run pre-empted", "A more urgent task found no room: at an owner, its agent was asked to make room; at an agent, a run was stopped, which goes on elsewhere from its checkpoint.", preemptionRelease},
 	{AdviceFailed, slog.LevelWarn, "advice failed", "The service that knows which workers may run a step did not answer; it is asked again.", platformRelease},
-	{RunCrashed, slog.LevelWarn, "run crashed", "A run is over because its worker's incarnation has crashed just after the start, so that the run may be why. The attribute suspect says whether a worker had crashed under the task before, beside whether it had not and one that had was started beside it, lived how long the run was on the worker, to its last sign of life.", crashRelease},
-	{TaskGivenUp, slog.LevelWarn, "task given up", "Worker after worker crashed just after it had started the task, so it will not be started again and its job has failed. The attribute crashes says how many did in a row. Look at what the task runs.", crashRelease},
-	{EndOfEarlierRun, slog.LevelWarn, "end of an earlier run", "An agent told the end of a run as done whose task has been started again meanwhile. The attribute present is the attempt of the task's present run, state that of the task..", settleRelease},
+	{RunCrashed, slog.LevelWarn, "run crashed", "A run is over because its worker's incarnation has crashed just after the start, so that the run may be why. The attribute suspect says whether a worker had crashed under the task before, beside whether it had not and one that had was started beside it, lived how long the run was on the worker, to its last sign of life.", crashSuspectRelease},
+	{TaskGivenUp, slog.LevelWarn, "task given up", "Worker after worker crashed just after it had started the task, so it will not be started again and its job has failed. The attribute crashes says how many did in a row. Look at what the task runs.", crashSuspectRelease},
+	{EndOfEarlierRun, slog.LevelWarn, "end of an earlier run", "An agent told the end of a run as done whose task has been started again meanwhile. The attribute present is the attempt of the task's present run, state that of the task..", endTrackingRelease},
 
 	{AgentAttached, slog.LevelInfo, "agent attached", "This owner's connection to an agent is up.", platformRelease},
 	{AgentLost, slog.LevelWarn, "agent lost", "The connection to an agent is gone. Its runs go on until their lease ends.", platformRelease},
@@ -312,23 +312,23 @@
 	{FillsPaced, slog.LevelInfo, "fills paced", "The tasks that fill a worker were slowed down or let go on, because of the tail of the tasks that serve there.", platformRelease},
 	{AgentRegistered, slog.LevelInfo, "agent registered", "The agent's address is in the store, where owners find it.", platformRelease},
 	{RunEvicted, slog.LevelInfo, "run evicted", "A filling run was stopped because serving ones beside it bear hardly any of it; it goes on elsewhere from its checkpoint.", platformRelease},
-	{RunMovedAhead, slog.LevelInfo, "run moved ahead", "A run that would not end before its worker leaves was stopped, so that it goes on elsewhere with nothing lost.", preemptRelease},
+	{RunMovedAhead, slog.LevelInfo, "run moved ahead", "A run that would not end before its worker leaves was stopped, so that it goes on elsewhere with nothing lost.", preemptionRelease},
 	{TargetMissed, slog.LevelInfo, "target missed", "A serving run's tail has gone over its target. The attribute beside lists the images of the tasks that fill the same worker.", reportRelease},
 	{TargetKept, slog.LevelInfo, "target kept again", "A serving run's tail is below its target again; after says how long it was not.", reportRelease},
-	{ConnectionSilent, slog.LevelWarn, "connection silent", "An agent did not answer its owner, or an owner did not speak to its agent, on a connection that has not ended: it may carry nothing any more. It is closed and made anew, and everything is told again. The attribute unanswered says for how long.", sizeRelease},
-	{HeartbeatStale, slog.LevelInfo, "heartbeat stale", "A heartbeat of an incarnation that has been replaced at its address arrived late. It is passed over.", sizeRelease},
-	{MessagesSent, slog.LevelInfo, "messages sent", "How many messages of a kind, and bytes of it, the process has sent to other processes of ambertiller since its last such line; near says whether within its own failure domain. Frames and what TCP adds are left out.", sizeRelease},
-	{DomainEvacuated, slog.LevelInfo, "failure domain evacuated", "An operator wants nothing more to be started in the failure domain. At an owner, it is told to all agents with the next message; at an agent, its worker is given no starts from here on. What runs there goes on.", shiftRelease},
-	{DomainGivenBack, slog.LevelInfo, "failure domain given back", "The operator has taken the evacuation of the failure domain away; tasks may be started there again.", shiftRelease},
-	{HeartbeatRefused, slog.LevelWarn, "heartbeat refused", "A heartbeat could not be read, lacks a field or names a state that is none. It names no worker to use; what other heartbeats said holds.", crashRelease},
-	{MachineWasSuspended, slog.LevelWarn, "machine was suspended", "The machine stood still for the time in the attribute slept, which its steady clock does not count. Grants and the ownership of shards have become older by as much.", crashRelease},
-	{OrderTaken, slog.LevelDebug, "order taken", "An agent sends a start on to its worker. The attributes give the owner that ordered it and the connection on which it came, counted from the start of the agent.", settleRelease},
-	{EndWaits, slog.LevelWarn, "end waits", "The end of a run is not in the store a second after the worker listed it: its owner is not heard, or waits for the store. The attribute owner is empty where no owner that has claimed its shard is connected.", settleRelease},
-	{EndKept, slog.LevelInfo, "end kept", "The end of a run that had waited is in the store. The attribute after says for how long it had waited.", settleRelease},
-	{EndVoid, slog.LevelWarn, "end void", "The end of a run was not in the store when its owner's grant was over, so the worker's lease was let run out: the owner may have started the task elsewhere, and the end does not count. Everything else on the worker has ended with the lease.", settleRelease},
-	{ConnectionReplaced, slog.LevelInfo, "connection replaced", "An owner has claimed its shards on a newer connection, so this one is ended. What was on its way there has no effect. The attribute by counts the newer one.", settleRelease},
-	{WorkerStartedAgain, slog.LevelWarn, "worker started again", "The worker says of itself that it started at another moment than the incarnation that the agent takes care of: it has started again under its id. The attributes give both moments, in milliseconds since 1970, and up to which number the earlier one had been told to forget its ends.", rebornRelease},
-	{EndPassedOver, slog.LevelError, "end passed over", "The worker listed the end of a run under a number that another end had already. The end is not read, so its owner never hears of it.", rebornRelease},
+	{ConnectionSilent, slog.LevelWarn, "connection silent", "An agent did not answer its owner, or an owner did not speak to its agent, on a connection that has not ended: it may carry nothing any more. It is closed and made anew, and everything is told again. The attribute unanswered says for how long.", largeFleetRelease},
+	{HeartbeatStale, slog.LevelInfo, "heartbeat stale", "A heartbeat of an incarnation that has been replaced at its address arrived late. It is passed over.", largeFleetRelease},
+	{MessagesSent, slog.LevelInfo, "messages sent", "How many messages of a kind, and bytes of it, the process has sent to other processes of ambertiller since its last such line; near says whether within its own failure domain. Frames and what TCP adds are left out.", largeFleetRelease},
+	{DomainEvacuated, slog.LevelInfo, "failure domain evacuated", "An operator wants nothing more to be started in the failure domain. At an owner, it is told to all agents with the next message; at an agent, its worker is given no starts from here on. What runs there goes on.", evacuationRelease},
+	{DomainGivenBack, slog.LevelInfo, "failure domain given back", "The operator has taken the evacuation of the failure domain away; tasks may be started there again.", evacuationRelease},
+	{HeartbeatRefused, slog.LevelWarn, "heartbeat refused", "A heartbeat could not be read, lacks a field or names a state that is none. It names no worker to use; what other heartbeats said holds.", crashSuspectRelease},
+	{MachineWasSuspended, slog.LevelWarn, "machine was suspended", "The machine stood still for the time in the attribute slept, which its steady clock does not count. Grants and the ownership of shards have become older by as much.", crashSuspectRelease},
+	{OrderTaken, slog.LevelDebug, "order taken", "An agent sends a start on to its worker. The attributes give the owner that ordered it and the connection on which it came, counted from the start of the agent.", endTrackingRelease},
+	{EndWaits, slog.LevelWarn, "end waits", "The end of a run is not in the store a second after the worker listed it: its owner is not heard, or waits for the store. The attribute owner is empty where no owner that has claimed its shard is connected.", endTrackingRelease},
+	{EndKept, slog.LevelInfo, "end kept", "The end of a run that had waited is in the store. The attribute after says for how long it had waited.", endTrackingRelease},
+	{EndVoid, slog.LevelWarn, "end void", "The end of a run was not in the store when its owner's grant was over, so the worker's lease was let run out: the owner may have started the task elsewhere, and the end does not count. Everything else on the worker has ended with the lease.", endTrackingRelease},
+	{ConnectionReplaced, slog.LevelInfo, "connection replaced", "An owner has claimed its shards on a newer connection, so this one is ended. What was on its way there has no effect. The attribute by counts the newer one.", endTrackingRelease},
+	{WorkerStartedAgain, slog.LevelWarn, "worker started again", "The worker says of itself that it started at another moment than the incarnation that the agent takes care of: it has started again under its id. The attributes give both moments, in milliseconds since 1970, and up to which number the earlier one had been told to forget its ends.", incarnationRelease},
+	{EndPassedOver, slog.LevelError, "end passed over", "The worker listed the end of a run under a number that another end had already. The end is not read, so its owner never hears of it.", incarnationRelease},
 }
 
 // Catalogue returns every event, by rising code.
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -17,7 +17,7 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-func TestPageIsCurrent(t *testing.T) {
+func TestEventsPageIsCurrent(t *testing.T) {
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 			t.Errorf("%d is %q and %q", entry.Code, other, entry.Title)
 		}
 		seen[entry.Code] = entry.Title
-		if entry.Title == "" || entry.Text == "" || entry.Since == "" {
+		if entry.Title == "" || entry.Description == "" || entry.Since == "" {
 			t.Errorf("%d lacks a title, a text or the release it came with", entry.Code)
 		}
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-func parse(t *testing.T, path string) *ast.File {
+func parseFile(t *testing.T, path string) *ast.File {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	if err != nil {
@@ -69,7 +69,7 @@
 
 func declaredCodes(t *testing.T) map[string]bool {
 	names := map[string]bool{}
-	for _, declaration := range parse(t, "catalogue.go").Decls {
+	for _, declaration := range parseFile(t, "catalogue.go").Decls {
 		group, ok := declaration.(*ast.GenDecl)
 		if !ok || group.Tok != token.CONST {
 			continue
@@ -87,7 +87,7 @@
 
 func listedCodes(t *testing.T) map[string]bool {
 	names := map[string]bool{}
-	ast.Inspect(parse(t, "catalogue.go"), func(node ast.Node) bool {
+	ast.Inspect(parseFile(t, "catalogue.go"), func(node ast.Node) bool {
 		if literal, ok := node.(*ast.CompositeLit); ok && literal.Type == nil && len(literal.Elts) > 0 {
 			if name, ok := literal.Elts[0].(*ast.Ident); ok {
 				names[name.Name] = true
@@ -104,7 +104,7 @@
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		ast.Inspect(parse(t, path), func(node ast.Node) bool {
+		ast.Inspect(parseFile(t, path), func(node ast.Node) bool {
 			if selector, ok := node.(*ast.SelectorExpr); ok {
 				if from, ok := selector.X.(*ast.Ident); ok && from.Name == "event" && declared[selector.Sel.Name] {
 					used[selector.Sel.Name] = true
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestOpenNamesFaults(t *testing.T) {
+func TestOpenErrorNamesValue(t *testing.T) {
 	tests := map[string]struct{ format, level, want string }{
 		"format": {"xml", "info", `"xml"`},
 		"level":  {"json", "loud", `"loud"`},
--- a/report/line.go
+++ b/report/line.go
@@ -18,26 +18,26 @@
 	State          string        `json:"state"`
 	Took           time.Duration `json:"took"`
 	Age            time.Duration `json:"age"`
-	Allowed        time.Duration `json:"allowed"`
-	CoreMillis     int64         `json:"core_ms"`
+	TargetDuration time.Duration `json:"allowed"`
+	CoreMs         int64         `json:"core_ms"`
 	Task           string        `json:"task"`
 	Attempt        int32         `json:"attempt"`
 	Worker         string        `json:"worker"`
-	Born           int64         `json:"born"`
+	StartedMs      int64         `json:"born"`
 	MilliCPU       int64         `json:"milli_cpu"`
-	Fills          bool          `json:"fills"`
+	IsFill         bool          `json:"fills"`
 	Image          string        `json:"image"`
-	TargetMillis   int64         `json:"target_ms"`
-	EstimateMillis int64         `json:"estimate_ms"`
+	TargetMs       int64         `json:"target_ms"`
+	EstimateMs     int64         `json:"estimate_ms"`
 	Waited         time.Duration `json:"waited"`
 	Obstacle       string        `json:"obstacle"`
-	Recorded       time.Duration `json:"recorded"`
-	How            string        `json:"how"`
+	StoreTime      time.Duration `json:"recorded"`
+	EndReason      string        `json:"how"`
 	Percent        int32         `json:"percent"`
-	Beside         string        `json:"beside"`
+	FillImages     string        `json:"beside"`
 	Count          int           `json:"count"`
 	Kind           string        `json:"kind"`
-	Near           bool          `json:"near"`
+	SameDomain     bool          `json:"near"`
 	Messages       int64         `json:"messages"`
 	Bytes          int64         `json:"bytes"`
 }
--- a/report/page.go
+++ b/report/page.go
@@ -10,13 +10,13 @@
 )
 
 //go:embed page.html
-var pageText string
+var pageSource string
 
-// page is the template of the page; its text is part of the program, so it parses.
-var page = template.Must(template.New("page").Parse(pageText))
+// pageTemplate is the template of the page; its text is part of the program, so it parses.
+var pageTemplate = template.Must(template.New("page").Parse(pageSource))
 
-// WritePage writes the report as one HTML page that holds its plots.
-func (made *Report) WritePage(out io.Writer) error {
+// WriteHTML writes the report as one HTML page that holds its plots.
+func (made *Report) WriteHTML(out io.Writer) error {
 	var text bytes.Buffer
 	if err := made.WriteText(&text); err != nil {
 		return err
@@ -25,8 +25,8 @@
 		Title string
 		Text  string
 		Plots []template.HTML
-	}{Title: made.heading()[0], Text: text.String()}
-	for _, wanted := range []barPlot{made.timelinePlot(), made.overPlot(), made.spentPlot(), made.fillingPlot()} {
+	}{Title: made.headingLines()[0], Text: text.String()}
+	for _, wanted := range []barPlot{made.timelinePlot(), made.targetMissPlot(), made.timeSpentPlot(), made.fillPlot()} {
 		if len(wanted.labels) == 0 {
 			continue
 		}
@@ -36,5 +36,5 @@
 		}
 		filled.Plots = append(filled.Plots, drawn)
 	}
-	return errors.Wrap(page.Execute(out, filled), "write the page")
+	return errors.Wrap(pageTemplate.Execute(out, filled), "write the page")
 }
--- a/report/plot.go
+++ b/report/plot.go
@@ -20,8 +20,8 @@
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
 	barWidth   = 5 * vg.Millimeter
-	// timelineBar fits fifty slices beside each other.
-	timelineBar = 3 * vg.Millimeter
+	// timelineBarWidth fits fifty slices beside each other.
+	timelineBarWidth = 3 * vg.Millimeter
 )
 
 // barColors are told apart also by those who don't see red and green.
@@ -40,7 +40,7 @@
 // barPlot draws sets of bars, on top of each other or side by side.
 type barPlot struct {
 	title, unit string
-	width       vg.Length
+	barWidth    vg.Length
 	stacked     bool
 	labels      []string
 	series      []series
@@ -54,7 +54,7 @@
 	drawn.Legend.Top = true
 	var below *plotter.BarChart
 	for index, one := range wanted.series {
-		bars, err := plotter.NewBarChart(one.values, wanted.width)
+		bars, err := plotter.NewBarChart(one.values, wanted.barWidth)
 		if err != nil {
 			return "", errors.Wrapf(err, "plot %q", wanted.title)
 		}
@@ -64,7 +64,7 @@
 		case wanted.stacked && below != nil:
 			bars.StackOn(below)
 		case !wanted.stacked:
-			bars.Offset = wanted.width * vg.Length(2*index+1-len(wanted.series)) / 2
+			bars.Offset = wanted.barWidth * vg.Length(2*index+1-len(wanted.series)) / 2
 		}
 		below = bars
 		drawn.Add(bars)
@@ -81,81 +81,81 @@
 	return template.HTML(out.String()), nil //nolint:gosec // see above.
 }
 
-// labelEvery is how many slices of a timeline share a label.
-const labelEvery = 5
+// labelInterval is how many slices of a timeline share a label.
+const labelInterval = 5
 
 // timelinePlot shows jobs by when they were handed in.
 func (made *Report) timelinePlot() barPlot {
 	wanted := barPlot{
-		title: "Jobs by when they were handed in", unit: "jobs", width: timelineBar, stacked: true,
+		title: "Jobs by when they were handed in", unit: "jobs", barWidth: timelineBarWidth, stacked: true,
 		series: []series{{name: "in time"}, {name: "late or failed"}},
 	}
 	for index, slice := range made.Timeline {
-		wanted.labels = append(wanted.labels, made.secondLabel(index))
+		wanted.labels = append(wanted.labels, made.sliceLabel(index))
 		wanted.series[0].values = append(wanted.series[0].values, float64(slice.InTime))
 		wanted.series[1].values = append(wanted.series[1].values, float64(slice.Late))
 	}
 	return wanted
 }
 
-// overPlot shows when serving tasks missed their targets, and runs that were evicted.
-func (made *Report) overPlot() barPlot {
+// targetMissPlot shows when serving tasks missed their targets, and runs that were evicted.
+func (made *Report) targetMissPlot() barPlot {
 	wanted := barPlot{
-		title: "Serving tasks over their targets, and runs evicted", unit: "task seconds, runs", width: timelineBar / 2,
+		title: "Serving tasks over their targets, and runs evicted", unit: "task seconds, runs", barWidth: timelineBarWidth / 2,
 		series: []series{{name: "over target"}, {name: "evicted"}},
 	}
 	for index, slice := range made.Timeline {
-		wanted.labels = append(wanted.labels, made.secondLabel(index))
-		wanted.series[0].values = append(wanted.series[0].values, slice.Over.Seconds())
+		wanted.labels = append(wanted.labels, made.sliceLabel(index))
+		wanted.series[0].values = append(wanted.series[0].values, slice.MissTime.Seconds())
 		wanted.series[1].values = append(wanted.series[1].values, float64(slice.Evicted))
 	}
 	return wanted
 }
 
-// secondLabel names every fifth slice by its first second.
-func (made *Report) secondLabel(index int) string {
-	if index%labelEvery != 0 {
+// sliceLabel names every fifth slice by its first second.
+func (made *Report) sliceLabel(index int) string {
+	if index%labelInterval != 0 {
 		return ""
 	}
 	return strconv.Itoa(index * int(sliceLength/time.Second))
 }
 
-// fillingPlot shows how long filling tasks took, against their estimates.
-func (made *Report) fillingPlot() barPlot {
+// fillPlot shows how long filling tasks took, against their estimates.
+func (made *Report) fillPlot() barPlot {
 	wanted := barPlot{
-		title: "Filling tasks by image, from the first place to the end", unit: "seconds", width: barWidth,
+		title: "Filling tasks by image, from the first place to the end", unit: "seconds", barWidth: barWidth,
 		series: []series{{name: "estimate"}, {name: "slowest tenth"}, {name: "mean"}},
 	}
-	for _, filling := range made.Filling {
+	for _, filling := range made.FillImages {
 		wanted.labels = append(wanted.labels, filling.Image)
-		wanted.series[0].values = append(wanted.series[0].values, filling.Estimated.Seconds())
-		wanted.series[1].values = append(wanted.series[1].values, filling.Slowest.Seconds())
-		wanted.series[2].values = append(wanted.series[2].values, filling.Took.Seconds())
+		wanted.series[0].values = append(wanted.series[0].values, filling.MeanEstimate.Seconds())
+		wanted.series[1].values = append(wanted.series[1].values, filling.SlowestTenth.Seconds())
+		wanted.series[2].values = append(wanted.series[2].values, filling.MeanDuration.Seconds())
 	}
 	return wanted
 }
 
-// spentPlot shows where the time of the jobs of all queues went that were not in time.
-func (made *Report) spentPlot() barPlot {
+// timeSpentPlot shows where the time of the jobs of all queues went that were not in time.
+func (made *Report) timeSpentPlot() barPlot {
 	spent := map[string]time.Duration{}
-	for _, queue := range made.Queues {
-		for _, one := range queue.Spent {
-			spent[one.What] += one.Time
+	for _, queue := range made.JobGroups {
+		for _, one := range queue.TimeSpent {
+			spent[one.Label] += one.Duration
 		}
 	}
 	wanted := barPlot{
-		title: "Where the time of jobs went that were not in time", unit: "seconds", width: barWidth,
+		title: "Where the time of jobs went that were not in time", unit: "seconds", barWidth: barWidth,
 		series: []series{{name: "on the chain that decided"}},
 	}
-	ordered := spans(spent)
-	for index, one := range ordered[:min(len(ordered), spansShown)] {
+	ordered := sortedDurations(spent)
+	for index, one := range ordered[:min(len(ordered), maxSharesShown)] {
 		// Every other label stands lower: they are long.
-		label := one.What
+		label := one.Label
 		if index%2 == 1 {
 			label = "\n" + label
 		}
 		wanted.labels = append(wanted.labels, label)
-		wanted.series[0].values = append(wanted.series[0].values, one.Time.Seconds())
+		wanted.series[0].values = append(wanted.series[0].values, one.Duration.Seconds())
 	}
 	return wanted
 }
--- a/report/queue.go
+++ b/report/queue.go
@@ -16,90 +16,90 @@
 	sizeOther   = "the others"
 )
 
-// lateMost is up to how many times its objective a job is late; beyond it, it counts
+// maxLateFactor is up to how many times its objective a job is late; beyond it, it counts
 // for nothing any more.
-const lateMost = 3
+const maxLateFactor = 3
 
-// Queue is what became of the jobs of one queue and size.
-type Queue struct {
-	Name string `json:"name"`
-	Size string `json:"size"`
-	Jobs int    `json:"jobs"`
+// JobGroup is what became of the jobs of one queue and size.
+type JobGroup struct {
+	Queue string `json:"name"`
+	Size  string `json:"size"`
+	Jobs  int    `json:"jobs"`
 	// InTime, Late and Beyond are completed jobs within their objective, up to three
 	// times as long, and longer.
 	InTime    int `json:"in_time"`
 	Late      int `json:"late"`
-	Beyond    int `json:"beyond"`
+	VeryLate  int `json:"beyond"`
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
 	Open      int `json:"open"`
-	// Lost is the share of the queue's work in jobs that were not in time.
-	Lost float64 `json:"lost"`
-	// Slowness is the mean of the time taken over the time allowed, of ended jobs.
-	Slowness float64 `json:"slowness"`
-	// Spent is where the time of the jobs went that were not in time.
-	Spent []Span `json:"spent"`
+	// LateWorkShare is the share of the queue's work in jobs that were not in time.
+	LateWorkShare float64 `json:"lost"`
+	// MeanSlowdown is the mean of the time taken over the time allowed, of ended jobs.
+	MeanSlowdown float64 `json:"slowness"`
+	// TimeSpent is where the time of the jobs went that were not in time.
+	TimeSpent []LabeledDuration `json:"spent"`
 }
 
-// outcome is what became of a job.
-type outcome int
+// jobOutcome is what became of a job.
+type jobOutcome int
 
 const (
-	stillOpen outcome = iota
-	inTime
-	late
-	beyond
-	failed
-	cancelled
+	jobOpen jobOutcome = iota
+	jobInTime
+	jobLate
+	jobVeryLate
+	jobFailed
+	jobCancelled
 )
 
-func (of *jobHistory) outcome() outcome {
+func (of *jobHistory) outcome() jobOutcome {
 	switch of.state {
 	case job.State_STATE_FAILED.String():
-		return failed
+		return jobFailed
 	case job.State_STATE_CANCELLED.String():
-		return cancelled
+		return jobCancelled
 	case job.State_STATE_COMPLETED.String():
 	default:
-		return stillOpen
+		return jobOpen
 	}
 	switch {
-	case of.took <= of.allowed:
-		return inTime
-	case of.took <= lateMost*of.allowed:
-		return late
+	case of.duration <= of.targetDuration:
+		return jobInTime
+	case of.duration <= maxLateFactor*of.targetDuration:
+		return jobLate
 	}
-	return beyond
+	return jobVeryLate
 }
 
-// queues sums jobs up by queue and size. Jobs whose taking is not in the logs are left
+// jobGroups sums jobs up by queue and size. Jobs whose taking is not in the logs are left
 // out: neither their queue nor their objective is known.
-func (past *history) queues() []Queue {
+func (past *history) jobGroups() []JobGroup {
 	byQueue := map[string][]*jobHistory{}
 	for _, of := range past.jobs {
 		if of.queue != "" {
 			byQueue[of.queue] = append(byQueue[of.queue], of)
 		}
 	}
-	var found []Queue
+	var found []JobGroup
 	for _, name := range slices.Sorted(maps.Keys(byQueue)) {
-		found = append(found, queueBySize(name, byQueue[name])...)
+		found = append(found, groupBySize(name, byQueue[name])...)
 	}
 	return found
 }
 
-// queueBySize sums the jobs of one queue up.
-func queueBySize(name string, jobs []*jobHistory) []Queue {
+// groupBySize sums the jobs of one queue up.
+func groupBySize(name string, jobs []*jobHistory) []JobGroup {
 	slices.SortFunc(jobs, func(a, b *jobHistory) int {
-		return cmp.Or(cmp.Compare(b.coreMillis, a.coreMillis), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(b.coreMs, a.coreMs), cmp.Compare(a.id, b.id))
 	})
-	if jobs[0].coreMillis == jobs[len(jobs)-1].coreMillis {
+	if jobs[0].coreMs == jobs[len(jobs)-1].coreMs {
 		// No size is known, as of lasting jobs.
-		return []Queue{summarizeJobs(name, sizeOther, jobs, jobs)}
+		return []JobGroup{summarizeJobs(name, sizeOther, jobs, jobs)}
 	}
 	tenth := (len(jobs) + tenths - 1) / tenths
 	third := min(tenth+2*tenth, len(jobs))
-	var found []Queue
+	var found []JobGroup
 	for _, part := range []struct {
 		size string
 		jobs []*jobHistory
@@ -115,8 +115,8 @@
 const tenths = 10
 
 // summarizeJobs sums up some of the jobs of a queue.
-func summarizeJobs(name, size string, jobs, all []*jobHistory) Queue {
-	sum := Queue{Name: name, Size: size, Jobs: len(jobs)}
+func summarizeJobs(name, size string, jobs, all []*jobHistory) JobGroup {
+	sum := JobGroup{Queue: name, Size: size, Jobs: len(jobs)}
 	spent := map[string]time.Duration{}
 	work, lost, ended := 0.0, 0.0, 0
 	for _, of := range all {
@@ -124,46 +124,46 @@
 	}
 	for _, of := range jobs {
 		result := of.outcome()
-		sum.count(result)
-		if result == inTime || result == cancelled || result == stillOpen {
+		sum.countOutcome(result)
+		if result == jobInTime || result == jobCancelled || result == jobOpen {
 			continue
 		}
 		lost += of.weight()
-		for what, took := range of.path() {
+		for what, took := range of.timeOnCriticalPath() {
 			spent[what] += took
 		}
 	}
 	for _, of := range jobs {
-		if of.state == job.State_STATE_COMPLETED.String() && of.allowed > 0 {
-			sum.Slowness += float64(of.took) / float64(of.allowed)
+		if of.state == job.State_STATE_COMPLETED.String() && of.targetDuration > 0 {
+			sum.MeanSlowdown += float64(of.duration) / float64(of.targetDuration)
 			ended++
 		}
 	}
-	sum.Slowness /= float64(max(ended, 1))
-	sum.Lost = lost / max(work, 1)
-	sum.Spent = spans(spent)
+	sum.MeanSlowdown /= float64(max(ended, 1))
+	sum.LateWorkShare = lost / max(work, 1)
+	sum.TimeSpent = sortedDurations(spent)
 	return sum
 }
 
 // weight is what a job counts for: its work, and something for its being asked for.
-func (of *jobHistory) weight() float64 { return float64(of.coreMillis) + milli }
+func (of *jobHistory) weight() float64 { return float64(of.coreMs) + millisPerUnit }
 
-// milli is the number of thousandths in a whole.
-const milli = 1000
+// millisPerUnit is the number of thousandths in a whole.
+const millisPerUnit = 1000
 
-func (sum *Queue) count(result outcome) {
+func (sum *JobGroup) countOutcome(result jobOutcome) {
 	switch result {
-	case inTime:
+	case jobInTime:
 		sum.InTime++
-	case late:
+	case jobLate:
 		sum.Late++
-	case beyond:
-		sum.Beyond++
-	case failed:
+	case jobVeryLate:
+		sum.VeryLate++
+	case jobFailed:
 		sum.Failed++
-	case cancelled:
+	case jobCancelled:
 		sum.Cancelled++
-	case stillOpen:
+	case jobOpen:
 		sum.Open++
 	}
 }
--- a/report/report.go
+++ b/report/report.go
@@ -36,33 +36,33 @@
 	// From and To are the times of the first and the last line.
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
-	// Lines counts what was read, Dropped the lines that processes left out of their
+	// LineCount counts what was read, Dropped the lines that processes left out of their
 	// logs because nobody read them fast enough.
-	Lines   int `json:"lines"`
-	Dropped int `json:"dropped"`
-	// Queues are ordered by name and size of their jobs.
-	Queues []Queue `json:"queues"`
-	// Serving and Filling are ordered by the time lost.
-	Serving []Serving `json:"serving"`
-	Filling []Filling `json:"filling"`
-	Workers []Worker  `json:"workers"`
-	// Orders counts orders to start a run by what became of them.
-	Orders   []Count `json:"orders"`
-	Timeline []Slice `json:"timeline"`
+	LineCount    int `json:"lines"`
+	DroppedLines int `json:"dropped"`
+	// JobGroups are ordered by name and size of their jobs.
+	JobGroups []JobGroup `json:"queues"`
+	// ServingImages and Filling are ordered by the time lost.
+	ServingImages []ServingImage `json:"serving"`
+	FillImages    []FillImage    `json:"filling"`
+	Workers       []WorkerUsage  `json:"workers"`
+	// RunOutcomes counts orders to start a run by what became of them.
+	RunOutcomes []Count         `json:"orders"`
+	Timeline    []TimelineSlice `json:"timeline"`
 	// Traffic is ordered by bytes; there is none in logs of earlier builds.
 	Traffic []Traffic `json:"traffic,omitempty"`
 }
 
 // Count is how often something happened.
 type Count struct {
-	What  string `json:"what"`
-	Times int    `json:"times"`
+	Label string `json:"what"`
+	Value int    `json:"times"`
 }
 
-// Span is time spent on something.
-type Span struct {
-	What string        `json:"what"`
-	Time time.Duration `json:"time"`
+// LabeledDuration is time spent on something.
+type LabeledDuration struct {
+	Label    string        `json:"what"`
+	Duration time.Duration `json:"time"`
 }
 
 // Read makes the report of logs.
@@ -79,17 +79,17 @@
 	return summarize(lines), nil
 }
 
-// Losses returns the queues and sizes of jobs with the largest shares of their queue's
+// LargestLosses returns the queues and sizes of jobs with the largest shares of their queue's
 // work that was not done in time, the largest first.
-func (made *Report) Losses() []Queue {
-	var found []Queue
-	for _, queue := range made.Queues {
-		if queue.Lost > 0 {
+func (made *Report) LargestLosses() []JobGroup {
+	var found []JobGroup
+	for _, queue := range made.JobGroups {
+		if queue.LateWorkShare > 0 {
 			found = append(found, queue)
 		}
 	}
-	slices.SortStableFunc(found, func(a, b Queue) int { return cmp.Compare(b.Lost, a.Lost) })
-	return found[:min(len(found), lossesShown)]
+	slices.SortStableFunc(found, func(a, b JobGroup) int { return cmp.Compare(b.LateWorkShare, a.LateWorkShare) })
+	return found[:min(len(found), maxLossesShown)]
 }
 
 func readLines(log io.Reader) ([]line, error) {
@@ -106,23 +106,23 @@
 }
 
 func summarize(lines []line) *Report {
-	made := &Report{Lines: len(lines)}
+	made := &Report{LineCount: len(lines)}
 	if len(lines) == 0 {
 		return made
 	}
 	made.From, made.To = lines[0].At, lines[len(lines)-1].At
 	past := newHistory(made.From, made.To)
 	for index := range lines {
-		past.note(&lines[index])
+		past.apply(&lines[index])
 	}
-	past.close()
-	made.Dropped = past.dropped
-	made.Queues = past.queues()
-	made.Serving = past.serving()
-	made.Filling = past.filling()
-	made.Workers = past.workerUse()
-	made.Orders = counts(past.orders)
+	past.closeOpenIntervals()
+	made.DroppedLines = past.droppedLines
+	made.JobGroups = past.jobGroups()
+	made.ServingImages = past.servingImages()
+	made.FillImages = past.fillImages()
+	made.Workers = past.workerUsage()
+	made.RunOutcomes = sortedCounts(past.runOutcomes)
 	made.Timeline = past.timeline()
-	made.Traffic = past.sent()
+	made.Traffic = past.sortedTraffic()
 	return made
 }
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -14,9 +14,9 @@
 	"ambertiller.example/ambertiller/report"
 )
 
-// TestReport: the logs of the processes of a deployment, from their start on, give the
+// TestGoldenReport: the logs of the processes of a deployment, from their start on, give the
 // page beside them, as text and as JSON.
-func TestReport(t *testing.T) {
+func TestGoldenReport(t *testing.T) {
 	log, err := os.Open("testdata/start.log")
 	if err != nil {
 		t.Fatal(err)
@@ -35,13 +35,13 @@
 	golden.AssertJson(t, "start.json", found)
 }
 
-// life is the log of one job, up to its end.
-const life = `{"time":"2026-01-01T00:00:00.1Z","name":"g","event":800,"job":"00000000000000aa","took":100000000}
+// acceptedJobLog is the log of one job, up to its end.
+const acceptedJobLog = `{"time":"2026-01-01T00:00:00.1Z","name":"g","event":800,"job":"00000000000000aa","took":100000000}
 {"time":"2026-01-01T00:00:00.2Z","name":"g","event":805,"job":"00000000000000aa","queue":"batch","age":100000000,"allowed":1000000000,"core_ms":4000}
 `
 
-// ended is the end of that job, d being how long it took.
-func ended(d time.Duration) string {
+// jobEndedLine is the end of that job, d being how long it took.
+func jobEndedLine(d time.Duration) string {
 	at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(d)
 	line, _ := json.Marshal(map[string]any{"time": at, "name": "g", "event": 806, "job": "00000000000000aa", "state": "STATE_COMPLETED", "took": d})
 	return string(line) + "\n"
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []report.Traffic{{Kind: "change", Messages: 9, Far: 9000}, {Kind: "runs", Messages: 7, Near: 3000, Far: 4000}}
+	want := []report.Traffic{{Kind: "change", Messages: 9, CrossDomainBytes: 9000}, {Kind: "runs", Messages: 7, SameDomainBytes: 3000, CrossDomainBytes: 4000}}
 	if !slices.Equal(found.Traffic, want) {
 		t.Errorf("got %+v", found.Traffic)
 	}
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestLivesOfAWorker: a worker that starts again under its id is listed once for each life.
-func TestLivesOfAWorker(t *testing.T) {
+// TestIncarnationsAreListedSeparately: a worker that starts again under its id is listed once for each life.
+func TestIncarnationsAreListedSeparately(t *testing.T) {
 	const log = `{"time":"2026-01-01T00:00:00Z","name":"side-1","event":902,"worker":"i-1","born":1790000000000,"milli_cpu":1000}
 {"time":"2026-01-01T00:00:04Z","name":"side-1","event":902,"worker":"i-1","born":1790000004000,"milli_cpu":1000}
 {"time":"2026-01-01T00:00:06Z","name":"side-1","event":902,"worker":"i-1","born":1790000004000,"milli_cpu":1000}
@@ -80,15 +80,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(found.Workers) != 2 || found.Workers[0].Worker == found.Workers[1].Worker {
+	if len(found.Workers) != 2 || found.Workers[0].Incarnation == found.Workers[1].Incarnation {
 		t.Errorf("listed %+v", found.Workers)
 	}
 }
 
-// TestRunsWithoutAnEnd: a run of which no end is in the logs is over once its task has been
+// TestRunWithoutLoggedEnd: a run of which no end is in the logs is over once its task has been
 // placed anew. The case that forced it is an owner that was killed before the store had its
 // start: its worker seemed to hold more than it has.
-func TestRunsWithoutAnEnd(t *testing.T) {
+func TestRunWithoutLoggedEnd(t *testing.T) {
 	const log = `{"time":"2026-01-01T00:00:00Z","name":"side-1","event":902,"worker":"i-1","milli_cpu":4000}
 {"time":"2026-01-01T00:00:00Z","name":"g","event":807,"task":"00000000000000aa.0.0.0","attempt":1,"worker":"i-1","milli_cpu":4000}
 {"time":"2026-01-01T00:00:05Z","name":"h","event":807,"task":"00000000000000aa.0.0.0","attempt":1,"worker":"i-1","milli_cpu":4000}
@@ -98,17 +98,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if held := found.Workers[0].Other; held > 4 {
+	if held := found.Workers[0].OtherCores; held > 4 {
 		t.Errorf("a worker of 4 processors held %v on average", held)
 	}
-	want := []report.Count{{What: "done", Times: 1}, {What: "lost", Times: 1}}
-	if !slices.Equal(found.Orders, want) {
-		t.Errorf("runs: %v", found.Orders)
+	want := []report.Count{{Label: "done", Value: 1}, {Label: "lost", Value: 1}}
+	if !slices.Equal(found.RunOutcomes, want) {
+		t.Errorf("runs: %v", found.RunOutcomes)
 	}
 }
 
-// TestSpent: the time of a late job goes to what its slowest task had to wait for.
-func TestSpent(t *testing.T) {
+// TestTimeSpentOfLateJob: the time of a late job goes to what its slowest task had to wait for.
+func TestTimeSpentOfLateJob(t *testing.T) {
 	cases := map[string]struct {
 		lines string
 		took  time.Duration
@@ -158,13 +158,13 @@
 	}
 	for name, given := range cases {
 		t.Run(name, func(t *testing.T) {
-			found, err := report.Read(strings.NewReader(life + given.lines + ended(given.took)))
-			if err != nil || len(found.Queues) != 1 {
+			found, err := report.Read(strings.NewReader(acceptedJobLog + given.lines + jobEndedLine(given.took)))
+			if err != nil || len(found.JobGroups) != 1 {
 				t.Fatal(found, err)
 			}
 			spent := map[string]time.Duration{}
-			for _, one := range found.Queues[0].Spent {
-				spent[one.What] = one.Time
+			for _, one := range found.JobGroups[0].TimeSpent {
+				spent[one.Label] = one.Duration
 			}
 			for what, want := range given.want {
 				if spent[what] != want {
@@ -179,10 +179,10 @@
 	}
 }
 
-// TestNoLines: what is no log gives an empty report.
-func TestNoLines(t *testing.T) {
+// TestInputWithoutLogLines: what is no log gives an empty report.
+func TestInputWithoutLogLines(t *testing.T) {
 	found, err := report.Read(strings.NewReader("not a log\n{\"cut\":\n"))
-	if err != nil || found.Lines != 0 {
+	if err != nil || found.LineCount != 0 {
 		t.Errorf("got %+v, %v", found, err)
 	}
 }
--- a/report/timeline.go
+++ b/report/timeline.go
@@ -12,8 +12,8 @@
 // sliceLength is how much time a row of the timeline covers.
 const sliceLength = 2 * time.Second
 
-// Slice is what happened in two seconds.
-type Slice struct {
+// TimelineSlice is what happened in two seconds.
+type TimelineSlice struct {
 	From time.Time `json:"from"`
 	// InTime and Late are jobs by when they were handed in: Late ones ended after
 	// their objective, or failed.
@@ -23,14 +23,14 @@
 	Placed  int `json:"placed"`
 	Refused int `json:"refused"`
 	Evicted int `json:"evicted"`
-	// Over is for how long serving tasks missed their targets, added up over them.
-	Over time.Duration `json:"over"`
-	// Marks are losses and returns.
-	Marks []Count `json:"marks"`
+	// MissTime is for how long serving tasks missed their targets, added up over them.
+	MissTime time.Duration `json:"over"`
+	// Events are losses and returns.
+	Events []Count `json:"marks"`
 }
 
-// marked names the events that a timeline shows.
-var marked = map[event.Code]string{
+// timelineLabels names the events that a timeline shows.
+var timelineLabels = map[event.Code]string{
 	event.ProcessStarted:       "process started",
 	event.ProcessStopping:      "process stopping",
 	event.StoreLost:            "store lost",
@@ -51,53 +51,53 @@
 	event.JobUnsettled:         "job unsettled",
 }
 
-func (past *history) noteMark(one *line) {
-	if what, shown := marked[one.Event]; shown {
-		past.marks = append(past.marks, mark{at: one.At, what: what})
+func (past *history) applyTimelineEvent(one *line) {
+	if what, shown := timelineLabels[one.Event]; shown {
+		past.timelineEvents = append(past.timelineEvents, timelineEvent{at: one.At, label: what})
 	}
 }
 
-func (past *history) timeline() []Slice {
-	rows := make([]Slice, int(past.to.Sub(past.from)/sliceLength)+1)
+func (past *history) timeline() []TimelineSlice {
+	rows := make([]TimelineSlice, int(past.to.Sub(past.from)/sliceLength)+1)
 	for index := range rows {
 		rows[index].From = past.from.Add(time.Duration(index) * sliceLength)
 	}
-	at := func(when time.Time) *Slice {
+	at := func(when time.Time) *TimelineSlice {
 		return &rows[min(max(int(when.Sub(past.from)/sliceLength), 0), len(rows)-1)]
 	}
 	for _, of := range past.jobs {
 		switch of.outcome() {
-		case inTime:
+		case jobInTime:
 			at(of.acceptedAt).InTime++
-		case late, beyond, failed:
+		case jobLate, jobVeryLate, jobFailed:
 			at(of.acceptedAt).Late++
-		case stillOpen, cancelled:
+		case jobOpen, jobCancelled:
 		}
 	}
 	for _, task := range past.tasks {
 		for _, run := range task.runs {
-			noteRun(run, at)
+			countRun(run, at)
 		}
 	}
 	for _, one := range past.misses {
-		spread(one, at)
+		addMissTime(one, at)
 	}
-	marks := map[*Slice]map[string]int{}
-	for _, one := range past.marks {
+	marks := map[*TimelineSlice]map[string]int{}
+	for _, one := range past.timelineEvents {
 		if marks[at(one.at)] == nil {
 			marks[at(one.at)] = map[string]int{}
 		}
-		marks[at(one.at)][one.what]++
+		marks[at(one.at)][one.label]++
 	}
 	for slice, found := range marks {
-		slice.Marks = counts(found)
+		slice.Events = sortedCounts(found)
 	}
 	return rows
 }
 
-func noteRun(run *runHistory, at func(time.Time) *Slice) {
+func countRun(run *runHistory, at func(time.Time) *TimelineSlice) {
 	at(run.placedAt).Placed++
-	if run.how == runRefused {
+	if run.outcome == runRefused {
 		at(run.endedAt).Refused++
 	}
 	if run.evicted {
@@ -105,27 +105,27 @@
 	}
 }
 
-// spread adds the time of a miss to the slices that it covers.
-func spread(one *miss, at func(time.Time) *Slice) {
+// addMissTime adds the time of a miss to the slices that it covers.
+func addMissTime(one *miss, at func(time.Time) *TimelineSlice) {
 	for from := one.from; from.Before(one.to); {
 		slice := at(from)
 		to := slice.From.Add(sliceLength)
 		if to.After(one.to) || !to.After(from) {
 			to = one.to
 		}
-		slice.Over += to.Sub(from)
+		slice.MissTime += to.Sub(from)
 		from = to
 	}
 }
 
-// counts orders counts, the highest first.
-func counts(times map[string]int) []Count {
+// sortedCounts orders counts, the highest first.
+func sortedCounts(times map[string]int) []Count {
 	var ordered []Count
 	for what, often := range times {
-		ordered = append(ordered, Count{What: what, Times: often})
+		ordered = append(ordered, Count{Label: what, Value: often})
 	}
 	slices.SortFunc(ordered, func(a, b Count) int {
-		return cmp.Or(cmp.Compare(b.Times, a.Times), strings.Compare(a.What, b.What))
+		return cmp.Or(cmp.Compare(b.Value, a.Value), strings.Compare(a.Label, b.Label))
 	})
 	return ordered
 }
