--- a/cmd/ambertiller/path_test.go
+++ b/cmd/ambertiller/path_test.go
@@ -20,38 +20,38 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-// patience is how long anything may take; it only ends a test that would fail.
-const patience = time.Minute
+// testTimeout is how long anything may take; it only ends a test that would fail.
+const testTimeout = time.Minute
 
-// fleet is a deployment of separate processes.
-type fleet struct {
+// deployment is a deployment of separate processes.
+type deployment struct {
 	t       *testing.T
 	binary  string
 	network string
 	layout  standin.Layout
-	// stoppable are the entries and then the guards.
-	stoppable []*exec.Cmd
+	// processes are the entries and then the guards.
+	processes []*exec.Cmd
 }
 
-func newFleet(t *testing.T, workers, entries int) *fleet {
+func newDeployment(t *testing.T, workers, entries int) *deployment {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "ambertiller")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	network := fmt.Sprintf("127.%d", 100+os.Getpid()%100)
-	made := &fleet{t: t, binary: binary, network: network, layout: standin.Layout{Network: network}}
-	made.start("standin", "--network", network, "--workers", fmt.Sprint(workers), "--entries", fmt.Sprint(entries))
+	made := &deployment{t: t, binary: binary, network: network, layout: standin.Layout{Network: network}}
+	made.startProcess("standin", "--network", network, "--workers", fmt.Sprint(workers), "--entries", fmt.Sprint(entries))
 	for index := 1; index <= entries; index++ {
-		made.stoppable = append(made.stoppable, made.startEntry(index))
+		made.processes = append(made.processes, made.startEntry(index))
 	}
 	for index := 1; index <= workers; index++ {
-		made.stoppable = append(made.stoppable, made.startGuard(index))
+		made.processes = append(made.processes, made.startGuard(index))
 	}
 	return made
 }
 
-func (made *fleet) start(arguments ...string) *exec.Cmd {
+func (made *deployment) startProcess(arguments ...string) *exec.Cmd {
 	made.t.Helper()
 	started := exec.Command(made.binary, arguments...)
 	var log bytes.Buffer
@@ -69,16 +69,16 @@
 	return started
 }
 
-func (made *fleet) startEntry(index int) *exec.Cmd {
-	return made.start("entry", "--name", standin.EntryName(index),
+func (made *deployment) startEntry(index int) *exec.Cmd {
+	return made.startProcess("entry", "--name", standin.EntryName(index),
 		"--failure-domain", standin.Options{}.FailureDomain(index),
 		"--http", made.layout.Entry(index, standin.EntryHTTPPort),
 		"--rpc", made.layout.Entry(index, standin.EntryRPCPort),
 		"--platform", "http://"+made.layout.Platform(), "--leave-delay", "500ms")
 }
 
-func (made *fleet) startGuard(index int) *exec.Cmd {
-	return made.start("guard", "--name", standin.WorkerName(index),
+func (made *deployment) startGuard(index int) *exec.Cmd {
+	return made.startProcess("guard", "--name", standin.WorkerName(index),
 		"--failure-domain", standin.Options{}.FailureDomain(index), "--service", "verbale",
 		"--rpc", made.layout.Worker(index, standin.GuardPort),
 		"--admin", made.layout.Worker(index, standin.GuardAdminPort),
@@ -87,10 +87,10 @@
 		"--backend", "http://"+made.layout.Worker(index, standin.BackendPort), "--leave-delay", "500ms")
 }
 
-// run runs an operator's command against an entry.
-func (made *fleet) run(entry int, arguments ...string) (string, error) {
+// runCommand runs an operator's command against an entry.
+func (made *deployment) runCommand(entry int, arguments ...string) (string, error) {
 	url := "http://" + made.layout.Entry(entry, standin.EntryHTTPPort)
-	command := exec.Command(made.binary, append([]string{"--entry", url, "--output", "json", "--timeout", patience.String()}, arguments...)...)
+	command := exec.Command(made.binary, append([]string{"--entry", url, "--output", "json", "--timeout", testTimeout.String()}, arguments...)...)
 	var out, errOut bytes.Buffer
 	command.Stdout, command.Stderr = &out, &errOut
 	if err := command.Run(); err != nil {
@@ -99,10 +99,10 @@
 	return out.String(), nil
 }
 
-// until repeats a step until it succeeds.
-func (made *fleet) until(what string, step func() error) {
+// waitFor repeats a step until it succeeds.
+func (made *deployment) waitFor(what string, step func() error) {
 	made.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for {
 		err := step()
@@ -118,7 +118,7 @@
 }
 
 // publishConfig publishes and waits until it is in force on all instances.
-func (made *fleet) publishConfig(instances int) {
+func (made *deployment) publishConfig(instances int) {
 	made.t.Helper()
 	example, err := os.ReadFile("../../examples/verbalia/config.yaml")
 	if err != nil {
@@ -126,15 +126,15 @@
 	}
 	// Requests that a test holds need longer than a correction may take.
 	patient := filepath.Join(made.t.TempDir(), "config.yaml")
-	if err := os.WriteFile(patient, bytes.ReplaceAll(example, []byte("timeout: 2s"), []byte("timeout: "+patience.String())), 0o600); err != nil {
+	if err := os.WriteFile(patient, bytes.ReplaceAll(example, []byte("timeout: 2s"), []byte("timeout: "+testTimeout.String())), 0o600); err != nil {
 		made.t.Fatal(err)
 	}
-	made.until("publish the configuration", func() error {
-		_, err := made.run(1, "config", "publish", "--based-on", "0", patient)
+	made.waitFor("publish the configuration", func() error {
+		_, err := made.runCommand(1, "config", "publish", "--based-on", "0", patient)
 		return err
 	})
-	made.until("configuration in force everywhere", func() error {
-		out, err := made.run(1, "config", "show", "--in-force")
+	made.waitFor("configuration in force everywhere", func() error {
+		out, err := made.runCommand(1, "config", "show", "--in-force")
 		if err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 	})
 }
 
-func (made *fleet) request(entry int, body string, header http.Header) (*http.Response, string, error) {
+func (made *deployment) sendRequest(entry int, body string, header http.Header) (*http.Response, string, error) {
 	url := "http://" + made.layout.Entry(entry, standin.EntryHTTPPort) + "/v1/services/verbale/snippets"
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -165,15 +165,15 @@
 	return response, string(answer), err
 }
 
-// TestWholePath starts the deployment as separate processes: a request gets
+// TestRequestsBatchJobAndPolicy starts the deployment as separate processes: a request gets
 // its whole answer, a batch job is submitted, placed, runs and finishes, and a
 // published policy takes effect.
-func TestWholePath(t *testing.T) {
-	made := newFleet(t, 3, 2)
+func TestRequestsBatchJobAndPolicy(t *testing.T) {
+	made := newDeployment(t, 3, 2)
 	made.publishConfig(5)
 
-	made.until("a request is answered", func() error {
-		response, answer, err := made.request(2, "la seduta", http.Header{api.HeaderRequestID: {"r-1"}})
+	made.waitFor("a request is answered", func() error {
+		response, answer, err := made.sendRequest(2, "la seduta", http.Header{api.HeaderRequestID: {"r-1"}})
 		if err != nil {
 			return err
 		}
@@ -183,11 +183,11 @@
 		return nil
 	})
 
-	finished := made.submit("council-12")
+	finished := made.submitAndWait("council-12")
 	if finished.Phase != "finished" || finished.Policy != "built-in@0" {
 		t.Fatalf("the job ended as %+v", finished)
 	}
-	out, err := made.run(2, "result", finished.ID)
+	out, err := made.runCommand(2, "result", finished.ID)
 	if err != nil || !strings.Contains(out, `transcription of \"council-12\"`) {
 		t.Fatalf("result %q, %v", out, err)
 	}
@@ -196,20 +196,20 @@
 	if err := os.WriteFile(program, []byte(`worker.name == "worker-03" ? 1 : 0`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := made.run(2, "policy", "publish", program); err != nil {
+	if _, err := made.runCommand(2, "policy", "publish", program); err != nil {
 		t.Fatal(err)
 	}
-	made.until("the policy is in force", func() error {
-		if placed := made.submit(""); placed.Policy != "placement@1" || placed.Worker != "worker-03" {
+	made.waitFor("the policy is in force", func() error {
+		if placed := made.submitAndWait(""); placed.Policy != "placement@1" || placed.Worker != "worker-03" {
 			return fmt.Errorf("placed by %s on %s", placed.Policy, placed.Worker)
 		}
 		return nil
 	})
 }
 
-func (made *fleet) submit(input string) api.Task {
+func (made *deployment) submitAndWait(input string) api.Task {
 	made.t.Helper()
-	out, err := made.run(1, "submit", "--team", "councils", "--kind", "transcription", "--run-time", "200ms", "--input", input, "--wait")
+	out, err := made.runCommand(1, "submit", "--team", "councils", "--kind", "transcription", "--run-time", "200ms", "--input", input, "--wait")
 	if err != nil {
 		made.t.Fatal(err)
 	}
@@ -220,8 +220,8 @@
 	return task
 }
 
-// control calls a control of the stand-in and returns the body.
-func (made *fleet) control(method, path string) string {
+// callStandin calls a control of the stand-in and returns the body.
+func (made *deployment) callStandin(method, path string) string {
 	made.t.Helper()
 	request, err := http.NewRequest(method, "http://"+made.layout.Platform()+path, nil)
 	if err != nil {
@@ -239,10 +239,10 @@
 	return strings.TrimSpace(string(body))
 }
 
-// TestHalfRequests keeps connections with half a request open; others are
+// TestIncompleteRequests keeps connections with half a request open; others are
 // served all the same.
-func TestHalfRequests(t *testing.T) {
-	made := newFleet(t, 1, 1)
+func TestIncompleteRequests(t *testing.T) {
+	made := newDeployment(t, 1, 1)
 	made.publishConfig(2)
 	address := made.layout.Entry(1, standin.EntryHTTPPort)
 	halves := []string{"POST /v1/serv", "POST /v1/services/verbale/x HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf", "\x00\x01\x02"}
@@ -258,8 +258,8 @@
 			}
 		}
 	}
-	made.until("a whole request is answered", func() error {
-		response, answer, err := made.request(1, "whole", http.Header{})
+	made.waitFor("a whole request is answered", func() error {
+		response, answer, err := made.sendRequest(1, "whole", http.Header{})
 		if err == nil && (response.StatusCode != http.StatusOK || answer != "corrected: whole\n") {
 			err = fmt.Errorf("status %d, answer %q", response.StatusCode, answer)
 		}
@@ -270,29 +270,29 @@
 // TestSecondSignal holds a request in flight: the first SIGTERM waits for it,
 // the second breaks off and says so.
 func TestSecondSignal(t *testing.T) {
-	made := newFleet(t, 1, 1)
+	made := newDeployment(t, 1, 1)
 	made.publishConfig(2)
-	made.until("a request is answered", func() error {
-		response, _, err := made.request(1, "x", http.Header{})
+	made.waitFor("a request is answered", func() error {
+		response, _, err := made.sendRequest(1, "x", http.Header{})
 		if err == nil && response.StatusCode != http.StatusOK {
 			err = fmt.Errorf("status %d", response.StatusCode)
 		}
 		return err
 	})
 	go func() {
-		_, _, _ = made.request(1, "held", http.Header{standin.HeaderHold: {"second"}, api.HeaderTimeout: {patience.String()}})
+		_, _, _ = made.sendRequest(1, "held", http.Header{standin.HeaderHold: {"second"}, api.HeaderTimeout: {testTimeout.String()}})
 	}()
-	made.until("the request is in flight", func() error {
-		if held := made.control(http.MethodGet, "/control/holds/second"); held != "1" {
+	made.waitFor("the request is in flight", func() error {
+		if held := made.callStandin(http.MethodGet, "/control/holds/second"); held != "1" {
 			return fmt.Errorf("%s requests are held", held)
 		}
 		return nil
 	})
-	entry := made.stoppable[0]
+	entry := made.processes[0]
 	if err := entry.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	made.until("the entry says that it leaves", func() error {
+	made.waitFor("the entry says that it leaves", func() error {
 		response, err := http.Get("http://" + made.layout.Entry(1, standin.EntryHTTPPort) + "/readyz")
 		if err != nil {
 			return nil
@@ -309,35 +309,35 @@
 	if err := entry.Wait(); err == nil || entry.ProcessState.ExitCode() != 1 {
 		t.Errorf("the entry ended with %v", err)
 	}
-	made.control(http.MethodDelete, "/control/holds/second")
+	made.callStandin(http.MethodDelete, "/control/holds/second")
 }
 
 // TestPlannedStop sends SIGTERM to a guard and an entry while requests are in
 // flight; none of them is cut.
 func TestPlannedStop(t *testing.T) {
-	made := newFleet(t, 2, 2)
+	made := newDeployment(t, 2, 2)
 	made.publishConfig(4)
-	made.until("a request is answered", func() error {
-		response, _, err := made.request(1, "x", http.Header{})
+	made.waitFor("a request is answered", func() error {
+		response, _, err := made.sendRequest(1, "x", http.Header{})
 		if err == nil && response.StatusCode != http.StatusOK {
 			err = fmt.Errorf("status %d", response.StatusCode)
 		}
 		return err
 	})
-	entry, guard := made.stoppable[0], made.stoppable[2]
+	entry, guard := made.processes[0], made.processes[2]
 	const inFlight = 8
 	failures := make(chan error, inFlight)
 	for range inFlight {
 		go func() {
-			response, answer, err := made.request(1, "slow", http.Header{standin.HeaderHold: {"stop"}, api.HeaderTimeout: {patience.String()}})
+			response, answer, err := made.sendRequest(1, "slow", http.Header{standin.HeaderHold: {"stop"}, api.HeaderTimeout: {testTimeout.String()}})
 			if err == nil && (response.StatusCode != http.StatusOK || answer != "corrected: slow\n") {
 				err = fmt.Errorf("status %d, answer %q", response.StatusCode, answer)
 			}
 			failures <- err
 		}()
 	}
-	made.until("the requests are in flight", func() error {
-		if held := made.control(http.MethodGet, "/control/holds/stop"); held != "8" {
+	made.waitFor("the requests are in flight", func() error {
+		if held := made.callStandin(http.MethodGet, "/control/holds/stop"); held != "8" {
 			return fmt.Errorf("%s requests are held", held)
 		}
 		return nil
@@ -347,7 +347,7 @@
 			t.Fatal(err)
 		}
 	}
-	made.until("both say that they leave", func() error {
+	made.waitFor("both say that they leave", func() error {
 		for _, address := range []string{made.layout.Entry(1, standin.EntryHTTPPort), made.layout.Worker(1, standin.GuardAdminPort)} {
 			response, err := http.Get("http://" + address + "/readyz")
 			if err == nil {
@@ -359,7 +359,7 @@
 		}
 		return nil
 	})
-	made.control(http.MethodDelete, "/control/holds/stop")
+	made.callStandin(http.MethodDelete, "/control/holds/stop")
 	for range inFlight {
 		if err := <-failures; err != nil {
 			t.Errorf("a request in flight was cut: %v", err)
--- a/cmd/ambertiller/platform_test.go
+++ b/cmd/ambertiller/platform_test.go
@@ -23,38 +23,38 @@
 )
 
 const (
-	platformJob  = "0123456789abcdef"
-	platformTask = platformJob + ".0.0.0"
-	platformLife = "i-1"
-	leaseMost    = 6 * time.Second
-	published    = `{"version":7,"routes":[{"name":"r-1","host":"q.example","path_prefix":"/q/","service":"verbale","attempts":2,"extension":1.5}]}`
-	handedIn     = `{"spec":"s","steps":[{"count":1,"cpu":500,"mem_mb":256,"estimate_ms":900}]}`
+	platformJobID          = "0123456789abcdef"
+	platformTaskID         = platformJobID + ".0.0.0"
+	workerIncarnation      = "i-1"
+	maxLease               = 6 * time.Second
+	publishedConfiguration = `{"version":7,"routes":[{"name":"r-1","host":"q.example","path_prefix":"/q/","service":"verbale","attempts":2,"extension":1.5}]}`
+	submissionBody         = `{"spec":"s","steps":[{"count":1,"cpu":500,"mem_mb":256,"estimate_ms":900}]}`
 )
 
-// site is the platform's part of a deployment, and the processes that run on it.
-type site struct {
-	t      *testing.T
-	binary string
-	store  *wirestore.Store
-	worker *wireworker.Worker
-	at     string // the store's address
-	app    string // the worker's
+// platformDeployment is the platform's part of a deployment, and the processes that run on it.
+type platformDeployment struct {
+	t             *testing.T
+	binary        string
+	store         *wirestore.Store
+	worker        *wireworker.Worker
+	storeAddress  string // the store's address
+	workerAddress string // the worker's
 }
 
-func newSite(t *testing.T) *site {
+func newPlatformDeployment(t *testing.T) *platformDeployment {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "ambertiller")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	made := &site{t: t, binary: binary, store: wirestore.New(8, time.Now), worker: wireworker.New(platformLife, clockwork.NewRealClock())}
-	made.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(published))
-	made.at = made.serve(made.store)
-	made.app = made.serve(made.worker)
+	made := &platformDeployment{t: t, binary: binary, store: wirestore.New(8, time.Now), worker: wireworker.New(workerIncarnation, clockwork.NewRealClock())}
+	made.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(publishedConfiguration))
+	made.storeAddress = made.startServer(made.store)
+	made.workerAddress = made.startServer(made.worker)
 	return made
 }
 
-func (made *site) serve(handler http.Handler) string {
+func (made *platformDeployment) startServer(handler http.Handler) string {
 	server := httptest.NewServer(handler)
 	made.t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -63,12 +63,12 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// start runs a role on an address of the loopback network, and returns the process
+// startRole runs a role on an address of the loopback network, and returns the process
 // and where it listens.
-func (made *site) start(role, ip string) *exec.Cmd {
+func (made *platformDeployment) startRole(role, ip string) *exec.Cmd {
 	made.t.Helper()
 	path := filepath.Join(made.t.TempDir(), "local.toml")
-	file := bootfile.File{Name: role + "-" + ip, IP: ip, Worker: made.app, Store: made.at, LeaseMost: leaseMost}
+	file := bootfile.File{Name: role + "-" + ip, IP: ip, Worker: made.workerAddress, Store: made.storeAddress, LeaseMost: maxLease}
 	if err := file.Write(path); err != nil {
 		made.t.Fatal(err)
 	}
@@ -89,10 +89,10 @@
 	return started
 }
 
-// until repeats a step until it holds.
-func (made *site) until(what string, holds func() bool) {
+// waitFor repeats a step until it holds.
+func (made *platformDeployment) waitFor(what string, holds func() bool) {
 	made.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for !holds() {
 		if ctx.Err() != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (made *site) ask(method, url, body string) (status int, text string) {
+func (made *platformDeployment) sendRequest(method, url, body string) (status int, text string) {
 	request, err := http.NewRequestWithContext(context.Background(), method, url, strings.NewReader(body))
 	if err != nil {
 		made.t.Fatal(err)
@@ -120,36 +120,36 @@
 	return answer.StatusCode, read.String()
 }
 
-func (made *site) beat(ip string) bool {
-	body := fmt.Sprintf(`{"service":"verbale","address":"%s","zone":"milano-a","state":"ready","capacity":{"cpu":4000,"mem_mb":8000},"labels":["a","r1"],"seq":1}`, made.app)
-	status, _ := made.ask(http.MethodPut, "http://"+bootfile.Beats(ip)+"/v1/instances/"+platformLife, body)
+func (made *platformDeployment) sendHeartbeat(ip string) bool {
+	body := fmt.Sprintf(`{"service":"verbale","address":"%s","zone":"milano-a","state":"ready","capacity":{"cpu":4000,"mem_mb":8000},"labels":["a","r1"],"seq":1}`, made.workerAddress)
+	status, _ := made.sendRequest(http.MethodPut, "http://"+bootfile.Beats(ip)+"/v1/instances/"+workerIncarnation, body)
 	return status == http.StatusOK
 }
 
-// TestPlatformPath hands a job in at a gateway that then is killed: another one
+// TestGatewayTakeover hands a job in at a gateway that then is killed: another one
 // takes its shard over and shows the job as completed once its task has ended, and
 // both stop as told.
-func TestPlatformPath(t *testing.T) {
-	made := newSite(t)
+func TestGatewayTakeover(t *testing.T) {
+	made := newPlatformDeployment(t)
 	network := fmt.Sprintf("127.%d", 200+os.Getpid()%50)
 	first, second, side := network+".0.1", network+".0.2", network+".0.3"
-	killed := made.start("gateway", first)
-	agent := made.start("agent", side)
-	made.until("the agent's answer to a heartbeat", func() bool { return made.beat(side) })
-	url := "http://" + bootfile.Front(first) + "/q/" + platformJob
-	made.until("the job's acceptance", func() bool {
-		status, _ := made.ask(http.MethodPost, url, handedIn)
+	killed := made.startRole("gateway", first)
+	agent := made.startRole("agent", side)
+	made.waitFor("the agent's answer to a heartbeat", func() bool { return made.sendHeartbeat(side) })
+	url := "http://" + bootfile.Front(first) + "/q/" + platformJobID
+	made.waitFor("the job's acceptance", func() bool {
+		status, _ := made.sendRequest(http.MethodPost, url, submissionBody)
 		return status == http.StatusOK
 	})
-	made.until("the task's start", func() bool { _, runs := made.worker.Running(platformTask); return runs })
-	stays := made.start("gateway", second)
+	made.waitFor("the task's start", func() bool { _, runs := made.worker.Running(platformTaskID); return runs })
+	stays := made.startRole("gateway", second)
 	if err := killed.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	made.worker.End(platformTask, "done")
-	url = "http://" + bootfile.Front(second) + "/q/" + platformJob
-	made.until("the job's completion", func() bool {
-		_, text := made.ask(http.MethodGet, url, "")
+	made.worker.End(platformTaskID, "done")
+	url = "http://" + bootfile.Front(second) + "/q/" + platformJobID
+	made.waitFor("the job's completion", func() bool {
+		_, text := made.sendRequest(http.MethodGet, url, "")
 		return strings.Contains(text, "completed")
 	})
 	if got := len(made.worker.Starts()); got != 1 {
--- a/command/client.go
+++ b/command/client.go
@@ -14,27 +14,27 @@
 	"ambertiller.example/ambertiller/api"
 )
 
-const maxAnswerBytes = 64 << 20
+const maxResponseBytes = 64 << 20
 
 // client calls an entry for an operator.
 type client struct {
-	base string
-	http *http.Client
-	out  *printer
+	baseURL    string
+	httpClient *http.Client
+	printer    *printer
 }
 
 func newClient(from *cli.Command) (*client, error) {
-	given := &settings{from: from}
-	base := given.link("entry")
+	given := &settings{command: from}
+	base := given.requiredURL("entry")
 	timeout := from.Duration("timeout")
 	if timeout <= 0 {
-		given.fault("timeout", "must be positive")
+		given.addFault("timeout", "must be positive")
 	}
 	out := newPrinter(from, given)
 	if err := given.err(); err != nil {
 		return nil, err
 	}
-	return &client{base: base, http: &http.Client{Timeout: timeout}, out: out}, nil
+	return &client{baseURL: base, httpClient: &http.Client{Timeout: timeout}, printer: out}, nil
 }
 
 // call sends one request and decodes its answer. header may be nil.
@@ -47,7 +47,7 @@
 		}
 		content = bytes.NewReader(encoded)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, calling.base+path, content)
+	request, err := http.NewRequestWithContext(ctx, method, calling.baseURL+path, content)
 	if err != nil {
 		return errors.Wrap(err, "make the request")
 	}
@@ -55,16 +55,16 @@
 		request.Header[name] = values
 	}
 	request.Header.Set("Content-Type", "application/json")
-	response, err := calling.http.Do(request)
+	response, err := calling.httpClient.Do(request)
 	if err != nil {
 		return &exitError{code: ExitUnreachable, cause: errors.Wrap(err, "no answer from the entry; check --entry and try again")}
 	}
 	defer func() { _ = response.Body.Close() }()
-	return decodeAnswer(response, into)
+	return decodeResponse(response, into)
 }
 
-func decodeAnswer(response *http.Response, into any) error {
-	reader := io.LimitReader(response.Body, maxAnswerBytes)
+func decodeResponse(response *http.Response, into any) error {
+	reader := io.LimitReader(response.Body, maxResponseBytes)
 	if strings.HasPrefix(response.Header.Get("Content-Type"), api.ProblemType) {
 		problem := &api.Problem{}
 		if err := json.NewDecoder(reader).Decode(problem); err != nil {
@@ -83,5 +83,5 @@
 	if len(problem.Faults) == 0 {
 		return problem
 	}
-	return errors.WithMessage(problem, faultLines(problem.Faults))
+	return errors.WithMessage(problem, formatFaults(problem.Faults))
 }
--- a/command/command.go
+++ b/command/command.go
@@ -47,7 +47,7 @@
 // Unwrap returns the cause.
 func (exit *exitError) Unwrap() error { return exit.cause }
 
-func usage(format string, arguments ...any) error {
+func newUsageError(format string, arguments ...any) error {
 	return &exitError{code: ExitUsage, cause: errors.Errorf(format, arguments...)}
 }
 
@@ -60,22 +60,22 @@
 	}
 	// Nothing can be done when standard error is closed.
 	_, _ = fmt.Fprintln(errOut, "ambertiller: "+err.Error())
-	return codeOf(err)
+	return exitCode(err)
 }
 
-func codeOf(err error) int {
+func exitCode(err error) int {
 	var exit *exitError
 	if errors.As(err, &exit) {
 		return exit.code
 	}
 	var problem *api.Problem
 	if errors.As(err, &problem) {
-		return problemCode(problem)
+		return problemExitCode(problem)
 	}
 	return ExitFailed
 }
 
-func problemCode(problem *api.Problem) int {
+func problemExitCode(problem *api.Problem) int {
 	switch problem.Type {
 	case api.TypeBadRequest, api.TypeTooLarge:
 		if len(problem.Faults) > 0 {
@@ -115,12 +115,12 @@
 		ErrWriter:             errOut,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
 		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error {
-			return usage("%v; see `ambertiller help`", err)
+			return newUsageError("%v; see `ambertiller help`", err)
 		},
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "entry", Usage: "URL of an entry, or of the balancer in front of them", Value: defaultEntry, Sources: env("ENTRY")},
-			&cli.StringFlag{Name: "output", Usage: "table or json", Value: outputTable, Sources: env("OUTPUT")},
-			&cli.DurationFlag{Name: "timeout", Usage: "how long an operator's command may take", Value: defaultTimeout, Sources: env("TIMEOUT")},
+			&cli.StringFlag{Name: "entry", Usage: "URL of an entry, or of the balancer in front of them", Value: defaultEntry, Sources: envVar("ENTRY")},
+			&cli.StringFlag{Name: "output", Usage: "table or json", Value: outputTable, Sources: envVar("OUTPUT")},
+			&cli.DurationFlag{Name: "timeout", Usage: "how long an operator's command may take", Value: defaultTimeout, Sources: envVar("TIMEOUT")},
 		},
 		Commands: []*cli.Command{
 			entryCommand(), guardCommand(), gatewayCommand(), agentCommand(), standinCommand(), demoCommand(),
@@ -132,8 +132,8 @@
 	}
 }
 
-// env names the variable behind a flag.
-func env(name string) cli.ValueSourceChain { return cli.EnvVars("AMBERTILLER_" + name) }
+// envVar names the variable behind a flag.
+func envVar(name string) cli.ValueSourceChain { return cli.EnvVars("AMBERTILLER_" + name) }
 
 func revision() string {
 	info, found := debug.ReadBuildInfo()
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -13,15 +13,15 @@
 	"ambertiller.example/ambertiller/command"
 )
 
-func run(arguments ...string) (code int, out, errOut string) {
+func runCommand(arguments ...string) (code int, out, errOut string) {
 	var stdout, stderr bytes.Buffer
 	code = command.Run(context.Background(), append([]string{"ambertiller"}, arguments...), &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
-// TestSettingsNameEveryFault: a role with several wrong settings names all of
+// TestSettingsReportEveryFault: a role with several wrong settings names all of
 // them at once and starts nothing.
-func TestSettingsNameEveryFault(t *testing.T) {
+func TestSettingsReportEveryFault(t *testing.T) {
 	tests := map[string]struct {
 		arguments []string
 		want      []string
@@ -39,7 +39,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			code, _, errOut := run(test.arguments...)
+			code, _, errOut := runCommand(test.arguments...)
 			if code != command.ExitUsage {
 				t.Errorf("exit code %d: %s", code, errOut)
 			}
@@ -52,9 +52,9 @@
 	}
 }
 
-func TestVariables(t *testing.T) {
+func TestEnvironmentVariables(t *testing.T) {
 	t.Setenv("AMBERTILLER_OUTPUT", "json")
-	code, out, errOut := run("version")
+	code, out, errOut := runCommand("version")
 	var info struct {
 		Version string `json:"version"`
 	}
@@ -85,26 +85,26 @@
 				_ = json.NewEncoder(writer).Encode(test.problem)
 			}))
 			defer entry.Close()
-			if code, _, errOut := run("--entry", entry.URL, "task", "t-1"); code != test.code || errOut == "" {
+			if code, _, errOut := runCommand("--entry", entry.URL, "task", "t-1"); code != test.code || errOut == "" {
 				t.Errorf("exit code %d: %q", code, errOut)
 			}
 		})
 	}
 	t.Run("no entry", func(t *testing.T) {
-		if code, _, errOut := run("--entry", "http://127.0.0.1:1", "workers"); code != command.ExitUnreachable || !strings.Contains(errOut, "check --entry") {
+		if code, _, errOut := runCommand("--entry", "http://127.0.0.1:1", "workers"); code != command.ExitUnreachable || !strings.Contains(errOut, "check --entry") {
 			t.Errorf("exit code %d: %q", code, errOut)
 		}
 	})
 }
 
 func TestCheckOffline(t *testing.T) {
-	if code, _, errOut := run("config", "check", "--offline", "../examples/sapporo/config.yaml"); code != command.ExitOK {
+	if code, _, errOut := runCommand("config", "check", "--offline", "../examples/sapporo/config.yaml"); code != command.ExitOK {
 		t.Errorf("exit code %d: %s", code, errOut)
 	}
-	if code, _, _ := run("config", "check", "--offline", "../config/testdata/every-fault.yaml"); code != command.ExitFaults {
+	if code, _, _ := runCommand("config", "check", "--offline", "../config/testdata/every-fault.yaml"); code != command.ExitFaults {
 		t.Errorf("exit code %d", code)
 	}
-	if code, _, _ := run("policy", "check", "--offline", "../examples/verbalia/placement.expr"); code != command.ExitOK {
+	if code, _, _ := runCommand("policy", "check", "--offline", "../examples/verbalia/placement.expr"); code != command.ExitOK {
 		t.Errorf("exit code %d", code)
 	}
 }
--- a/command/demo.go
+++ b/command/demo.go
@@ -13,7 +13,7 @@
 		Name:  "demo",
 		Usage: "bring every role up in one process and show what they do together",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "network", Usage: "first two parts of the loopback IP numbers to use", Value: "127.70", Sources: env("NETWORK")},
+			&cli.StringFlag{Name: "network", Usage: "first two parts of the loopback IP numbers to use", Value: "127.70", Sources: envVar("NETWORK")},
 			&cli.BoolFlag{Name: "serve", Usage: "keep serving after the checks"},
 			&cli.BoolFlag{Name: "verbose", Usage: "write the log to standard error"},
 		},
--- a/command/drain_test.go
+++ b/command/drain_test.go
@@ -46,7 +46,7 @@
 			})
 			server := httptest.NewServer(mux)
 			t.Cleanup(server.Close)
-			code, _, errOut := run(append([]string{"--entry", server.URL, "drain"}, test.arguments...)...)
+			code, _, errOut := runCommand(append([]string{"--entry", server.URL, "drain"}, test.arguments...)...)
 			if code != test.code || !slices.Equal(drained, test.drained) {
 				t.Errorf("code %d, drained %v, said %q", code, drained, strings.TrimSpace(errOut))
 			}
--- a/command/evacuate.go
+++ b/command/evacuate.go
@@ -13,12 +13,12 @@
 	"ambertiller.example/ambertiller/platform"
 )
 
-// evacuatePatience bounds an operator's command to the platform's store, which answers
+// evacuateTimeout bounds an operator's command to the platform's store, which answers
 // within a quarter of a second while it is slow.
-const evacuatePatience = 10 * time.Second
+const evacuateTimeout = 10 * time.Second
 
-// evacuateNote is what the operator's record of an evacuation holds: that it is there.
-const evacuateNote = "{}"
+// evacuationRecord is what the operator's record of an evacuation holds: that it is there.
+const evacuationRecord = "{}"
 
 func evacuateCommand() *cli.Command {
 	return &cli.Command{
@@ -34,22 +34,22 @@
 
 func runEvacuate(ctx context.Context, from *cli.Command) error {
 	if from.Args().Len() > 1 {
-		return usage("give at most one FAILURE-DOMAIN")
+		return newUsageError("give at most one FAILURE-DOMAIN")
 	}
 	loaded, err := platform.LoadSettings(from.String("settings"))
 	if err != nil {
-		return usage("%v", err)
+		return newUsageError("%v", err)
 	}
-	given := &settings{from: from}
+	given := &settings{command: from}
 	out := newPrinter(from, given)
 	if err := given.err(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, evacuatePatience)
+	ctx, cancel := context.WithTimeout(ctx, evacuateTimeout)
 	defer cancel()
 	store := platform.NewStore(loaded.StoreAddress(), platform.NewTransport())
 	if domain := from.Args().First(); domain != "" {
-		if err := evacuate(ctx, store, domain, from.Bool("end")); err != nil {
+		if err := setEvacuation(ctx, store, domain, from.Bool("end")); err != nil {
 			return &exitError{code: ExitUnreachable, cause: err}
 		}
 	}
@@ -58,14 +58,14 @@
 		return &exitError{code: ExitUnreachable, cause: errors.Wrap(err, "ask the platform's store what is evacuated; try again")}
 	}
 	evacuated := append([]string{}, news.Evacuations.Domains()...)
-	return out.fields(map[string][]string{"evacuated": evacuated}, "evacuated", strings.Join(evacuated, " "))
+	return out.printFields(map[string][]string{"evacuated": evacuated}, "evacuated", strings.Join(evacuated, " "))
 }
 
-// evacuate writes or drops the record of an evacuation.
-func evacuate(ctx context.Context, store *platform.Store, domain string, end bool) error {
+// setEvacuation writes or drops the record of an evacuation.
+func setEvacuation(ctx context.Context, store *platform.Store, domain string, end bool) error {
 	record := platform.Record{Key: platform.EvacuationKey(domain)}
 	if !end {
-		record.Value = []byte(evacuateNote)
+		record.Value = []byte(evacuationRecord)
 	}
 	_, err := store.Append(ctx, platform.Append{Topic: platform.OperatorTopic, Records: []platform.Record{record}})
 	return errors.Wrap(err, "write to the platform's store; whether it took the record is not known, call it again")
--- a/command/evacuate_test.go
+++ b/command/evacuate_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, step := range steps {
 		given := append([]string{"--output", "json", "evacuate", "--settings", path}, step.arguments...)
-		code, out, errOut := run(given...)
+		code, out, errOut := runCommand(given...)
 		if code != command.ExitOK || !strings.Contains(out, step.want) {
 			t.Errorf("%v: code %d, said %q, %q", step.arguments, code, out, errOut)
 		}
@@ -46,7 +46,7 @@
 		t.Error("the record is still there")
 	}
 	store.Fail(func(string) wirestore.Fault { return wirestore.FaultBusy })
-	if code, _, errOut := run("evacuate", "--settings", path, "milano-a"); code != command.ExitUnreachable || !strings.Contains(errOut, "call it again") {
+	if code, _, errOut := runCommand("evacuate", "--settings", path, "milano-a"); code != command.ExitUnreachable || !strings.Contains(errOut, "call it again") {
 		t.Errorf("store away: code %d, said %q", code, errOut)
 	}
 }
--- a/command/logs.go
+++ b/command/logs.go
@@ -7,9 +7,9 @@
 	"github.com/pkg/errors"
 )
 
-// withLogs opens log files, or takes standard input if none is named, for as long as
+// withLogFiles opens log files, or takes standard input if none is named, for as long as
 // use takes.
-func withLogs(input io.Reader, paths []string, use func(logs []io.Reader) error) error {
+func withLogFiles(input io.Reader, paths []string, use func(logs []io.Reader) error) error {
 	if len(paths) == 0 {
 		return use([]io.Reader{input})
 	}
--- a/command/operator.go
+++ b/command/operator.go
@@ -36,11 +36,11 @@
 			for _, worker := range workers {
 				rows = append(rows, []string{
 					worker.Name, worker.FailureDomain, worker.Rack, worker.State, strconv.FormatBool(worker.Draining),
-					number(worker.FreeCPU) + "/" + number(worker.Processors),
+					formatFloat(worker.FreeCPU) + "/" + formatFloat(worker.Processors),
 					fmt.Sprintf("%d/%d", worker.SlotsUsed, worker.Slots), strings.Join(worker.Tasks, " "),
 				})
 			}
-			return calling.out.print(workers, []string{"NAME", "FAILURE DOMAIN", "RACK", "STATE", "DRAINING", "FREE PROCESSORS", "SLOTS", "TASKS"}, rows)
+			return calling.printer.print(workers, []string{"NAME", "FAILURE DOMAIN", "RACK", "STATE", "DRAINING", "FREE PROCESSORS", "SLOTS", "TASKS"}, rows)
 		},
 	}
 }
@@ -61,16 +61,16 @@
 			authorFlag(),
 		},
 		Action: func(ctx context.Context, from *cli.Command) error {
-			asked := api.DrainRequest{Draining: !from.Bool("end"), Author: authorOf(from)}
+			asked := api.DrainRequest{Draining: !from.Bool("end"), Author: changeAuthor(from)}
 			if domain := from.String("failure-domain"); domain != "" {
-				return drainDomain(ctx, from, domain, asked)
+				return drainFailureDomain(ctx, from, domain, asked)
 			}
-			return oneArgument("WORKER", func(ctx context.Context, calling *client, worker string) error {
+			return singleArgumentAction("WORKER", func(ctx context.Context, calling *client, worker string) error {
 				done, err := calling.drain(ctx, worker, asked)
 				if err != nil {
 					return err
 				}
-				return calling.out.fields(&done, "worker", worker, "draining", strconv.FormatBool(done.Draining))
+				return calling.printer.printFields(&done, "worker", worker, "draining", strconv.FormatBool(done.Draining))
 			})(ctx, from)
 		},
 	}
@@ -83,11 +83,11 @@
 	return done, err
 }
 
-// drainDomain begins or ends the drain of each worker of a failure domain. A worker that
+// drainFailureDomain begins or ends the drain of each worker of a failure domain. A worker that
 // joins later is not drained; `ambertiller workers` shows it.
-func drainDomain(ctx context.Context, from *cli.Command, domain string, asked api.DrainRequest) error {
+func drainFailureDomain(ctx context.Context, from *cli.Command, domain string, asked api.DrainRequest) error {
 	if from.Args().Present() {
-		return usage("give a WORKER or --failure-domain, not both")
+		return newUsageError("give a WORKER or --failure-domain, not both")
 	}
 	calling, err := newClient(from)
 	if err != nil {
@@ -109,16 +109,16 @@
 		rows = append(rows, []string{worker.Name, strconv.FormatBool(done.Draining)})
 	}
 	if len(rows) == 0 {
-		return usage("no worker is in the failure domain %q; see `ambertiller workers`", domain)
+		return newUsageError("no worker is in the failure domain %q; see `ambertiller workers`", domain)
 	}
-	return calling.out.print(rows, []string{"WORKER", "DRAINING"}, rows)
+	return calling.printer.print(rows, []string{"WORKER", "DRAINING"}, rows)
 }
 
 func authorFlag() cli.Flag {
-	return &cli.StringFlag{Name: "author", Usage: "who makes the change; default: the user", Sources: env("AUTHOR")}
+	return &cli.StringFlag{Name: "author", Usage: "who makes the change; default: the user", Sources: envVar("AUTHOR")}
 }
 
-func authorOf(from *cli.Command) string {
+func changeAuthor(from *cli.Command) string {
 	if author := from.String("author"); author != "" {
 		return author
 	}
@@ -131,7 +131,7 @@
 func configCommand() *cli.Command {
 	return &cli.Command{
 		Name: "config", Usage: "check, publish and show the configuration",
-		Commands: documentCommands(func(*cli.Command) string { return config.Document }, nil),
+		Commands: documentCommands(func(*cli.Command) string { return config.DocumentName }, nil),
 	}
 }
 
@@ -139,7 +139,7 @@
 	flag := &cli.StringFlag{Name: "policy", Usage: "name of the policy", Value: policy.Placement}
 	return &cli.Command{
 		Name: "policy", Usage: "check, publish and show policies",
-		Commands: documentCommands(func(from *cli.Command) string { return config.PolicyDocument(from.String("policy")) }, []cli.Flag{flag}),
+		Commands: documentCommands(func(from *cli.Command) string { return config.PolicyDocumentName(from.String("policy")) }, []cli.Flag{flag}),
 	}
 }
 
@@ -175,22 +175,22 @@
 	}
 }
 
-func readFile(from *cli.Command) (string, error) {
+func readDocumentFile(from *cli.Command) (string, error) {
 	if from.Args().Len() != 1 {
-		return "", usage("give exactly one FILE")
+		return "", newUsageError("give exactly one FILE")
 	}
 	content, err := os.ReadFile(from.Args().First())
 	if err != nil {
 		return "", &exitError{code: ExitUsage, cause: errors.Wrap(err, "read the file")}
 	}
 	if len(content) > state.MaxDocumentBytes {
-		return "", usage("the file has %d bytes; a document has at most %d", len(content), state.MaxDocumentBytes)
+		return "", newUsageError("the file has %d bytes; a document has at most %d", len(content), state.MaxDocumentBytes)
 	}
 	return string(content), nil
 }
 
 func checkDocument(ctx context.Context, from *cli.Command, name string) error {
-	content, err := readFile(from)
+	content, err := readDocumentFile(from)
 	if err != nil {
 		return err
 	}
@@ -206,23 +206,23 @@
 	} else if err := calling.call(ctx, http.MethodPost, documentPath(name)+"/check", nil, api.PublishRequest{Content: content}, &report); err != nil {
 		return err
 	}
-	if err := calling.out.print(&report, []string{"CHECK", "RESULT"}, reportRows(&report)); err != nil {
+	if err := calling.printer.print(&report, []string{"CHECK", "RESULT"}, checkReportRows(&report)); err != nil {
 		return err
 	}
 	if !report.Valid {
-		return &exitError{code: ExitFaults, cause: errors.New("the document has faults: " + faultLines(report.Faults))}
+		return &exitError{code: ExitFaults, cause: errors.New("the document has faults: " + formatFaults(report.Faults))}
 	}
 	return nil
 }
 
 func documentPath(name string) string { return "/v1/documents/" + url.PathEscape(name) }
 
-func reportRows(report *api.CheckReport) [][]string {
+func checkReportRows(report *api.CheckReport) [][]string {
 	rows := [][]string{{"valid", strconv.FormatBool(report.Valid)}}
 	for _, fault := range report.Faults {
-		rows = append(rows, []string{"fault", faultLines([]api.Fault{fault})})
+		rows = append(rows, []string{"fault", formatFaults([]api.Fault{fault})})
 	}
-	rows = append(rows, []string{"decisions checked", count(report.Checked)}, []string{"decisions changed", count(len(report.Changes))})
+	rows = append(rows, []string{"decisions checked", formatInt(report.Checked)}, []string{"decisions changed", formatInt(len(report.Changes))})
 	for _, change := range report.Changes {
 		rows = append(rows, []string{"task " + change.Task, change.Before + " -> " + change.After})
 	}
@@ -230,7 +230,7 @@
 }
 
 func publishDocument(ctx context.Context, from *cli.Command, name string) error {
-	content, err := readFile(from)
+	content, err := readDocumentFile(from)
 	if err != nil {
 		return err
 	}
@@ -238,20 +238,20 @@
 	if err != nil {
 		return err
 	}
-	basedOn, err := calling.basedOn(ctx, from, name)
+	basedOn, err := calling.baseVersion(ctx, from, name)
 	if err != nil {
 		return err
 	}
-	asked := api.PublishRequest{BasedOn: basedOn, Author: authorOf(from), Comment: from.String("comment"), Content: content}
+	asked := api.PublishRequest{BasedOn: basedOn, Author: changeAuthor(from), Comment: from.String("comment"), Content: content}
 	var published api.Document
 	if err := calling.call(ctx, http.MethodPut, documentPath(name), nil, asked, &published); err != nil {
 		return err
 	}
-	return calling.out.fields(&published, "name", published.Name, "version", unsigned(published.Version), "author", published.Author)
+	return calling.printer.printFields(&published, "name", published.Name, "version", formatUint(published.Version), "author", published.Author)
 }
 
-// basedOn returns the version that a publication starts from.
-func (calling *client) basedOn(ctx context.Context, from *cli.Command, name string) (uint64, error) {
+// baseVersion returns the version that a publication starts from.
+func (calling *client) baseVersion(ctx context.Context, from *cli.Command, name string) (uint64, error) {
 	if given := from.Int("based-on"); given >= 0 {
 		return uint64(given), nil
 	}
@@ -275,9 +275,9 @@
 	}
 	rows := make([][]string, 0, len(versions))
 	for _, version := range versions {
-		rows = append(rows, []string{unsigned(version.Version), version.Author, version.Written.Format(timeFormat), version.Comment})
+		rows = append(rows, []string{formatUint(version.Version), version.Author, version.Written.Format(timeFormat), version.Comment})
 	}
-	return calling.out.print(versions, []string{"VERSION", "AUTHOR", "WRITTEN", "COMMENT"}, rows)
+	return calling.printer.print(versions, []string{"VERSION", "AUTHOR", "WRITTEN", "COMMENT"}, rows)
 }
 
 func showDocument(ctx context.Context, from *cli.Command, name string) error {
@@ -296,10 +296,10 @@
 	if err := calling.call(ctx, http.MethodGet, path, nil, nil, &shown); err != nil {
 		return err
 	}
-	if calling.out.asJSON {
-		return calling.out.print(&shown, nil, nil)
+	if calling.printer.asJSON {
+		return calling.printer.print(&shown, nil, nil)
 	}
-	_, err = fmt.Fprintf(calling.out.out, "# %s version %d by %s, %s\n%s", shown.Name, shown.Version, shown.Author, shown.Written.Format(timeFormat), shown.Content)
+	_, err = fmt.Fprintf(calling.printer.out, "# %s version %d by %s, %s\n%s", shown.Name, shown.Version, shown.Author, shown.Written.Format(timeFormat), shown.Content)
 	return errors.Wrap(err, "print")
 }
 
@@ -326,22 +326,22 @@
 			continue
 		}
 		listed = append(listed, each)
-		rows = append(rows, []string{each.Document, each.Role, each.Instance, unsigned(each.Version), unsigned(each.Accepted)})
+		rows = append(rows, []string{each.Document, each.Role, each.Instance, formatUint(each.Version), formatUint(each.Accepted)})
 	}
-	return calling.out.print(listed, []string{"DOCUMENT", "ROLE", "INSTANCE", "IN FORCE", "ACCEPTED"}, rows)
+	return calling.printer.print(listed, []string{"DOCUMENT", "ROLE", "INSTANCE", "IN FORCE", "ACCEPTED"}, rows)
 }
 
 func versionCommand() *cli.Command {
 	return &cli.Command{
 		Name: "version", Usage: "print the version and the record format it knows",
 		Action: func(_ context.Context, from *cli.Command) error {
-			given := &settings{from: from}
+			given := &settings{command: from}
 			out := newPrinter(from, given)
 			if err := given.err(); err != nil {
 				return err
 			}
 			info := versionInfo{Version: version + revision(), Format: state.Format}
-			return out.fields(&info, "version", info.Version, "record format", count(int(info.Format)))
+			return out.printFields(&info, "version", info.Version, "record format", formatInt(int(info.Format)))
 		},
 	}
 }
--- a/command/output.go
+++ b/command/output.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	outputTable = "table"
-	outputJSON  = "json"
-	tablePad    = 2
-	kibibyte    = 1024
+	outputTable  = "table"
+	outputJSON   = "json"
+	tablePadding = 2
+	kibibyte     = 1024
 )
 
 // printer prints data as a table or as JSON.
@@ -30,7 +30,7 @@
 func newPrinter(from *cli.Command, given *settings) *printer {
 	format := from.String("output")
 	if format != outputTable && format != outputJSON {
-		given.fault("output", "must be table or json, not "+format)
+		given.addFault("output", "must be table or json, not "+format)
 	}
 	return &printer{out: from.Root().Writer, asJSON: format == outputJSON}
 }
@@ -42,7 +42,7 @@
 		encoder.SetIndent("", "  ")
 		return errors.Wrap(encoder.Encode(data), "print")
 	}
-	table := tabwriter.NewWriter(printing.out, 0, 0, tablePad, ' ', 0)
+	table := tabwriter.NewWriter(printing.out, 0, 0, tablePadding, ' ', 0)
 	for _, row := range append([][]string{header}, rows...) {
 		if _, err := fmt.Fprintln(table, strings.Join(row, "\t")); err != nil {
 			return errors.Wrap(err, "print")
@@ -51,8 +51,8 @@
 	return errors.Wrap(table.Flush(), "print")
 }
 
-// fields prints one thing as a table of names and values.
-func (printing *printer) fields(data any, pairs ...string) error {
+// printFields prints one thing as a table of names and values.
+func (printing *printer) printFields(data any, pairs ...string) error {
 	var rows [][]string
 	for index := 0; index+1 < len(pairs); index += 2 {
 		rows = append(rows, []string{pairs[index], pairs[index+1]})
@@ -60,7 +60,7 @@
 	return printing.print(data, []string{"FIELD", "VALUE"}, rows)
 }
 
-func faultLines(faults []api.Fault) string {
+func formatFaults(faults []api.Fault) string {
 	lines := make([]string, 0, len(faults))
 	for _, fault := range faults {
 		line := fault.Message
@@ -75,14 +75,14 @@
 	return strings.Join(lines, "; ")
 }
 
-func number(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
+func formatFloat(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
 
-func count(value int) string { return strconv.Itoa(value) }
+func formatInt(value int) string { return strconv.Itoa(value) }
 
-func unsigned(value uint64) string { return strconv.FormatUint(value, 10) }
+func formatUint(value uint64) string { return strconv.FormatUint(value, 10) }
 
-// bytesText writes a number of bytes with a unit.
-func bytesText(value int64) string {
+// formatBytes writes a number of bytes with a unit.
+func formatBytes(value int64) string {
 	scaled, unit := float64(value), "B"
 	for _, next := range []string{"KiB", "MiB", "GiB", "TiB"} {
 		if scaled < kibibyte {
--- a/command/platform.go
+++ b/command/platform.go
@@ -17,57 +17,57 @@
 )
 
 const (
-	// graceShare is the part of the platform's grace that a planned stop may
+	// stopGraceRatio is the part of the platform's grace that a planned stop may
 	// take: past the grace the process is killed.
-	graceShare = 0.85
+	stopGraceRatio = 0.85
 	// platformGCPercent and platformMemoryLimit: the roles hold a few MiB, and
 	// collecting at the default rate costs more than the memory it saves.
 	platformGCPercent   = 200
 	platformMemoryLimit = 110 << 20
-	// droppedEvery is how often log lines that were dropped are counted.
-	droppedEvery = 5 * time.Second
+	// droppedLinesInterval is how often log lines that were dropped are counted.
+	droppedLinesInterval = 5 * time.Second
 )
 
-// reloadable is a role whose settings file may change while it runs.
-type reloadable interface {
-	stoppable
+// reloadableRole is a role whose settings file may change while it runs.
+type reloadableRole interface {
+	runnableRole
 	ReloadSettings(ctx context.Context, path string) error
 }
 
 func gatewayCommand() *cli.Command {
 	return platformCommand("gateway", "run a gateway on the platform: it answers clients and schedules their jobs",
-		func(ctx context.Context, settings platform.Settings, events *event.Logger) (reloadable, error) {
+		func(ctx context.Context, settings platform.Settings, events *event.Logger) (reloadableRole, error) {
 			return daemon.NewGateway(ctx, settings, events)
 		})
 }
 
 func agentCommand() *cli.Command {
 	return platformCommand("agent", "run an agent on the platform: the process beside one worker",
-		func(ctx context.Context, settings platform.Settings, events *event.Logger) (reloadable, error) {
+		func(ctx context.Context, settings platform.Settings, events *event.Logger) (reloadableRole, error) {
 			return daemon.NewAgent(ctx, settings, events)
 		})
 }
 
-type makeRole func(ctx context.Context, settings platform.Settings, events *event.Logger) (reloadable, error)
+type roleConstructor func(ctx context.Context, settings platform.Settings, events *event.Logger) (reloadableRole, error)
 
-func platformCommand(name, usage string, role makeRole) *cli.Command {
+func platformCommand(name, usage string, role roleConstructor) *cli.Command {
 	return &cli.Command{
 		Name:  name,
 		Usage: usage,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "path of the platform's settings file", Sources: cli.EnvVars(platform.SettingsVariable)},
-			&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error", Value: "info", Sources: env("LOG_LEVEL")},
+			&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error", Value: "info", Sources: envVar("LOG_LEVEL")},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings and end"},
 		},
 		Action: func(ctx context.Context, from *cli.Command) error { return runPlatformRole(ctx, from, role) },
 	}
 }
 
-func runPlatformRole(ctx context.Context, from *cli.Command, role makeRole) error {
+func runPlatformRole(ctx context.Context, from *cli.Command, role roleConstructor) error {
 	path := from.String("settings")
 	loaded, err := platform.LoadSettings(path)
 	if err != nil {
-		return usage("%v", err)
+		return newUsageError("%v", err)
 	}
 	if from.Bool("check") {
 		return nil
@@ -77,7 +77,7 @@
 	writer := event.NewAsyncWriter(os.Stdout, time.Now)
 	events, err := event.Open(writer, "json", from.String("log-level"))
 	if err != nil {
-		return usage("%v", err)
+		return newUsageError("%v", err)
 	}
 	logCtx, endLog := context.WithCancel(context.WithoutCancel(ctx))
 	logged := make(chan struct{})
@@ -89,17 +89,17 @@
 		endLog()
 		<-logged
 	}()
-	go logDropped(logCtx, writer, events)
+	go logDroppedLines(logCtx, writer, events)
 	running, err := role(ctx, loaded, events)
 	if err != nil {
 		return err
 	}
 	go reloadOnSignal(logCtx, running, path)
-	return runRole(ctx, running, time.Duration(float64(loaded.GracePeriod())*graceShare))
+	return runRole(ctx, running, time.Duration(float64(loaded.GracePeriod())*stopGraceRatio))
 }
 
-func logDropped(ctx context.Context, writer *event.AsyncWriter, events *event.Logger) {
-	ticker := time.NewTicker(droppedEvery)
+func logDroppedLines(ctx context.Context, writer *event.AsyncWriter, events *event.Logger) {
+	ticker := time.NewTicker(droppedLinesInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -114,7 +114,7 @@
 }
 
 // reloadOnSignal reads the settings again at each SIGHUP.
-func reloadOnSignal(ctx context.Context, running reloadable, path string) {
+func reloadOnSignal(ctx context.Context, running reloadableRole, path string) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
--- a/command/platform_test.go
+++ b/command/platform_test.go
@@ -39,7 +39,7 @@
 				if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
 					t.Fatal(err)
 				}
-				code, _, errOut := run(role, "--settings", path, "--check")
+				code, _, errOut := runCommand(role, "--settings", path, "--check")
 				if code != test.code || strings.Count(errOut, "\n") > 1 {
 					t.Errorf("code %d, said %q", code, errOut)
 				}
@@ -54,7 +54,7 @@
 }
 
 func TestPlatformSettingsMissing(t *testing.T) {
-	code, _, errOut := run("agent", "--settings", filepath.Join(t.TempDir(), "none.toml"))
+	code, _, errOut := runCommand("agent", "--settings", filepath.Join(t.TempDir(), "none.toml"))
 	if code != command.ExitUsage || !strings.Contains(errOut, "AMBERTILLER_BOOT") {
 		t.Errorf("code %d, said %q", code, errOut)
 	}
@@ -62,14 +62,14 @@
 
 func TestTraceCommand(t *testing.T) {
 	log := filepath.Join("..", "trace", "testdata", "failed", "edge-milano-b-1.log")
-	code, out, _ := run("trace", "e20636f97a5f298c", log)
+	code, out, _ := runCommand("trace", "e20636f97a5f298c", log)
 	if code != command.ExitOK || !strings.Contains(out, "job ended") {
 		t.Errorf("code %d, said %q", code, out)
 	}
-	if code, _, _ := run("trace", "ffffffffffffffff", log); code != command.ExitNotFound {
+	if code, _, _ := runCommand("trace", "ffffffffffffffff", log); code != command.ExitNotFound {
 		t.Errorf("an ID that no log names: code %d", code)
 	}
-	if code, _, _ := run("trace"); code != command.ExitUsage {
+	if code, _, _ := runCommand("trace"); code != command.ExitUsage {
 		t.Errorf("no ID: code %d", code)
 	}
 }
--- a/command/report.go
+++ b/command/report.go
@@ -24,7 +24,7 @@
 			&cli.StringFlag{Name: "page", Usage: "also write the report with plots as an HTML page to this file"},
 		},
 		Action: func(_ context.Context, from *cli.Command) error {
-			return withLogs(from.Root().Reader, from.Args().Slice(), func(logs []io.Reader) error {
+			return withLogFiles(from.Root().Reader, from.Args().Slice(), func(logs []io.Reader) error {
 				return printReport(from.Root().Writer, logs, from.Bool("json"), from.String("page"))
 			})
 		},
--- a/command/task.go
+++ b/command/task.go
@@ -22,7 +22,7 @@
 		Name:  "submit",
 		Usage: "submit a batch job or a watch",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "team", Usage: "team that the task belongs to", Sources: env("TEAM")},
+			&cli.StringFlag{Name: "team", Usage: "team that the task belongs to", Sources: envVar("TEAM")},
 			&cli.StringFlag{Name: "kind", Usage: "kind of work, as configured"},
 			&cli.StringFlag{Name: "name", Usage: "a name for people"},
 			&cli.FloatFlag{Name: "processors", Usage: "processors it needs", Value: 1},
@@ -64,7 +64,7 @@
 				return err
 			}
 			if from.Bool("wait") {
-				if err := calling.waitEnded(ctx, &task, from.Duration("timeout")); err != nil {
+				if err := calling.waitForEnd(ctx, &task, from.Duration("timeout")); err != nil {
 					return err
 				}
 			}
@@ -73,14 +73,14 @@
 	}
 }
 
-var endedPhases = map[string]bool{"finished": true, "failed": true, "cancelled": true}
+var terminalPhases = map[string]bool{"finished": true, "failed": true, "cancelled": true}
 
-func (calling *client) waitEnded(ctx context.Context, task *api.Task, most time.Duration) error {
+func (calling *client) waitForEnd(ctx context.Context, task *api.Task, most time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	ticker := time.NewTicker(waitInterval)
 	defer ticker.Stop()
-	for !endedPhases[task.Phase] {
+	for !terminalPhases[task.Phase] {
 		select {
 		case <-ctx.Done():
 			return &exitError{code: ExitUnavailable, cause: fmt.Errorf("task %s is still %s; look again with `ambertiller task %s`", task.ID, task.Phase, task.ID)}
@@ -94,20 +94,20 @@
 }
 
 func (calling *client) printTask(task *api.Task) error {
-	return calling.out.fields(task,
+	return calling.printer.printFields(task,
 		"id", task.ID, "team", task.Team, "kind", task.Kind, "name", task.Name,
 		"phase", task.Phase, "reason", task.Reason, "worker", task.Worker,
-		"attempt", unsigned(task.Attempt), "evictions", count(task.Evictions), "start failures", count(task.StartFailures),
-		"processors", number(task.Processors), "memory", bytesText(task.MemoryBytes), "accelerators", count(int(task.Accelerators)),
-		"priority", count(int(task.Priority)), "policy", task.Policy,
+		"attempt", formatUint(task.Attempt), "evictions", formatInt(task.Evictions), "start failures", formatInt(task.StartFailures),
+		"processors", formatFloat(task.Processors), "memory", formatBytes(task.MemoryBytes), "accelerators", formatInt(int(task.Accelerators)),
+		"priority", formatInt(int(task.Priority)), "policy", task.Policy,
 		"created", task.Created.Format(timeFormat), "changed", task.Changed.Format(timeFormat))
 }
 
-// oneArgument is an Action that needs exactly one argument.
-func oneArgument(what string, act func(ctx context.Context, calling *client, argument string) error) cli.ActionFunc {
+// singleArgumentAction is an Action that needs exactly one argument.
+func singleArgumentAction(what string, act func(ctx context.Context, calling *client, argument string) error) cli.ActionFunc {
 	return func(ctx context.Context, from *cli.Command) error {
 		if from.Args().Len() != 1 {
-			return usage("give exactly one %s: ambertiller %s %s", what, from.Name, what)
+			return newUsageError("give exactly one %s: ambertiller %s %s", what, from.Name, what)
 		}
 		calling, err := newClient(from)
 		if err != nil {
@@ -120,7 +120,7 @@
 func cancelCommand() *cli.Command {
 	return &cli.Command{
 		Name: "cancel", Usage: "cancel a task", ArgsUsage: "TASK",
-		Action: oneArgument("TASK", func(ctx context.Context, calling *client, id string) error {
+		Action: singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
 			var task api.Task
 			if err := calling.call(ctx, http.MethodDelete, "/v1/tasks/"+url.PathEscape(id), nil, nil, &task); err != nil {
 				return err
@@ -133,7 +133,7 @@
 func taskCommand() *cli.Command {
 	return &cli.Command{
 		Name: "task", Usage: "show a task", ArgsUsage: "TASK",
-		Action: oneArgument("TASK", func(ctx context.Context, calling *client, id string) error {
+		Action: singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
 			var task api.Task
 			if err := calling.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(id), nil, nil, &task); err != nil {
 				return err
@@ -146,12 +146,12 @@
 func resultCommand() *cli.Command {
 	return &cli.Command{
 		Name: "result", Usage: "show what a task produced", ArgsUsage: "TASK",
-		Action: oneArgument("TASK", func(ctx context.Context, calling *client, id string) error {
+		Action: singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
 			var result api.Result
 			if err := calling.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(id)+"/result", nil, nil, &result); err != nil {
 				return err
 			}
-			return calling.out.fields(&result, "id", result.ID, "phase", result.Phase, "reason", result.Reason, "output", result.Output)
+			return calling.printer.printFields(&result, "id", result.ID, "phase", result.Phase, "reason", result.Reason, "output", result.Output)
 		}),
 	}
 }
@@ -162,12 +162,12 @@
 		Flags: []cli.Flag{&cli.FloatFlag{Name: "share", Usage: "above 0, at most 1", Value: 1}},
 		Action: func(ctx context.Context, from *cli.Command) error {
 			asked := api.ThrottleRequest{Share: from.Float("share")}
-			return oneArgument("TASK", func(ctx context.Context, calling *client, id string) error {
+			return singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
 				var done api.ThrottleRequest
 				if err := calling.call(ctx, http.MethodPut, "/v1/tasks/"+url.PathEscape(id)+"/throttle", nil, asked, &done); err != nil {
 					return err
 				}
-				return calling.out.fields(&done, "task", id, "share", number(done.Share))
+				return calling.printer.printFields(&done, "task", id, "share", formatFloat(done.Share))
 			})(ctx, from)
 		},
 	}
@@ -199,9 +199,9 @@
 			}
 			rows := make([][]string, 0, len(tasks))
 			for _, task := range tasks {
-				rows = append(rows, []string{task.ID, task.Team, task.Kind, task.Phase, task.Worker, unsigned(task.Attempt), task.Reason})
+				rows = append(rows, []string{task.ID, task.Team, task.Kind, task.Phase, task.Worker, formatUint(task.Attempt), task.Reason})
 			}
-			return calling.out.print(tasks, []string{"ID", "TEAM", "KIND", "PHASE", "WORKER", "ATTEMPT", "REASON"}, rows)
+			return calling.printer.print(tasks, []string{"ID", "TEAM", "KIND", "PHASE", "WORKER", "ATTEMPT", "REASON"}, rows)
 		},
 	}
 }
@@ -209,12 +209,12 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name: "explain", Usage: "say why a task is where it is, or what it waits for", ArgsUsage: "TASK",
-		Action: oneArgument("TASK", func(ctx context.Context, calling *client, id string) error {
+		Action: singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
 			var made api.Explanation
 			if err := calling.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(id)+"/explain", nil, nil, &made); err != nil {
 				return err
 			}
-			return calling.out.print(&made, []string{"FIELD", "VALUE"}, explanationRows(&made))
+			return calling.printer.print(&made, []string{"FIELD", "VALUE"}, explanationRows(&made))
 		}),
 	}
 }
@@ -225,10 +225,10 @@
 		rows = append(rows, []string{"policy fault", made.PolicyFault})
 	}
 	if made.Candidate != "" {
-		rows = append(rows, []string{"best worker", made.Candidate + " scores " + number(made.Score)})
+		rows = append(rows, []string{"best worker", made.Candidate + " scores " + formatFloat(made.Score)})
 	}
 	if made.Second != "" {
-		rows = append(rows, []string{"next best", made.Second + " scores " + number(made.SecondScore)})
+		rows = append(rows, []string{"next best", made.Second + " scores " + formatFloat(made.SecondScore)})
 	}
 	for _, constraint := range made.Constraints {
 		rows = append(rows, []string{"left out: " + constraint.Name, fmt.Sprintf("%d of %d workers", constraint.Workers, made.Workers)})
--- a/command/trace.go
+++ b/command/trace.go
@@ -20,9 +20,9 @@
 			"with silences of a second or more. docs/OPERATIONS.md shows how to read it.",
 		Action: func(_ context.Context, from *cli.Command) error {
 			if from.Args().Len() == 0 {
-				return usage("trace needs the ID of a job or request; see `ambertiller help trace`")
+				return newUsageError("trace needs the ID of a job or request; see `ambertiller help trace`")
 			}
-			return withLogs(from.Root().Reader, from.Args().Tail(), func(logs []io.Reader) error {
+			return withLogFiles(from.Root().Reader, from.Args().Tail(), func(logs []io.Reader) error {
 				return printTrace(from.Root().Writer, logs, from.Args().First())
 			})
 		},
--- a/config/check.go
+++ b/config/check.go
@@ -18,20 +18,20 @@
 	faults Faults
 }
 
-// fault notes a fault at the node that the path leads to.
-func (check *checker) fault(path, format string, arguments ...any) {
-	line, column := locate(check.root, strings.Split(path, "."))
+// addFault notes a fault at the node that the path leads to.
+func (check *checker) addFault(path, format string, arguments ...any) {
+	line, column := nodePosition(check.root, strings.Split(path, "."))
 	check.faults = append(check.faults, Fault{Line: line, Column: column, Path: path, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// locate returns the position of the last node along the path that exists.
-func locate(node *yaml.Node, path []string) (line, column int) {
+// nodePosition returns the position of the last node along the path that exists.
+func nodePosition(node *yaml.Node, path []string) (line, column int) {
 	if node.Kind == yaml.DocumentNode && len(node.Content) == 1 {
 		node = node.Content[0]
 	}
 	line, column = max(1, node.Line), max(1, node.Column)
 	for _, name := range path {
-		next := child(node, name)
+		next := childNode(node, name)
 		if next == nil {
 			return line, column
 		}
@@ -41,7 +41,7 @@
 	return line, column
 }
 
-func child(node *yaml.Node, name string) *yaml.Node {
+func childNode(node *yaml.Node, name string) *yaml.Node {
 	if node.Kind != yaml.MappingNode {
 		return nil
 	}
@@ -55,27 +55,27 @@
 
 func (check *checker) convert(read *document) *Config {
 	parsed := &Config{services: map[string]Service{}, kinds: map[string]Kind{}, teams: map[string]Team{}}
-	check.kinds(read, parsed)
-	check.services(read, parsed)
-	check.teams(read, parsed)
-	check.limits(read, parsed)
+	check.convertKinds(read, parsed)
+	check.convertServices(read, parsed)
+	check.convertTeams(read, parsed)
+	check.convertLimits(read, parsed)
 	return parsed
 }
 
-func (check *checker) name(path, name string) {
+func (check *checker) checkName(path, name string) {
 	if !namePattern.MatchString(name) {
-		check.fault(path, "the name must be 1 to 63 of a-z, 0-9 and -, and not begin with -")
+		check.addFault(path, "the name must be 1 to 63 of a-z, 0-9 and -, and not begin with -")
 	}
 }
 
-func (check *checker) kinds(read *document, parsed *Config) {
+func (check *checker) convertKinds(read *document, parsed *Config) {
 	if len(read.Kinds) == 0 {
-		check.fault("kinds", "name at least one kind of work")
+		check.addFault("kinds", "name at least one kind of work")
 	}
 	for _, name := range slices.Sorted(maps.Keys(read.Kinds)) {
 		given := read.Kinds[name]
 		path := "kinds." + name
-		check.name(path, name)
+		check.checkName(path, name)
 		kind := Kind{
 			class:      given.Class,
 			priority:   given.Priority,
@@ -84,38 +84,38 @@
 			maxPending: given.MaxPending,
 		}
 		if kind.lease == 0 {
-			kind.lease = defaultLease(given.Class)
+			kind.lease = defaultClassLease(given.Class)
 		}
 		switch given.Class {
 		case LatencyCritical, Batch, Watch:
 		default:
-			check.fault(path+".class", "%q is not a class; use %s, %s or %s", given.Class, LatencyCritical, Batch, Watch)
+			check.addFault(path+".class", "%q is not a class; use %s, %s or %s", given.Class, LatencyCritical, Batch, Watch)
 		}
-		check.between(path+".priority", given.Priority, 0, maxPriority)
-		check.duration(path+".lease", kind.lease, minLease, maxLease)
-		check.duration(path+".max_run_time", given.MaxRunTime, 0, maxKeep)
-		check.between(path+".max_pending", given.MaxPending, 0, maxQueue)
+		check.checkInt(path+".priority", given.Priority, 0, maxPriority)
+		check.checkDuration(path+".lease", kind.lease, minLease, maxLease)
+		check.checkDuration(path+".max_run_time", given.MaxRunTime, 0, maxRetention)
+		check.checkInt(path+".max_pending", given.MaxPending, 0, maxQueue)
 		parsed.kinds[name] = kind
 	}
 }
 
-func defaultLease(class Class) time.Duration {
+func defaultClassLease(class Class) time.Duration {
 	if class == Watch {
 		return defaultWatchLease
 	}
 	return defaultBatchLease
 }
 
-func (check *checker) services(read *document, parsed *Config) {
+func (check *checker) convertServices(read *document, parsed *Config) {
 	for _, name := range slices.Sorted(maps.Keys(read.Services)) {
 		given := read.Services[name]
 		path := "services." + name
-		check.name(path, name)
+		check.checkName(path, name)
 		service := Service{
 			kind:        given.Kind,
-			slots:       orInt(given.Slots, defaultSlots),
-			connections: orInt(given.Connections, defaultConnections),
-			timeout:     orDuration(given.Timeout, defaultTimeout),
+			slots:       intOrDefault(given.Slots, defaultSlots),
+			connections: intOrDefault(given.Connections, defaultConnections),
+			timeout:     durationOrDefault(given.Timeout, defaultTimeout),
 			targetP99:   given.TargetP99,
 			maxBody:     int64(given.MaxBody),
 			repeatable:  given.Repeatable,
@@ -123,39 +123,39 @@
 		if service.maxBody == 0 {
 			service.maxBody = defaultMaxBody
 		}
-		service.queue = orInt(given.Queue, service.slots)
+		service.queue = intOrDefault(given.Queue, service.slots)
 		kind, found := parsed.kinds[given.Kind]
 		switch {
 		case !found:
-			check.fault(path+".kind", "%q is not one of the kinds; add it under kinds", given.Kind)
+			check.addFault(path+".kind", "%q is not one of the kinds; add it under kinds", given.Kind)
 		case kind.class != LatencyCritical:
-			check.fault(path+".kind", "a service needs a kind of class %s; %q is %s", LatencyCritical, given.Kind, kind.class)
+			check.addFault(path+".kind", "a service needs a kind of class %s; %q is %s", LatencyCritical, given.Kind, kind.class)
 		}
-		check.between(path+".slots", service.slots, 1, maxSlots)
-		check.between(path+".connections", service.connections, 1, maxConnections)
-		check.between(path+".queue", service.queue, 0, maxQueue)
-		check.duration(path+".timeout", service.timeout, time.Millisecond, maxTimeout)
-		check.duration(path+".target_p99", service.targetP99, 0, maxTimeout)
-		check.between(path+".max_body", int(service.maxBody), 1, maxBodyBytes)
+		check.checkInt(path+".slots", service.slots, 1, maxSlots)
+		check.checkInt(path+".connections", service.connections, 1, maxConnections)
+		check.checkInt(path+".queue", service.queue, 0, maxQueue)
+		check.checkDuration(path+".timeout", service.timeout, time.Millisecond, maxTimeout)
+		check.checkDuration(path+".target_p99", service.targetP99, 0, maxTimeout)
+		check.checkInt(path+".max_body", int(service.maxBody), 1, maxBodyBytes)
 		parsed.services[name] = service
 	}
 }
 
-func (check *checker) teams(read *document, parsed *Config) {
+func (check *checker) convertTeams(read *document, parsed *Config) {
 	if len(read.Teams) == 0 {
-		check.fault("teams", "name at least one team")
+		check.addFault("teams", "name at least one team")
 	}
 	for _, name := range slices.Sorted(maps.Keys(read.Teams)) {
 		given := read.Teams[name]
 		path := "teams." + name
-		check.name(path, name)
+		check.checkName(path, name)
 		share := given.Share
 		if share == 0 {
 			share = defaultShare
 		}
-		check.fraction(path+".processors", given.Processors, maxMilli/thousand)
-		check.fraction(path+".share", share, thousand)
-		check.between(path+".accelerators", int(given.Accelerators), 0, maxQueue)
+		check.checkFloat(path+".processors", given.Processors, maxMilliCPU/thousand)
+		check.checkFloat(path+".share", share, thousand)
+		check.checkInt(path+".accelerators", int(given.Accelerators), 0, maxQueue)
 		parsed.teams[name] = Team{
 			milliCPU:     int64(given.Processors * thousand),
 			memory:       int64(given.Memory),
@@ -165,52 +165,52 @@
 	}
 }
 
-func (check *checker) limits(read *document, parsed *Config) {
+func (check *checker) convertLimits(read *document, parsed *Config) {
 	given := read.Limits
 	limits := Limits{
 		retryRatio:   defaultRetryRatio,
-		keepEnded:    orDuration(given.KeepEnded, defaultKeepEnded),
-		keepClaims:   orDuration(given.KeepClaims, defaultKeepClaims),
-		workerSilent: orDuration(given.WorkerSilent, defaultWorkerSilent),
+		keepEnded:    durationOrDefault(given.KeepEnded, defaultKeepEnded),
+		keepClaims:   durationOrDefault(given.KeepClaims, defaultKeepClaims),
+		workerSilent: durationOrDefault(given.WorkerSilent, defaultWorkerSilent),
 		reserved:     int64(given.ReservedProcessors * thousand),
 	}
 	if given.RetryRatio != nil {
 		limits.retryRatio = *given.RetryRatio
 	}
-	check.fraction("limits.retry_ratio", limits.retryRatio, 1)
-	check.fraction("limits.reserved_processors", given.ReservedProcessors, maxMilli/thousand)
-	check.duration("limits.keep_ended", limits.keepEnded, time.Minute, maxKeep)
-	check.duration("limits.keep_claims", limits.keepClaims, time.Minute, maxKeep)
-	check.duration("limits.worker_silent", limits.workerSilent, time.Second, maxTimeout)
+	check.checkFloat("limits.retry_ratio", limits.retryRatio, 1)
+	check.checkFloat("limits.reserved_processors", given.ReservedProcessors, maxMilliCPU/thousand)
+	check.checkDuration("limits.keep_ended", limits.keepEnded, time.Minute, maxRetention)
+	check.checkDuration("limits.keep_claims", limits.keepClaims, time.Minute, maxRetention)
+	check.checkDuration("limits.worker_silent", limits.workerSilent, time.Second, maxTimeout)
 	parsed.limits = limits
 }
 
-func (check *checker) between(path string, value, least, most int) {
+func (check *checker) checkInt(path string, value, least, most int) {
 	if value < least || value > most {
-		check.fault(path, "%d is out of bounds; give %d to %d", value, least, most)
+		check.addFault(path, "%d is out of bounds; give %d to %d", value, least, most)
 	}
 }
 
-func (check *checker) fraction(path string, value float64, most float64) {
+func (check *checker) checkFloat(path string, value float64, most float64) {
 	if !(value >= 0 && value <= most) {
-		check.fault(path, "%g is out of bounds; give 0 to %g", value, most)
+		check.addFault(path, "%g is out of bounds; give 0 to %g", value, most)
 	}
 }
 
-func (check *checker) duration(path string, value, least, most time.Duration) {
+func (check *checker) checkDuration(path string, value, least, most time.Duration) {
 	if value < least || value > most {
-		check.fault(path, "%s is out of bounds; give %s to %s", value, least, most)
+		check.addFault(path, "%s is out of bounds; give %s to %s", value, least, most)
 	}
 }
 
-func orInt(value *int, otherwise int) int {
+func intOrDefault(value *int, otherwise int) int {
 	if value == nil {
 		return otherwise
 	}
 	return *value
 }
 
-func orDuration(value, otherwise time.Duration) time.Duration {
+func durationOrDefault(value, otherwise time.Duration) time.Duration {
 	if value == 0 {
 		return otherwise
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -23,11 +23,11 @@
 	"time"
 )
 
-// Document is the name under which the configuration is published.
-const Document = "config"
+// DocumentName is the name under which the configuration is published.
+const DocumentName = "config"
 
-// PolicyDocument returns the name under which a policy is published.
-func PolicyDocument(policy string) string { return "policy-" + policy }
+// PolicyDocumentName returns the name under which a policy is published.
+func PolicyDocumentName(policy string) string { return "policy-" + policy }
 
 // Class says how a kind of work is treated.
 type Class string
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -14,9 +14,9 @@
 	"ambertiller.example/ambertiller/config"
 )
 
-// TestFaults parses each testdata/*.yaml and compares every fault it has, or
+// TestParse parses each testdata/*.yaml and compares every fault it has, or
 // what was understood, with its golden file.
-func TestFaults(t *testing.T) {
+func TestParse(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no cases: %v", err)
@@ -28,12 +28,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			goldie.New(t).Assert(t, name, []byte(describe(content)))
+			goldie.New(t).Assert(t, name, []byte(formatResult(content)))
 		})
 	}
 }
 
-func describe(content []byte) string {
+func formatResult(content []byte) string {
 	parsed, err := config.Parse(content)
 	var faults config.Faults
 	if errors.As(err, &faults) {
--- a/config/parse.go
+++ b/config/parse.go
@@ -34,17 +34,17 @@
 
 // Bounds that keep a slip of the keyboard from being obeyed.
 const (
-	maxSlots       = 4096
-	maxConnections = 65536
-	maxTimeout     = time.Hour
-	maxBodyBytes   = 1 << 30
-	maxQueue       = 1 << 20
-	maxLease       = 24 * time.Hour
-	minLease       = 5 * time.Second
-	maxKeep        = 30 * 24 * time.Hour
-	maxPriority    = 1000
-	maxMilli       = 1 << 40
-	maxDocument    = 256 << 10
+	maxSlots         = 4096
+	maxConnections   = 65536
+	maxTimeout       = time.Hour
+	maxBodyBytes     = 1 << 30
+	maxQueue         = 1 << 20
+	maxLease         = 24 * time.Hour
+	minLease         = 5 * time.Second
+	maxRetention     = 30 * 24 * time.Hour
+	maxPriority      = 1000
+	maxMilliCPU      = 1 << 40
+	maxDocumentBytes = 256 << 10
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
@@ -148,8 +148,8 @@
 
 // Parse reads and checks a document. On a fault it returns Faults.
 func Parse(content []byte) (*Config, error) {
-	if len(content) > maxDocument {
-		return nil, Faults{{Message: fmt.Sprintf("the document has %d bytes; the most is %d", len(content), maxDocument)}}
+	if len(content) > maxDocumentBytes {
+		return nil, Faults{{Message: fmt.Sprintf("the document has %d bytes; the most is %d", len(content), maxDocumentBytes)}}
 	}
 	var root yaml.Node
 	if err := yaml.Unmarshal(content, &root); err != nil {
@@ -169,7 +169,7 @@
 	return parsed, nil
 }
 
-var yamlLine = regexp.MustCompile(`line (\d+): (.*)`)
+var yamlLinePattern = regexp.MustCompile(`line (\d+): (.*)`)
 
 // syntaxFaults turns the YAML library's errors, which name lines, into faults.
 func syntaxFaults(err error) Faults {
@@ -181,7 +181,7 @@
 	faults := make(Faults, 0, len(texts))
 	for _, text := range texts {
 		fault := Fault{Line: 1, Column: 1, Message: strings.TrimPrefix(text, "yaml: ")}
-		if match := yamlLine.FindStringSubmatch(text); match != nil {
+		if match := yamlLinePattern.FindStringSubmatch(text); match != nil {
 			fault.Line, _ = strconv.Atoi(match[1])
 			fault.Message = match[2]
 		}
--- a/demo/steps.go
+++ b/demo/steps.go
@@ -33,12 +33,12 @@
 	asked := api.PublishRequest{Author: author, Content: string(content)}
 	var published api.Document
 	if err := until(ctx, func() error {
-		return running.callers.call(ctx, http.MethodPut, "/v1/documents/"+config.Document, asked, &published)
+		return running.callers.call(ctx, http.MethodPut, "/v1/documents/"+config.DocumentName, asked, &published)
 	}); err != nil {
 		return "", err
 	}
 	began := time.Now()
-	err = until(ctx, func() error { return running.inForce(ctx, config.Document, published.Version) })
+	err = until(ctx, func() error { return running.inForce(ctx, config.DocumentName, published.Version) })
 	return fmt.Sprintf("version %d on all %d instances %s after it was accepted", published.Version, entries+workers, since(began)), err
 }
 
@@ -151,7 +151,7 @@
 // task go there.
 func (running *demo) publishPolicy(ctx context.Context) (string, error) {
 	preferred := standin.WorkerName(workers)
-	name := config.PolicyDocument(policy.Placement)
+	name := config.PolicyDocumentName(policy.Placement)
 	asked := api.PublishRequest{Author: author, Content: fmt.Sprintf("worker.name == %q ? 1 : 0", preferred)}
 	var report api.CheckReport
 	if err := running.callers.call(ctx, http.MethodPost, "/v1/documents/"+name+"/check", asked, &report); err != nil {
--- a/document/document.go
+++ b/document/document.go
@@ -95,7 +95,7 @@
 }
 
 func (shelf *Shelf) use(offered Copy) error {
-	if offered.Name == config.Document {
+	if offered.Name == config.DocumentName {
 		parsed, err := config.Parse(offered.Content)
 		if err != nil {
 			return err
@@ -103,7 +103,7 @@
 		shelf.settings = parsed
 		return nil
 	}
-	name, isPolicy := strings.CutPrefix(offered.Name, config.PolicyDocument(""))
+	name, isPolicy := strings.CutPrefix(offered.Name, config.PolicyDocumentName(""))
 	if !isPolicy {
 		return errors.New("no document of that name is known")
 	}
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -69,12 +69,12 @@
 		t.Fatal(err)
 	}
 	shelf := document.NewShelf()
-	for _, offered := range []document.Copy{{config.Document, 4, content}, {policyName, 2, []byte("1")}} {
+	for _, offered := range []document.Copy{{config.DocumentName, 4, content}, {policyName, 2, []byte("1")}} {
 		if _, err := shelf.Offer(offered); err != nil {
 			t.Fatal(err)
 		}
 	}
-	newer := shelf.NewerThan([]document.Version{{Name: config.Document, Version: 4}, {Name: policyName, Version: 1}})
+	newer := shelf.NewerThan([]document.Version{{Name: config.DocumentName, Version: 4}, {Name: policyName, Version: 1}})
 	if len(newer) != 1 || newer[0].Name != policyName {
 		t.Errorf("got %v", newer)
 	}
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -157,7 +157,7 @@
 	}
 	report := &api.CheckReport{Faults: faultsOf(document.Check(name, []byte(asked.Content)))}
 	report.Valid = len(report.Faults) == 0
-	if report.Valid && name == config.PolicyDocument(policy.Placement) {
+	if report.Valid && name == config.PolicyDocumentName(policy.Placement) {
 		entry.dryRun(report, asked.Content)
 	}
 	writeJSON(writer, http.StatusOK, report)
@@ -167,7 +167,7 @@
 // force and by the proposed one, as if it came now.
 func (entry *Entry) dryRun(report *api.CheckReport, source string) {
 	trial := document.NewShelf()
-	if _, err := trial.Offer(document.Copy{Name: config.PolicyDocument(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
+	if _, err := trial.Offer(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
 		report.Faults = faultsOf(err)
 		return
 	}
--- a/entry/offer.go
+++ b/entry/offer.go
@@ -21,7 +21,7 @@
 		return
 	}
 	entry.options.Events.Log(ctx, event.DocumentInForce, attributes...)
-	if offered.Name == config.Document {
+	if offered.Name == config.DocumentName {
 		limits := entry.shelf.Config().Limits()
 		entry.retries.SetRatio(limits.RetryRatio())
 		entry.view.SetSilent(limits.WorkerSilent())
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	shelf := document.NewShelf()
 	if source != "" {
-		if _, err := shelf.Offer(document.Copy{Name: config.PolicyDocument(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
+		if _, err := shelf.Offer(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
 			t.Fatal(err)
 		}
 	}
