--- a/command/operator.go
+++ b/command/operator.go
@@ -340,7 +340,7 @@
 			if err := given.err(); err != nil {
 				return err
 			}
-			info := versionInfo{Version: version + revision(), Format: state.Format}
+			info := versionInfo{Version: version + revision(), Format: state.LatestFormat}
 			return out.printFields(&info, "version", info.Version, "record format", formatInt(int(info.Format)))
 		},
 	}
--- a/operator/state.go
+++ b/operator/state.go
@@ -66,7 +66,7 @@
 
 // maxClockDrift is the maximum relative drift between two clocks. The rate of each is off by less than the
 // bound that leases assume.
-const maxClockDrift = 2 * lease.ClockRateBound
+const maxClockDrift = 2 * lease.MaxClockDriftRate
 
 // PeerUptime converts a time of this process's clock to the uptime of a peer. At receivedAt, this process
 // received a message from the peer, whose uptime was at least uptime then. The result is never later than
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -49,7 +49,7 @@
 	// tickInterval is how often what is due is looked for without an event.
 	tickInterval = 100 * time.Millisecond
 	// maxClockDrift is what two clocks differ by at most over a grant.
-	maxClockDrift = 2 * lease.ClockRateBound
+	maxClockDrift = 2 * lease.MaxClockDriftRate
 	// grantMargin is added to the end of a grant before runs are taken for
 	// over: a stop takes up to half a second.
 	grantMargin = 600 * time.Millisecond
