--- a/owner/connection.go
+++ b/owner/connection.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// outboxSize is how many messages may wait to be sent; an agent that lets
-	// more wait is connected to anew.
+	// outboxSize is how many messages may wait to be sent on a connection. If an agent reads too slowly
+	// and more messages wait, the connection is closed and made again.
 	outboxSize = 64
-	// dialTimeout bounds a try to connect: a machine that is off does not refuse.
+	// dialTimeout bounds an attempt to connect: a machine that is switched off does not refuse connections.
 	dialTimeout = time.Second
-	// minReconnectDelay keeps tries to connect apart; it doubles with each up to
-	// maxReconnectDelay.
+	// minReconnectDelay is the pause before the first attempt to reconnect. It doubles with each failed
+	// attempt, up to maxReconnectDelay.
 	minReconnectDelay = 200 * time.Millisecond
 	maxReconnectDelay = 2 * time.Second
-	// ackTimeout is how long an agent may leave the owner's messages unanswered, beyond
-	// the half second that it takes at most to answer one: a connection may go silent for
-	// good in either direction while the peer's kernel acknowledges, and only an answer
-	// proves it sound. A machine that runs five times slower for a while answers within 1 s.
+	// ackTimeout is how long an agent may take to acknowledge a message, beyond the half second after which
+	// it sends an acknowledgement at the latest. A connection may stop delivering data in either direction
+	// while the kernel of the peer still acknowledges packets, so only an answer of the agent proves that it
+	// works. A machine that temporarily runs five times slower still answers within 1 s.
 	ackTimeout = 1500 * time.Millisecond
 )
 
@@ -34,67 +34,69 @@
 	cancel context.CancelFunc
 }
 
-// keepConnected connects to an agent, again and again, until ctx ends.
+// keepConnected connects to an agent, and reconnects whenever the connection ends, until ctx ends.
 func (owner *Owner) keepConnected(ctx context.Context, view *agentView) {
-	pause := minReconnectDelay
+	delay := minReconnectDelay
 	for ctx.Err() == nil {
 		if owner.connect(ctx, view) {
-			pause = minReconnectDelay
+			delay = minReconnectDelay
 		}
-		owner.sleep(ctx, pause)
-		pause = min(pause*2, maxReconnectDelay)
+		owner.sleep(ctx, delay)
+		delay = min(delay*2, maxReconnectDelay)
 	}
 }
 
-// connect connects once and stays until the connection ends. It reports whether
-// the agent was reached.
+// connect makes one connection to an agent and receives messages until it ends. It reports whether the agent
+// has sent a message.
 func (owner *Owner) connect(ctx context.Context, view *agentView) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dialled, done := context.WithTimeout(ctx, dialTimeout)
-	conn, err := owner.options.Dial(dialled, view.address)
-	done()
+	dialCtx, cancelDial := context.WithTimeout(ctx, dialTimeout)
+	rpcConn, err := owner.options.Dial(dialCtx, view.address)
+	cancelDial()
 	if err != nil {
 		return false
 	}
-	defer conn.Close() //nolint:errcheck // the connection has ended either way.
-	stream, err := wire.NewDRPCAgentClient(conn).Attach(ctx)
+	defer rpcConn.Close() //nolint:errcheck // The connection has ended in any case.
+	stream, err := wire.NewDRPCAgentClient(rpcConn).Attach(ctx)
 	if err != nil {
 		return false
 	}
-	made := &agentConn{outbox: make(chan *wire.OwnerMessage, outboxSize), cancel: cancel}
-	go owner.sendMessages(ctx, made, stream, conn)
-	owner.eventLoop.Post(func(now time.Time) { owner.handleConnected(view, made) })
-	heard := false
+	conn := &agentConn{outbox: make(chan *wire.OwnerMessage, outboxSize), cancel: cancel}
+	go owner.sendMessages(ctx, conn, stream, rpcConn)
+	owner.eventLoop.Post(func(now time.Time) { owner.handleConnected(view, conn) })
+	received := false
 	for {
 		message, err := stream.Recv()
 		if err != nil {
-			owner.eventLoop.Post(func(now time.Time) { owner.handleDisconnected(view, made, err) })
-			return heard
+			owner.eventLoop.Post(func(now time.Time) { owner.handleDisconnected(view, conn, err) })
+			return received
 		}
-		heard = true
-		owner.eventLoop.Post(func(now time.Time) { owner.handleAgentMessage(view, made, message, now) })
+		received = true
+		owner.eventLoop.Post(func(now time.Time) { owner.handleAgentMessage(view, conn, message, now) })
 	}
 }
 
-func (owner *Owner) sendMessages(ctx context.Context, made *agentConn, stream wire.DRPCAgent_AttachClient, conn drpc.Conn) {
+// sendMessages sends the messages in a connection's outbox until ctx ends or a message can't be sent.
+func (owner *Owner) sendMessages(ctx context.Context, conn *agentConn, stream wire.DRPCAgent_AttachClient, rpcConn drpc.Conn) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case message := <-made.outbox:
+		case message := <-conn.outbox:
 			if err := stream.Send(message); err != nil {
-				made.cancel()
-				// The reader reports the end of the connection.
-				_ = conn.Close()
+				conn.cancel()
+				// The receiving goroutine reports the end of the connection.
+				_ = rpcConn.Close()
 				return
 			}
 		}
 	}
 }
 
-func (owner *Owner) handleConnected(view *agentView, made *agentConn) {
-	view.conn = made
+// handleConnected resets the state that belongs to one connection. Everything is sent again on a new one.
+func (owner *Owner) handleConnected(view *agentView, conn *agentConn) {
+	view.conn = conn
 	view.connectionCount++
 	view.nextMessage = &wire.OwnerMessage{
 		Owner: owner.MemberName(), FailureDomain: owner.options.FailureDomain, TakesChanges: true, Connection: view.connectionCount,
@@ -106,23 +108,24 @@
 	view.receivedOnConn, view.keepsLearned = false, false
 	view.learnedSentAt, view.learnedSentVersion = time.Time{}, 0
 	view.sentEvacuations = nil
-	for _, entry := range view.runs {
-		entry.orderedEarlier = true
-		entry.orderSequence = 0
+	for _, run := range view.runs {
+		run.orderedEarlier = true
+		run.orderSequence = 0
 	}
 	owner.log(event.AgentAttached, slog.String("agent", view.address))
 }
 
-func (owner *Owner) handleDisconnected(view *agentView, made *agentConn, err error) {
-	if view.conn != made {
+// handleDisconnected notes that a connection has ended, unless a newer one has replaced it.
+func (owner *Owner) handleDisconnected(view *agentView, conn *agentConn, err error) {
+	if view.conn != conn {
 		return
 	}
 	view.conn = nil
 	owner.log(event.AgentLost, slog.String("agent", view.address), slog.Int("runs", len(view.runs)), slog.Any("error", err))
 }
 
-// closeIfUnresponsive ends a connection on which the agent does not answer, so that another one is
-// made.
+// closeIfUnresponsive closes a connection on which the agent has not acknowledged messages in time, so that
+// a new one is made.
 func (owner *Owner) closeIfUnresponsive(view *agentView, now time.Time) {
 	if view.conn == nil || view.ackDeadline.IsZero() || now.Before(view.ackDeadline) {
 		return
@@ -132,23 +135,25 @@
 	view.conn.cancel()
 }
 
-// nextAckDeadline returns when an agent must have answered what is sent now. Agents of earlier
-// builds answer an owner that has claimed no shard as seldom as it speaks.
+// nextAckDeadline returns when an agent must have acknowledged a message that is sent now. Agents of earlier
+// versions acknowledge the messages of an owner without shards only every idleSendInterval. They are
+// recognized by not keeping interference estimates.
 func (view *agentView) nextAckDeadline(now time.Time) time.Time {
-	pause := grantInterval
+	interval := grantInterval
 	if !view.keepsLearned {
-		pause = idleSendInterval
+		interval = idleSendInterval
 	}
-	return now.Add(pause + ackTimeout)
+	return now.Add(interval + ackTimeout)
 }
 
-// recordHandled takes note of how far an agent has handled the owner's messages.
+// recordHandled records up to which sequence number the agent has handled this owner's messages, and extends
+// or clears the deadline for its next acknowledgement.
 func (view *agentView) recordHandled(handled int64, now time.Time) {
 	switch {
 	case handled >= view.sentSequence:
 		view.ackDeadline = time.Time{}
 	case handled > view.handledSequence:
-		// It goes on answering; what it has not come to was sent later.
+		// The agent makes progress; the messages it has not handled yet were sent later.
 		view.ackDeadline = view.nextAckDeadline(now)
 	}
 	view.handledSequence = handled
--- /dev/null
+++ b/owner/flush.go
@@ -0,0 +1,121 @@
+package owner
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/pkg/errors"
+	"google.golang.org/protobuf/proto"
+
+	"ambertiller.example/ambertiller/event"
+	"ambertiller.example/ambertiller/job"
+	"ambertiller.example/ambertiller/platform"
+)
+
+// flushShard writes the changed jobs of a shard to the store, and then runs the callbacks that wait for that.
+// Only one write of a shard is in progress at a time.
+func (owner *Owner) flushShard(s *shard, now time.Time) {
+	if !s.loaded || s.writing {
+		return
+	}
+	after := s.afterFlush
+	s.afterFlush = nil
+	if len(s.dirty)+len(s.tombstones) == 0 {
+		for _, callback := range after {
+			callback(now)
+		}
+		return
+	}
+	records := owner.takeDirtyRecords(s)
+	s.writing = true
+	go func() {
+		if !owner.appendUntilStored(s, records) {
+			return
+		}
+		owner.eventLoop.Post(func(now time.Time) {
+			if owner.shards[s.number] != s {
+				return
+			}
+			s.writing = false
+			for _, callback := range after {
+				callback(now)
+			}
+		})
+	}()
+}
+
+// takeDirtyRecords returns the records to write, and resets what has changed.
+func (owner *Owner) takeDirtyRecords(s *shard) []platform.Record {
+	records := s.tombstones
+	s.tombstones = nil
+	for id, j := range s.dirty {
+		value, err := proto.Marshal(j.Progress())
+		if err != nil {
+			// Unreachable: a newly built message can always be encoded.
+			owner.log(event.RecordUnreadable, slog.String("job", id), slog.Any("error", err))
+			continue
+		}
+		records = append(records, platform.Record{Key: id, Value: value})
+	}
+	s.dirty = map[string]*job.Job{}
+	return records
+}
+
+// appendUntilStored appends records under the shard's epoch, and retries until the store has them. It reports
+// false if the shard is no longer owned.
+func (owner *Owner) appendUntilStored(s *shard, records []platform.Record) bool {
+	s.sequence++
+	request := platform.Append{
+		Topic: job.TopicRuns, Partition: s.number, Records: records,
+		Producer: producer, Epoch: s.epoch, Sequence: s.sequence,
+	}
+	startedAt := owner.options.Clock.Now()
+	for attempt := 1; s.ctx.Err() == nil; attempt++ {
+		ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
+		_, err := owner.options.Store.Append(ctx, request)
+		cancel()
+		if err == nil {
+			owner.recordAppend(s, request, owner.options.Clock.Since(startedAt))
+			return true
+		}
+		var refused *platform.RefusedError
+		if errors.As(err, &refused) && !refused.IsRetryable() {
+			owner.eventLoop.Post(func(now time.Time) { owner.handleFenced(s, refused, now) })
+			return false
+		}
+		if attempt == 1 {
+			owner.log(event.AppendRetried, slog.String("call", "append"), slog.Int("shard", s.number),
+				slog.Int64("sequence", request.Sequence), slog.Any("error", err))
+		}
+		owner.sleep(s.ctx, storeRetryDelay)
+	}
+	return false
+}
+
+// slowAppendThreshold is the duration from which an append is logged as slow. The store usually answers
+// within 10 ms.
+const slowAppendThreshold = 200 * time.Millisecond
+
+// recordAppend records how long an append took.
+func (owner *Owner) recordAppend(s *shard, request platform.Append, took time.Duration) {
+	owner.metrics.appendDuration.Record(owner.ctx, took.Seconds())
+	if took >= slowAppendThreshold {
+		owner.log(event.StoreSlow, slog.Int("shard", s.number), slog.Int64("sequence", request.Sequence), slog.Duration("took", took))
+	}
+}
+
+// handleFenced releases a shard after the store has refused a write for good, since another owner has written
+// to it.
+func (owner *Owner) handleFenced(s *shard, refused *platform.RefusedError, now time.Time) {
+	if owner.shards[s.number] != s {
+		return
+	}
+	owner.fencedEpochs[s.number] = s.epoch
+	if !refused.IsFenced() {
+		// The epoch is still valid, so its next sequence number was refused: another process has written
+		// under the same epoch. Only a new epoch helps.
+		owner.leaveBeforeJoin.Store(true)
+	}
+	owner.releaseShard(s, refused.Error(), now)
+}
--- a/owner/membership.go
+++ b/owner/membership.go
@@ -11,85 +11,92 @@
 )
 
 const (
-	// joinInterval renews the membership three times before it would run out.
+	// joinInterval is how often the membership is renewed: three times before it would expire.
 	joinInterval = 350 * time.Millisecond
-	// joinTimeout bounds a call to join or to leave.
+	// joinTimeout bounds a call to join or leave a group.
 	joinTimeout = 700 * time.Millisecond
 )
 
-// maintainMembership joins the group, and again and again, until ctx ends.
+// maintainMembership joins the group of owners and renews the membership until ctx ends.
 func (owner *Owner) maintainMembership(ctx context.Context) {
-	heard := int64(0)
-	lost := time.Time{}
+	generation := int64(0)
+	lostAt := time.Time{}
 	for ctx.Err() == nil {
-		sent, sentAfter := owner.options.Clock.Now(), owner.suspendedFor()
+		sentAt, suspendedBefore := owner.options.Clock.Now(), owner.suspendedFor()
 		if owner.leaveBeforeJoin.Load() {
 			if err := owner.leaveGroup(ctx, job.OwnersGroup, owner.MemberName()); err != nil {
-				lost = owner.logStoreLost(ctx, lost, sent, err)
+				lostAt = owner.logStoreLost(ctx, lostAt, sentAt, err)
 				owner.sleep(ctx, joinInterval)
 				continue
 			}
 			owner.leaveBeforeJoin.Store(false)
 		}
-		deal, err := owner.join(ctx, heard)
+		assignment, err := owner.join(ctx, generation)
 		if err != nil {
-			lost = owner.logStoreLost(ctx, lost, sent, err)
+			lostAt = owner.logStoreLost(ctx, lostAt, sentAt, err)
 			owner.sleep(ctx, joinInterval)
 			continue
 		}
-		owner.logStoreRecovered(ctx, lost, sent)
-		lost = time.Time{}
-		changed := deal.Generation != heard
-		heard = deal.Generation
+		owner.logStoreRecovered(ctx, lostAt, sentAt)
+		lostAt = time.Time{}
+		changed := assignment.Generation != generation
+		generation = assignment.Generation
 		if !owner.eventLoop.Call(ctx, func(now time.Time) {
-			owner.applyAssignment(deal, sent.Add(min(sentAfter-owner.eventLoop.SuspendedFor(), 0)), now)
+			owner.applyAssignment(assignment, sentAt.Add(min(suspendedBefore-owner.eventLoop.SuspendedFor(), 0)), now)
 		}) {
 			return
 		}
 		if changed {
-			// Naming the new generation hands over what is no longer held.
+			// Joining again at once, with the new generation, tells the store that the shards of the
+			// old assignment have been released.
 			continue
 		}
 		owner.sleep(ctx, joinInterval)
 	}
 }
 
-func (owner *Owner) join(ctx context.Context, heard int64) (platform.Assignment, error) {
+// join joins the group of owners, or renews the membership. The generation is the one that this entry heard
+// of last.
+func (owner *Owner) join(ctx context.Context, generation int64) (platform.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	return owner.options.Store.Join(ctx, job.OwnersGroup, owner.MemberName(), []string{job.TopicJobs}, owner.options.MemberTimeout, heard)
+	return owner.options.Store.Join(ctx, job.OwnersGroup, owner.MemberName(), []string{job.TopicJobs}, owner.options.MemberTimeout, generation)
 }
 
-func (owner *Owner) logStoreLost(ctx context.Context, lost, now time.Time, err error) time.Time {
-	if !lost.IsZero() {
-		return lost
+// logStoreLost logs the first of several failed calls in a row. It returns when the failures began, given
+// that time or zero.
+func (owner *Owner) logStoreLost(ctx context.Context, lostAt, now time.Time, err error) time.Time {
+	if !lostAt.IsZero() {
+		return lostAt
 	}
 	owner.options.Events.Log(ctx, event.StoreLost, slog.Any("error", err))
 	return now
 }
 
-func (owner *Owner) logStoreRecovered(ctx context.Context, lost, now time.Time) {
-	if !lost.IsZero() {
-		owner.options.Events.Log(ctx, event.StoreBack, slog.Duration("after", now.Sub(lost)))
+// logStoreRecovered logs that a call has succeeded after failures that began at lostAt, if that is not zero.
+func (owner *Owner) logStoreRecovered(ctx context.Context, lostAt, now time.Time) {
+	if !lostAt.IsZero() {
+		owner.options.Events.Log(ctx, event.StoreBack, slog.Duration("after", now.Sub(lostAt)))
 	}
 }
 
-// applyAssignment takes up the shards that are dealt to this entry and gives up others.
-func (owner *Owner) applyAssignment(deal platform.Assignment, sent, now time.Time) {
-	owner.lastJoinAt = sent
-	dealt := map[int]bool{}
-	for _, number := range deal.Partitions {
-		dealt[number] = true
+// applyAssignment acquires the shards that the store has assigned to this entry, and releases all others. The
+// join with that answer was sent at sentAt.
+func (owner *Owner) applyAssignment(assignment platform.Assignment, sentAt, now time.Time) {
+	owner.lastJoinAt = sentAt
+	assigned := map[int]bool{}
+	for _, number := range assignment.Partitions {
+		assigned[number] = true
 	}
-	for number, held := range owner.shards {
-		if !dealt[number] {
-			owner.releaseShard(held, "dealt to another entry", now)
+	for number, s := range owner.shards {
+		if !assigned[number] {
+			owner.releaseShard(s, "assigned to another entry", now)
 		}
 	}
-	for number := range dealt {
+	for number := range assigned {
 		_, owned := owner.shards[number]
-		if !owned && deal.Generation > owner.fencedEpochs[number] {
-			owner.acquireShard(number, deal.Generation, now)
+		if !owned && assignment.Generation > owner.fencedEpochs[number] {
+			owner.acquireShard(number, assignment.Generation, now)
 		}
 	}
 }
--- a/owner/reconcile_test.go
+++ b/owner/reconcile_test.go
@@ -11,96 +11,97 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// TestInheritedRunIsKeptUntilGrantExpires: the owner before may have granted time until
-// it gave up. The case that forced it: after all processes had been killed, tasks
-// were started a second time beside their first runs.
+// TestInheritedRunIsKeptUntilGrantExpires: the previous owner may have granted time until its ownership
+// expired. If a run were released before, as after a restart of all processes, its task would be started a
+// second time beside the first run.
 func TestInheritedRunIsKeptUntilGrantExpires(t *testing.T) {
-	made := newHarness(t)
-	of := made.adoptRun(workerID)
-	made.tick()
-	made.clock.Advance(storeOutageTolerance)
-	made.owner.lastJoinAt = made.clock.Now()
-	made.tick()
-	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
-		t.Fatal("released while the owner before may still have granted")
+	h := newHarness(t)
+	j := h.adoptRun(workerID)
+	h.tick()
+	h.clock.Advance(storeOutageTolerance)
+	h.owner.lastJoinAt = h.clock.Now()
+	h.tick()
+	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
+		t.Fatal("released while a grant of the previous owner may not have expired")
 	}
-	made.clock.Advance(7 * time.Second)
-	made.tick()
-	if of.Tasks()[0].State() == job.TaskState_TASK_STARTED {
-		t.Error("not released although every grant must have ended")
+	h.clock.Advance(7 * time.Second)
+	h.tick()
+	if j.Tasks()[0].State() == job.TaskState_TASK_STARTED {
+		t.Error("not released although every grant must have expired")
 	}
 }
 
-// TestInheritedRunIsReleasedIfNotListed: once the agent has heard of the
-// claim, no order of an earlier owner can start anything.
+// TestInheritedRunIsReleasedIfNotListed: once the agent has received the claim of the shard, no order of an
+// earlier owner can start a run, so a run that the agent does not list is over.
 func TestInheritedRunIsReleasedIfNotListed(t *testing.T) {
-	made := newHarness(t)
-	of := made.adoptRun(workerID)
-	made.attach()
-	made.receive(&wire.AgentMessage{Complete: true})
-	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
-		t.Fatal("released before the agent had heard of the claim")
+	h := newHarness(t)
+	j := h.adoptRun(workerID)
+	h.attach()
+	h.receive(&wire.AgentMessage{Complete: true})
+	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
+		t.Fatal("released before the agent had received the claim of the shard")
 	}
-	made.tick()
-	made.takeSent()
-	made.receive(&wire.AgentMessage{Complete: true})
-	if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
-		t.Error("not released although the agent lacks it")
+	h.tick()
+	h.takeSent()
+	h.receive(&wire.AgentMessage{Complete: true})
+	if j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
+		t.Error("not released although the agent does not list it")
 	}
 }
 
 func TestSilentAgentKeepsRunsUntilGrantExpires(t *testing.T) {
-	made := newHarness(t)
-	of := made.submit()
-	made.attachAndStart()
-	made.owner.handleDisconnected(made.agent, made.agent.conn, context.Canceled)
-	made.clock.Advance(6 * time.Second)
-	made.tick()
-	if of.Tasks()[0].Attempt() != 1 || of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
-		t.Fatal("released while its grant runs")
+	h := newHarness(t)
+	j := h.submit()
+	h.attachAndStart()
+	h.owner.handleDisconnected(h.agent, h.agent.conn, context.Canceled)
+	h.clock.Advance(6 * time.Second)
+	h.tick()
+	if j.Tasks()[0].Attempt() != 1 || j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
+		t.Fatal("released before its grant has expired")
 	}
-	made.clock.Advance(2 * time.Second)
-	made.tick()
-	if of.Tasks()[0].State() == job.TaskState_TASK_STARTED {
-		t.Error("not released although the grant must have ended")
+	h.clock.Advance(2 * time.Second)
+	h.tick()
+	if j.Tasks()[0].State() == job.TaskState_TASK_STARTED {
+		t.Error("not released although its grant must have expired")
 	}
 }
 
-// TestNewIncarnationReleasesRuns: the case that forced it left lasting tasks
-// waiting for twenty seconds after all machines had lost power.
+// TestNewIncarnationReleasesRuns: if the agent reports another incarnation of its worker, the runs of the
+// previous one are over. Otherwise long-running tasks would wait for 20 s after a power loss of all
+// machines.
 func TestNewIncarnationReleasesRuns(t *testing.T) {
-	made := newHarness(t)
-	of := made.adoptRun("i-0")
-	made.attach()
-	made.receive(&wire.AgentMessage{Complete: true, Status: &wire.WorkerStatus{}})
-	if of.Tasks()[0].State() != job.TaskState_TASK_STARTED {
-		t.Fatal("released while the agent knows of no worker")
+	h := newHarness(t)
+	j := h.adoptRun("i-0")
+	h.attach()
+	h.receive(&wire.AgentMessage{Complete: true, Status: &wire.WorkerStatus{}})
+	if j.Tasks()[0].State() != job.TaskState_TASK_STARTED {
+		t.Fatal("released while the agent knows no worker")
 	}
-	made.receive(&wire.AgentMessage{Complete: true})
-	if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
-		t.Error("not released although another incarnation stands there")
+	h.receive(&wire.AgentMessage{Complete: true})
+	if j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
+		t.Error("not released although another incarnation is running")
 	}
 }
 
-// TestRunsOfEndedIncarnationAreReleased: the case that forced it is a worker that left
-// with its machine while its owner was cut off from the store; the next owner
-// waited 17 s for lasting tasks to be over.
+// TestRunsOfEndedIncarnationAreReleased: runs are released if the store's record of the agent says that their
+// worker's incarnation has ended. A worker may have left with its machine while its owner could not reach the
+// store. The next owner would otherwise wait 17 s until it could start long-running tasks again.
 func TestRunsOfEndedIncarnationAreReleased(t *testing.T) {
 	tests := map[string]bool{"read before the shard": true, "read after the shard": false}
-	for name, before := range tests {
+	for name, readFirst := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			of := made.submit()
-			of.StartRun(of.Tasks()[0], job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, made.clock.Now())
-			registered := platform.ReadResult{Records: []platform.Record{newRecord(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}})}}
-			if before {
-				made.owner.applyAgentRecords(registered, made.clock.Now())
+			h := newHarness(t)
+			j := h.submit()
+			j.StartRun(j.Tasks()[0], job.Place{Incarnation: incarnation.New(workerID, 0), AgentAddress: agentAddress}, h.clock.Now())
+			records := platform.ReadResult{Records: []platform.Record{newRecord(t, "side-1", &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}})}}
+			if readFirst {
+				h.owner.applyAgentRecords(records, h.clock.Now())
 			}
-			made.owner.adoptRuns(made.shard, made.clock.Now())
-			if !before {
-				made.owner.applyAgentRecords(registered, made.clock.Now())
+			h.owner.adoptRuns(h.shard, h.clock.Now())
+			if !readFirst {
+				h.owner.applyAgentRecords(records, h.clock.Now())
 			}
-			if of.Tasks()[0].State() != job.TaskState_TASK_WAITING {
+			if j.Tasks()[0].State() != job.TaskState_TASK_WAITING {
 				t.Error("not released")
 			}
 		})
@@ -108,50 +109,50 @@
 }
 
 func TestNoGrantWithoutRecentJoin(t *testing.T) {
-	made := newHarness(t)
-	made.attach()
-	made.tick()
-	if got := made.takeSent(); len(got) == 0 || got[len(got)-1].GetGrantUntilNanos() == 0 {
+	h := newHarness(t)
+	h.attach()
+	h.tick()
+	if got := h.takeSent(); len(got) == 0 || got[len(got)-1].GetGrantUntilNanos() == 0 {
 		t.Fatalf("no grant at first: %v", got)
 	}
-	made.clock.Advance(storeOutageTolerance + time.Second)
-	made.receive(&wire.AgentMessage{})
-	made.tick()
-	for _, message := range made.takeSent() {
+	h.clock.Advance(storeOutageTolerance + time.Second)
+	h.receive(&wire.AgentMessage{})
+	h.tick()
+	for _, message := range h.takeSent() {
 		if message.GetGrantUntilNanos() != 0 {
-			t.Error("granted without word from the store for longer than another owner waits")
+			t.Error("granted time although the last join is too long ago and another owner may have the shard")
 		}
 	}
 }
 
 func TestStrayRunIsStopped(t *testing.T) {
-	made := newHarness(t)
-	made.submit()
-	made.attach()
-	made.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 9}}})
-	made.tick()
+	h := newHarness(t)
+	h.submit()
+	h.attach()
+	h.receive(&wire.AgentMessage{Complete: true, Runs: []*wire.RunStatus{{Task: firstTask, Attempt: 9}}})
+	h.tick()
 	stops := 0
-	for _, message := range made.takeSent() {
+	for _, message := range h.takeSent() {
 		stops += len(message.GetStops())
 	}
 	if stops != 1 {
-		t.Errorf("%d stops were ordered", stops)
+		t.Errorf("%d stop orders, want 1", stops)
 	}
 }
 
-// TestUnreadyWorkerReleasesNoRuns has an agent that has just started name an incarnation by a heartbeat
-// that was held up: the worker has not answered as that one yet, and the one before may go on.
+// TestUnreadyWorkerReleasesNoRuns: an agent that has just started may know a worker only from a delayed
+// heartbeat. Until that worker is ready, the one with the runs may still be running.
 func TestUnreadyWorkerReleasesNoRuns(t *testing.T) {
-	for name, ready := range map[string]bool{"it has not answered": false, "it has answered": true} {
+	for name, ready := range map[string]bool{"not ready": false, "ready": true} {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			of := made.submit()
-			made.attachAndStart()
+			h := newHarness(t)
+			j := h.submit()
+			h.attachAndStart()
 			status := idleWorkerStatus()
 			status.Worker, status.Ready = "i-0", ready
-			made.receive(&wire.AgentMessage{Status: status, Complete: true})
-			if released := of.Tasks()[0].State() == job.TaskState_TASK_WAITING; released != ready {
-				t.Errorf("the task waits again: %v", released)
+			h.receive(&wire.AgentMessage{Status: status, Complete: true})
+			if released := j.Tasks()[0].State() == job.TaskState_TASK_WAITING; released != ready {
+				t.Errorf("released: %v", released)
 			}
 		})
 	}
--- a/owner/shard.go
+++ b/owner/shard.go
@@ -11,18 +11,16 @@
 )
 
 const (
-	// storeTimeout bounds a call to the store; when the store is slow its
-	// answers take a quarter of a second.
+	// storeTimeout bounds a call to the store. A slow store answers within a quarter of a second.
 	storeTimeout = 1500 * time.Millisecond
-	// storeRetryDelay keeps tries apart while the store fails.
+	// storeRetryDelay is the pause before a failed call to the store is retried.
 	storeRetryDelay = 100 * time.Millisecond
-	// readWait is how long a read waits for a record. A read that waits while
-	// the store drops its history hears nothing until it is asked anew, and a
-	// cancellation has to be heard within 3 s.
+	// readWait is how long a read of the store waits for a record. If the store compacts its log during a
+	// read, the read returns nothing until it is repeated, and cancellations must be seen within 3 s.
 	readWait = time.Second
-	// readTimeoutMargin is added to a read's wait for the way there and back.
+	// readTimeoutMargin is added to the wait of a read for the round trip.
 	readTimeoutMargin = time.Second
-	// producer names owners to the store, which fences them by epoch.
+	// producer is the name under which all owners write to the store, which fences them by epoch.
 	producer = "owner"
 )
 
@@ -30,180 +28,184 @@
 type shard struct {
 	number int
 	epoch  int64
-	// loaded is false until the shard's jobs have been read.
+	// loaded is set once the shard's jobs have been read.
 	loaded     bool
 	acquiredAt time.Time
 	cancel     context.CancelFunc
-	ctx        context.Context // ends what is on its way for the shard
+	ctx        context.Context // cancelled when the shard is released
 
 	jobs       map[string]*job.Job
-	live       map[string]*job.Job // jobs that have not ended, or still have runs
-	nextOffset int64               // offset to read jobs from
+	live       map[string]*job.Job // jobs that have not ended or still have runs
+	nextOffset int64               // offset from which to read further jobs and cancellations
 
-	dirty      map[string]*job.Job
-	afterFlush []func(now time.Time) // to be done once what is dirty is in the store
-	writing    bool
-	sequence   int64
-	// cancelled holds the jobs with a cancellation, which may be read before
-	// the job: the newest records come in the order of their keys.
+	dirty      map[string]*job.Job   // jobs whose progress is to be written
+	afterFlush []func(now time.Time) // called once the progress of the dirty jobs is in the store
+	writing    bool                  // a write to the store is in progress
+	sequence   int64                 // of the last append
+	// cancelled holds the jobs with a cancellation. A cancellation may be read before its job, since the
+	// store returns the newest records in the order of their keys.
 	cancelled map[string]bool
-	// tombstones are the records to be dropped with the next append.
+	// tombstones are records that delete progress with the next append.
 	tombstones []platform.Record
 	prunedAt   time.Time
-	// pruning is set while submissions are being dropped.
+	// pruning is set while submissions are being deleted from the store.
 	pruning bool
-	// learned is what is known of interference, for SharedShard.
+	// learned holds the interference estimates; nil except for job.InterferenceShard.
 	learned *learnedTable
-	// endStoredAt tells from when on this process knew that the end of a job is in the store.
+	// endStoredAt is when this process learned that the end of a job is in the store.
 	endStoredAt map[string]time.Time
 }
 
-// newShard returns a shard whose jobs have not been read yet.
+// newShard returns a shard that has not been loaded yet.
 func newShard(ctx context.Context, number int, epoch int64, now time.Time) *shard {
-	held := &shard{
+	s := &shard{
 		number: number, epoch: epoch, acquiredAt: now,
 		jobs: map[string]*job.Job{}, live: map[string]*job.Job{}, dirty: map[string]*job.Job{},
 		endStoredAt: map[string]time.Time{}, cancelled: map[string]bool{},
 	}
 	if number == job.InterferenceShard {
-		held.learned = newLearnedTable()
+		s.learned = newLearnedTable()
 	}
-	held.ctx, held.cancel = context.WithCancel(ctx)
-	return held
+	s.ctx, s.cancel = context.WithCancel(ctx)
+	return s
 }
 
-// acquireShard begins to own a shard: earlier owners are fenced, then its jobs are read.
+// acquireShard starts to own a shard. Its jobs are loaded in the background.
 func (owner *Owner) acquireShard(number int, epoch int64, now time.Time) {
-	held := newShard(owner.ctx, number, epoch, now)
-	owner.shards[number] = held
+	s := newShard(owner.ctx, number, epoch, now)
+	owner.shards[number] = s
 	owner.log(event.ShardTaken, slog.Int("shard", number), slog.Int64("epoch", epoch))
-	go owner.loadShard(held)
+	go owner.loadShard(s)
 }
 
-// releaseShard stops owning a shard. What was on its way for it has no effect.
-func (owner *Owner) releaseShard(held *shard, reason string, now time.Time) {
-	held.cancel()
-	if owner.shards[held.number] != held {
+// releaseShard stops owning a shard. Calls and messages for it that are in flight have no effect any more.
+func (owner *Owner) releaseShard(s *shard, reason string, now time.Time) {
+	s.cancel()
+	if owner.shards[s.number] != s {
 		return
 	}
-	delete(owner.shards, held.number)
+	delete(owner.shards, s.number)
 	for _, view := range owner.agents {
-		view.dropShard(held)
-		if held.number == job.InterferenceShard {
-			// The next owner of the shard begins a table of its own, also if it is
-			// this one.
+		view.dropShard(s)
+		if s.number == job.InterferenceShard {
+			// The next owner of the shard starts a new table, even if it is this entry again.
 			view.learnedSentVersion = 0
 		}
 	}
-	owner.log(event.ShardGivenUp, slog.Int("shard", held.number), slog.Int64("epoch", held.epoch),
-		slog.String("reason", reason), slog.Duration("held", now.Sub(held.acquiredAt)))
+	owner.log(event.ShardGivenUp, slog.Int("shard", s.number), slog.Int64("epoch", s.epoch),
+		slog.String("reason", reason), slog.Duration("held", now.Sub(s.acquiredAt)))
 }
 
-// loadShard fences earlier owners and reads the shard.
-func (owner *Owner) loadShard(held *shard) {
-	if !owner.appendUntilStored(held, nil) {
+// loadShard fences earlier owners by an empty append under the new epoch, reads the records of the shard, and
+// then follows new ones.
+func (owner *Owner) loadShard(s *shard) {
+	if !owner.appendUntilStored(s, nil) {
 		return
 	}
-	jobs, ok := owner.readNewest(held, job.TopicJobs)
+	jobs, ok := owner.readNewest(s, job.TopicJobs)
 	if !ok {
 		return
 	}
-	runs, ok := owner.readNewest(held, job.TopicRuns)
+	runs, ok := owner.readNewest(s, job.TopicRuns)
 	if !ok {
 		return
 	}
 	owner.eventLoop.Post(func(now time.Time) {
-		if owner.shards[held.number] != held {
+		if owner.shards[s.number] != s {
 			return
 		}
-		owner.activateShard(held, jobs, runs, now)
-		go owner.followShard(held, jobs.Next)
+		owner.activateShard(s, jobs, runs, now)
+		go owner.followShard(s, jobs.Next)
 	})
-	if held.number == job.InterferenceShard {
-		go owner.persistLearned(held)
+	if s.number == job.InterferenceShard {
+		go owner.persistLearned(s)
 	}
 }
 
-func (owner *Owner) readNewest(held *shard, topic string) (platform.ReadResult, bool) {
-	for held.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(held.ctx, storeTimeout)
-		found, err := owner.options.Store.Newest(ctx, topic, held.number)
+// readNewest reads the newest record of each key in the shard's partition of a topic. It retries until it
+// succeeds, and reports false if the shard is released before.
+func (owner *Owner) readNewest(s *shard, topic string) (platform.ReadResult, bool) {
+	for s.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(s.ctx, storeTimeout)
+		tail, err := owner.options.Store.Newest(ctx, topic, s.number)
 		cancel()
 		if err == nil {
-			return found, true
+			return tail, true
 		}
-		owner.log(event.AppendRetried, slog.String("call", "newest"), slog.Int("shard", held.number), slog.Any("error", err))
-		owner.sleep(held.ctx, storeRetryDelay)
+		owner.log(event.AppendRetried, slog.String("call", "newest"), slog.Int("shard", s.number), slog.Any("error", err))
+		owner.sleep(s.ctx, storeRetryDelay)
 	}
 	return platform.ReadResult{}, false
 }
 
-func (owner *Owner) activateShard(held *shard, jobs, runs platform.ReadResult, now time.Time) {
-	handedIn := map[string]bool{}
+// activateShard applies the records that were read of a shard, and marks the shard as loaded.
+func (owner *Owner) activateShard(s *shard, jobs, runs platform.ReadResult, now time.Time) {
+	submitted := map[string]bool{}
 	for _, record := range jobs.Records {
 		if job.IsSubmissionKey(record.Key) {
-			handedIn[record.Key] = true
-			owner.applySubmission(held, record, now)
+			submitted[record.Key] = true
+			owner.applySubmission(s, record, now)
 		}
 	}
 	for _, record := range runs.Records {
-		if !handedIn[job.SubmissionKey(record.Key)] {
-			// Progress is written once its job was read, so the job was dropped since. One
-			// whose record can't be read is still there, and keeps its progress.
-			held.deleteProgress(record.Key)
+		if !submitted[job.SubmissionKey(record.Key)] {
+			// Progress is only written for a job that was read, so the job has been deleted since. A
+			// job whose record can't be decoded is still there and keeps its progress.
+			s.deleteProgress(record.Key)
 			continue
 		}
-		owner.applyProgress(held, record, now)
+		owner.applyProgress(s, record, now)
 	}
 	for _, record := range jobs.Records {
 		if job.IsCancellationKey(record.Key) {
-			owner.applyCancellation(held, record, now)
+			owner.applyCancellation(s, record, now)
 		}
 	}
-	held.loaded = true
-	held.nextOffset = jobs.Next
-	owner.adoptRuns(held, now)
+	s.loaded = true
+	s.nextOffset = jobs.Next
+	owner.adoptRuns(s, now)
 	owner.placementChanges.addAll()
-	owner.log(event.ShardLoaded, slog.Int("shard", held.number), slog.Int64("epoch", held.epoch),
-		slog.Int("jobs", len(held.jobs)), slog.Int("live", len(held.live)), slog.Duration("after", now.Sub(held.acquiredAt)))
+	owner.log(event.ShardLoaded, slog.Int("shard", s.number), slog.Int64("epoch", s.epoch),
+		slog.Int("jobs", len(s.jobs)), slog.Int("live", len(s.live)), slog.Duration("after", now.Sub(s.acquiredAt)))
 }
 
-// followShard reads the jobs and cancellations that entries append.
-func (owner *Owner) followShard(held *shard, next int64) {
-	for held.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(held.ctx, readWait+readTimeoutMargin)
-		tail, err := owner.options.Store.Read(ctx, job.TopicJobs, held.number, next, readWait)
+// followShard reads the jobs and cancellations that entries append, until the shard is released.
+func (owner *Owner) followShard(s *shard, nextOffset int64) {
+	for s.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(s.ctx, readWait+readTimeoutMargin)
+		tail, err := owner.options.Store.Read(ctx, job.TopicJobs, s.number, nextOffset, readWait)
 		cancel()
 		if platform.IsGone(err) {
-			owner.log(event.TailRestarted, slog.Int("shard", held.number), slog.Int64("offset", next))
-			found, ok := owner.readNewest(held, job.TopicJobs)
+			owner.log(event.TailRestarted, slog.Int("shard", s.number), slog.Int64("offset", nextOffset))
+			newest, ok := owner.readNewest(s, job.TopicJobs)
 			if !ok {
 				return
 			}
-			tail, err = found, nil
+			tail, err = newest, nil
 		}
 		if err != nil {
-			owner.sleep(held.ctx, storeRetryDelay)
+			owner.sleep(s.ctx, storeRetryDelay)
 			continue
 		}
-		next = tail.Next
+		nextOffset = tail.Next
 		if len(tail.Records) > 0 {
-			owner.eventLoop.Post(func(now time.Time) { owner.applyRecords(held, tail, now) })
+			owner.eventLoop.Post(func(now time.Time) { owner.applyRecords(s, tail, now) })
 		}
 	}
 }
 
-func (owner *Owner) applyRecords(held *shard, tail platform.ReadResult, now time.Time) {
-	if owner.shards[held.number] != held {
+// applyRecords applies submissions and cancellations that were appended to a shard.
+func (owner *Owner) applyRecords(s *shard, tail platform.ReadResult, now time.Time) {
+	if owner.shards[s.number] != s {
 		return
 	}
-	held.nextOffset = max(held.nextOffset, tail.Next)
+	s.nextOffset = max(s.nextOffset, tail.Next)
 	for _, record := range tail.Records {
 		switch {
 		case job.IsSubmissionKey(record.Key):
-			owner.applySubmission(held, record, now)
+			owner.applySubmission(s, record, now)
 		case job.IsCancellationKey(record.Key):
-			owner.applyCancellation(held, record, now)
+			owner.applyCancellation(s, record, now)
 		}
 	}
 }
