--- a/config/check.go
+++ b/config/check.go
@@ -10,21 +10,23 @@
 	"go.yaml.in/yaml/v3"
 )
 
+// thousand converts processors to thousandths of one. It is also the maximum of a team's share.
 const thousand = 1000
 
-// checker converts a document and collects its faults.
+// checker converts a decoded document into a Config and collects every fault that it finds.
 type checker struct {
 	root   *yaml.Node
 	faults Faults
 }
 
-// addFault notes a fault at the node that the path leads to.
-func (check *checker) addFault(path, format string, arguments ...any) {
-	line, column := nodePosition(check.root, strings.Split(path, "."))
-	check.faults = append(check.faults, Fault{Line: line, Column: column, Path: path, Message: fmt.Sprintf(format, arguments...)})
+// addFault adds a fault with the position of the node at path. The keys in path are separated by dots.
+func (c *checker) addFault(path, format string, args ...any) {
+	line, column := nodePosition(c.root, strings.Split(path, "."))
+	c.faults = append(c.faults, Fault{Line: line, Column: column, Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// nodePosition returns the position of the last node along the path that exists.
+// nodePosition returns the position of the node at path, or of its closest ancestor that exists: a key that
+// the document leaves out has no position of its own.
 func nodePosition(node *yaml.Node, path []string) (line, column int) {
 	if node.Kind == yaml.DocumentNode && len(node.Content) == 1 {
 		node = node.Content[0]
@@ -41,6 +43,7 @@
 	return line, column
 }
 
+// childNode returns the value of the named key of a mapping, or nil if there is none.
 func childNode(node *yaml.Node, name string) *yaml.Node {
 	if node.Kind != yaml.MappingNode {
 		return nil
@@ -53,49 +56,51 @@
 	return nil
 }
 
-func (check *checker) convert(read *document) *Config {
-	parsed := &Config{services: map[string]Service{}, kinds: map[string]Kind{}, teams: map[string]Team{}}
-	check.convertKinds(read, parsed)
-	check.convertServices(read, parsed)
-	check.convertTeams(read, parsed)
-	check.convertLimits(read, parsed)
-	return parsed
+// convert fills in defaults, checks all values and returns the Config, which is usable only if no fault was
+// added. Kinds come first because services refer to them.
+func (c *checker) convert(doc *document) *Config {
+	config := &Config{services: map[string]Service{}, kinds: map[string]Kind{}, teams: map[string]Team{}}
+	c.convertKinds(doc, config)
+	c.convertServices(doc, config)
+	c.convertTeams(doc, config)
+	c.convertLimits(doc, config)
+	return config
 }
 
-func (check *checker) checkName(path, name string) {
+func (c *checker) checkName(path, name string) {
 	if !namePattern.MatchString(name) {
-		check.addFault(path, "the name must be 1 to 63 of a-z, 0-9 and -, and not begin with -")
+		c.addFault(path, "the name must be 1 to 63 of a-z, 0-9 and -, and not begin with -")
 	}
 }
 
-func (check *checker) convertKinds(read *document, parsed *Config) {
-	if len(read.Kinds) == 0 {
-		check.addFault("kinds", "name at least one kind of work")
+func (c *checker) convertKinds(doc *document, config *Config) {
+	if len(doc.Kinds) == 0 {
+		c.addFault("kinds", "name at least one kind of work")
 	}
-	for _, name := range slices.Sorted(maps.Keys(read.Kinds)) {
-		given := read.Kinds[name]
+	for _, name := range slices.Sorted(maps.Keys(doc.Kinds)) {
+		settings := doc.Kinds[name]
 		path := "kinds." + name
-		check.checkName(path, name)
+		c.checkName(path, name)
 		kind := Kind{
-			class:      given.Class,
-			priority:   given.Priority,
-			lease:      given.Lease,
-			maxRunTime: given.MaxRunTime,
-			maxPending: given.MaxPending,
+			class:      settings.Class,
+			priority:   settings.Priority,
+			lease:      settings.Lease,
+			maxRunTime: settings.MaxRunTime,
+			maxPending: settings.MaxPending,
 		}
 		if kind.lease == 0 {
-			kind.lease = defaultClassLease(given.Class)
+			kind.lease = defaultClassLease(settings.Class)
 		}
-		switch given.Class {
+		switch settings.Class {
 		case LatencyCritical, Batch, Watch:
 		default:
-			check.addFault(path+".class", "%q is not a class; use %s, %s or %s", given.Class, LatencyCritical, Batch, Watch)
+			c.addFault(path+".class", "%q is not a class; use %s, %s or %s", settings.Class, LatencyCritical, Batch, Watch)
 		}
-		check.checkInt(path+".priority", given.Priority, 0, maxPriority)
-		check.checkDuration(path+".lease", kind.lease, minLease, maxLease)
-		check.checkDuration(path+".max_run_time", given.MaxRunTime, 0, maxRetention)
-		check.checkInt(path+".max_pending", given.MaxPending, 0, maxQueue)
-		parsed.kinds[name] = kind
+		c.checkInt(path+".priority", settings.Priority, 0, maxPriority)
+		c.checkDuration(path+".lease", kind.lease, minLease, maxLease)
+		c.checkDuration(path+".max_run_time", settings.MaxRunTime, 0, maxRetention)
+		c.checkInt(path+".max_pending", settings.MaxPending, 0, maxQueue)
+		config.kinds[name] = kind
 	}
 }
 
@@ -106,113 +111,117 @@
 	return defaultBatchLease
 }
 
-func (check *checker) convertServices(read *document, parsed *Config) {
-	for _, name := range slices.Sorted(maps.Keys(read.Services)) {
-		given := read.Services[name]
+func (c *checker) convertServices(doc *document, config *Config) {
+	for _, name := range slices.Sorted(maps.Keys(doc.Services)) {
+		settings := doc.Services[name]
 		path := "services." + name
-		check.checkName(path, name)
+		c.checkName(path, name)
 		service := Service{
-			kind:        given.Kind,
-			slots:       intOrDefault(given.Slots, defaultSlots),
-			connections: intOrDefault(given.Connections, defaultConnections),
-			timeout:     durationOrDefault(given.Timeout, defaultTimeout),
-			targetP99:   given.TargetP99,
-			maxBody:     int64(given.MaxBody),
-			repeatable:  given.Repeatable,
+			kind:        settings.Kind,
+			slots:       intOrDefault(settings.Slots, defaultSlots),
+			connections: intOrDefault(settings.Connections, defaultConnections),
+			timeout:     durationOrDefault(settings.Timeout, defaultTimeout),
+			targetP99:   settings.TargetP99,
+			maxBody:     int64(settings.MaxBody),
+			repeatable:  settings.Repeatable,
 		}
 		if service.maxBody == 0 {
 			service.maxBody = defaultMaxBody
 		}
-		service.queue = intOrDefault(given.Queue, service.slots)
-		kind, found := parsed.kinds[given.Kind]
+		service.queue = intOrDefault(settings.Queue, service.slots)
+		kind, found := config.kinds[settings.Kind]
 		switch {
 		case !found:
-			check.addFault(path+".kind", "%q is not one of the kinds; add it under kinds", given.Kind)
+			c.addFault(path+".kind", "%q is not one of the kinds; add it under kinds", settings.Kind)
 		case kind.class != LatencyCritical:
-			check.addFault(path+".kind", "a service needs a kind of class %s; %q is %s", LatencyCritical, given.Kind, kind.class)
+			c.addFault(path+".kind", "a service needs a kind of class %s; %q is %s", LatencyCritical, settings.Kind, kind.class)
 		}
-		check.checkInt(path+".slots", service.slots, 1, maxSlots)
-		check.checkInt(path+".connections", service.connections, 1, maxConnections)
-		check.checkInt(path+".queue", service.queue, 0, maxQueue)
-		check.checkDuration(path+".timeout", service.timeout, time.Millisecond, maxTimeout)
-		check.checkDuration(path+".target_p99", service.targetP99, 0, maxTimeout)
-		check.checkInt(path+".max_body", int(service.maxBody), 1, maxBodyBytes)
-		parsed.services[name] = service
+		c.checkInt(path+".slots", service.slots, 1, maxSlots)
+		c.checkInt(path+".connections", service.connections, 1, maxConnections)
+		c.checkInt(path+".queue", service.queue, 0, maxQueue)
+		c.checkDuration(path+".timeout", service.timeout, time.Millisecond, maxTimeout)
+		c.checkDuration(path+".target_p99", service.targetP99, 0, maxTimeout)
+		c.checkInt(path+".max_body", int(service.maxBody), 1, maxBodyBytes)
+		config.services[name] = service
 	}
 }
 
-func (check *checker) convertTeams(read *document, parsed *Config) {
-	if len(read.Teams) == 0 {
-		check.addFault("teams", "name at least one team")
+func (c *checker) convertTeams(doc *document, config *Config) {
+	if len(doc.Teams) == 0 {
+		c.addFault("teams", "name at least one team")
 	}
-	for _, name := range slices.Sorted(maps.Keys(read.Teams)) {
-		given := read.Teams[name]
+	for _, name := range slices.Sorted(maps.Keys(doc.Teams)) {
+		settings := doc.Teams[name]
 		path := "teams." + name
-		check.checkName(path, name)
-		share := given.Share
+		c.checkName(path, name)
+		share := settings.Share
 		if share == 0 {
 			share = defaultShare
 		}
-		check.checkFloat(path+".processors", given.Processors, maxMilliCPU/thousand)
-		check.checkFloat(path+".share", share, thousand)
-		check.checkInt(path+".accelerators", int(given.Accelerators), 0, maxQueue)
-		parsed.teams[name] = Team{
-			milliCPU:     int64(given.Processors * thousand),
-			memory:       int64(given.Memory),
-			accelerators: given.Accelerators,
+		c.checkFloat(path+".processors", settings.Processors, maxMilliCPU/thousand)
+		c.checkFloat(path+".share", share, thousand)
+		c.checkInt(path+".accelerators", int(settings.Accelerators), 0, maxQueue)
+		config.teams[name] = Team{
+			milliCPU:     int64(settings.Processors * thousand),
+			memory:       int64(settings.Memory),
+			accelerators: settings.Accelerators,
 			share:        share,
 		}
 	}
 }
 
-func (check *checker) convertLimits(read *document, parsed *Config) {
-	given := read.Limits
+func (c *checker) convertLimits(doc *document, config *Config) {
+	settings := doc.Limits
 	limits := Limits{
 		retryRatio:   defaultRetryRatio,
-		keepEnded:    durationOrDefault(given.KeepEnded, defaultKeepEnded),
-		keepClaims:   durationOrDefault(given.KeepClaims, defaultKeepClaims),
-		workerSilent: durationOrDefault(given.WorkerSilent, defaultWorkerSilent),
-		reserved:     int64(given.ReservedProcessors * thousand),
+		keepEnded:    durationOrDefault(settings.KeepEnded, defaultKeepEnded),
+		keepClaims:   durationOrDefault(settings.KeepClaims, defaultKeepClaims),
+		workerSilent: durationOrDefault(settings.WorkerSilent, defaultWorkerSilent),
+		reserved:     int64(settings.ReservedProcessors * thousand),
 	}
-	if given.RetryRatio != nil {
-		limits.retryRatio = *given.RetryRatio
+	if settings.RetryRatio != nil {
+		limits.retryRatio = *settings.RetryRatio
 	}
-	check.checkFloat("limits.retry_ratio", limits.retryRatio, 1)
-	check.checkFloat("limits.reserved_processors", given.ReservedProcessors, maxMilliCPU/thousand)
-	check.checkDuration("limits.keep_ended", limits.keepEnded, time.Minute, maxRetention)
-	check.checkDuration("limits.keep_claims", limits.keepClaims, time.Minute, maxRetention)
-	check.checkDuration("limits.worker_silent", limits.workerSilent, time.Second, maxTimeout)
-	parsed.limits = limits
+	c.checkFloat("limits.retry_ratio", limits.retryRatio, 1)
+	c.checkFloat("limits.reserved_processors", settings.ReservedProcessors, maxMilliCPU/thousand)
+	c.checkDuration("limits.keep_ended", limits.keepEnded, time.Minute, maxRetention)
+	c.checkDuration("limits.keep_claims", limits.keepClaims, time.Minute, maxRetention)
+	c.checkDuration("limits.worker_silent", limits.workerSilent, time.Second, maxTimeout)
+	config.limits = limits
 }
 
-func (check *checker) checkInt(path string, value, least, most int) {
-	if value < least || value > most {
-		check.addFault(path, "%d is out of bounds; give %d to %d", value, least, most)
+// checkInt adds a fault if value is outside of minValue to maxValue.
+func (c *checker) checkInt(path string, value, minValue, maxValue int) {
+	if value < minValue || value > maxValue {
+		c.addFault(path, "%d is out of bounds; give %d to %d", value, minValue, maxValue)
 	}
 }
 
-func (check *checker) checkFloat(path string, value float64, most float64) {
-	if !(value >= 0 && value <= most) {
-		check.addFault(path, "%g is out of bounds; give 0 to %g", value, most)
+// checkFloat adds a fault if value is not a number or outside of 0 to maxValue. The condition is negated
+// because every comparison with NaN is false.
+func (c *checker) checkFloat(path string, value float64, maxValue float64) {
+	if !(value >= 0 && value <= maxValue) {
+		c.addFault(path, "%g is out of bounds; give 0 to %g", value, maxValue)
 	}
 }
 
-func (check *checker) checkDuration(path string, value, least, most time.Duration) {
-	if value < least || value > most {
-		check.addFault(path, "%s is out of bounds; give %s to %s", value, least, most)
+// checkDuration adds a fault if value is outside of minValue to maxValue.
+func (c *checker) checkDuration(path string, value, minValue, maxValue time.Duration) {
+	if value < minValue || value > maxValue {
+		c.addFault(path, "%s is out of bounds; give %s to %s", value, minValue, maxValue)
 	}
 }
 
-func intOrDefault(value *int, otherwise int) int {
+func intOrDefault(value *int, defaultValue int) int {
 	if value == nil {
-		return otherwise
+		return defaultValue
 	}
 	return *value
 }
 
-func durationOrDefault(value, otherwise time.Duration) time.Duration {
+func durationOrDefault(value, defaultValue time.Duration) time.Duration {
 	if value == 0 {
-		return otherwise
+		return defaultValue
 	}
 	return value
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -14,12 +14,12 @@
 	"ambertiller.example/ambertiller/config"
 )
 
-// TestParse parses each testdata/*.yaml and compares every fault it has, or
-// what was understood, with its golden file.
+// TestParse parses each testdata/*.yaml and compares the faults, or the resulting
+// configuration if there are none, with the golden file of the same name.
 func TestParse(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no cases: %v", err)
+		t.Fatalf("found no files in testdata: %v", err)
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".yaml")
@@ -33,8 +33,9 @@
 	}
 }
 
+// formatResult returns the faults of a document, or the parsed configuration if it has none.
 func formatResult(content []byte) string {
-	parsed, err := config.Parse(content)
+	c, err := config.Parse(content)
 	var faults config.Faults
 	if errors.As(err, &faults) {
 		var out strings.Builder
@@ -43,7 +44,7 @@
 		}
 		return out.String()
 	}
-	return fmt.Sprintf("%+v\n%+v\n%+v\n%+v\n", parsed.Services(), parsed.Kinds(), parsed.Teams(), parsed.Limits())
+	return fmt.Sprintf("%+v\n%+v\n%+v\n%+v\n", c.Services(), c.Kinds(), c.Teams(), c.Limits())
 }
 
 func TestExamplesAreValid(t *testing.T) {
@@ -62,30 +63,31 @@
 
 func TestParseSize(t *testing.T) {
 	tests := map[string]struct {
-		want  int64
-		wrong bool
+		want    int64
+		invalid bool
 	}{
 		"1048576":                {want: 1 << 20},
 		"512MiB":                 {want: 512 << 20},
 		"1.5 GiB":                {want: 3 << 29},
 		"0":                      {want: 0},
-		"-1":                     {wrong: true},
-		"12 parsecs":             {wrong: true},
-		"":                       {wrong: true},
-		"99999999999999999999":   {wrong: true},
-		"9999999999999999999TiB": {wrong: true},
+		"-1":                     {invalid: true},
+		"12 parsecs":             {invalid: true},
+		"":                       {invalid: true},
+		"99999999999999999999":   {invalid: true},
+		"9999999999999999999TiB": {invalid: true},
 	}
 	for text, test := range tests {
 		t.Run(text, func(t *testing.T) {
 			got, err := config.ParseSize(text)
-			if got != test.want || (err != nil) != test.wrong {
-				t.Errorf("got %d, %v", got, err)
+			if got != test.want || (err != nil) != test.invalid {
+				t.Errorf("ParseSize returned %d, %v", got, err)
 			}
 		})
 	}
 }
 
-// FuzzParse must neither fail without a fault nor accept a value out of bounds.
+// FuzzParse checks that an error of Parse always has at least one fault, and that an accepted
+// document has no value that is out of bounds.
 func FuzzParse(f *testing.F) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil {
@@ -99,22 +101,22 @@
 		f.Add(content)
 	}
 	f.Fuzz(func(t *testing.T, content []byte) {
-		parsed, err := config.Parse(content)
+		c, err := config.Parse(content)
 		var faults config.Faults
 		if err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
-			t.Fatalf("an error without a fault: %v", err)
+			t.Fatalf("Parse returned an error without faults: %v", err)
 		}
 		if err != nil {
 			return
 		}
-		for name, service := range parsed.Services() {
+		for name, service := range c.Services() {
 			if service.Slots() < 1 || service.Timeout() <= 0 || service.MaxBodyBytes() < 1 {
-				t.Errorf("%s is %+v", name, service)
+				t.Errorf("service %s was accepted with a value out of bounds: %+v", name, service)
 			}
 		}
-		for name, kind := range parsed.Kinds() {
+		for name, kind := range c.Kinds() {
 			if kind.Lease() < time.Second || kind.Priority() < 0 {
-				t.Errorf("%s is %+v", name, kind)
+				t.Errorf("kind %s was accepted with a value out of bounds: %+v", name, kind)
 			}
 		}
 	})
--- a/config/parse.go
+++ b/config/parse.go
@@ -14,7 +14,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Defaults for what a document leaves out.
+// Default values of settings that a document leaves out.
 const (
 	defaultSlots        = 8
 	defaultConnections  = 64
@@ -29,10 +29,10 @@
 	defaultShare        = 1
 )
 
-// DefaultLease is the lease of a task whose kind is no longer in the configuration.
+// DefaultLease is the lease of a task whose kind has been removed from the configuration.
 const DefaultLease = defaultBatchLease
 
-// Bounds that keep a slip of the keyboard from being obeyed.
+// Bounds of settings. They reject values that are most likely typing errors.
 const (
 	maxSlots         = 4096
 	maxConnections   = 65536
@@ -49,7 +49,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Fault is one thing that is wrong in a document.
+// Fault describes one error in a document and its position.
 type Fault struct {
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
@@ -57,7 +57,7 @@
 	Message string `json:"message"`
 }
 
-// String implements fmt.Stringer.
+// String returns the fault as LINE:COLUMN: PATH: MESSAGE. The path is left out if it is empty.
 func (fault Fault) String() string {
 	if fault.Path == "" {
 		return fmt.Sprintf("%d:%d: %s", fault.Line, fault.Column, fault.Message)
@@ -65,10 +65,10 @@
 	return fmt.Sprintf("%d:%d: %s: %s", fault.Line, fault.Column, fault.Path, fault.Message)
 }
 
-// Faults is the error of a document that can't be used.
+// Faults is the error that Parse returns for an invalid document. It has at least one element.
 type Faults []Fault
 
-// Error implements error.
+// Error returns all faults in one line.
 func (faults Faults) Error() string {
 	lines := make([]string, 0, len(faults))
 	for _, fault := range faults {
@@ -77,7 +77,8 @@
 	return "the configuration has faults; correct them and check again: " + strings.Join(lines, "; ")
 }
 
-// document is the shape of the YAML.
+// document is the structure into which the YAML is decoded. The YAML library's errors contain the
+// name of this type and, for a value of the wrong type, its fields. They reach users as faults.
 type document struct {
 	Services map[string]struct {
 		Kind        string        `yaml:"kind"`
@@ -111,25 +112,26 @@
 	} `yaml:"limits"`
 }
 
-// size is a number of bytes, with or without a unit.
+// size is a number of bytes, which the document gives with or without a unit.
 type size int64
 
 var sizePattern = regexp.MustCompile(`^([0-9]+(?:\.[0-9]+)?)\s*(B|KiB|MiB|GiB|TiB)?$`)
 
 var sizeUnits = map[string]float64{"": 1, "B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "TiB": 1 << 40}
 
-// UnmarshalYAML implements yaml.Unmarshaler.
-func (bytesOf *size) UnmarshalYAML(node *yaml.Node) error {
+// UnmarshalYAML decodes a size such as 512MiB.
+func (s *size) UnmarshalYAML(node *yaml.Node) error {
 	parsed, err := ParseSize(node.Value)
 	if err != nil {
-		// As a TypeError it is collected with the document's other faults.
+		// The YAML library stops at any other error; it collects a TypeError together with those of
+		// other values.
 		return &yaml.TypeError{Errors: []string{fmt.Sprintf("line %d: %s", node.Line, err.Error())}}
 	}
-	*bytesOf = size(parsed)
+	*s = size(parsed)
 	return nil
 }
 
-// ParseSize reads a number of bytes such as 1048576, 512MiB or 1.5GiB.
+// ParseSize parses a number of bytes such as 1048576, 512MiB or 1.5GiB. A fraction of a byte is dropped.
 func ParseSize(text string) (int64, error) {
 	match := sizePattern.FindStringSubmatch(text)
 	if match == nil {
@@ -146,7 +148,7 @@
 	return int64(scaled), nil
 }
 
-// Parse reads and checks a document. On a fault it returns Faults.
+// Parse decodes and validates a document. If the document is invalid, the error is of type Faults.
 func Parse(content []byte) (*Config, error) {
 	if len(content) > maxDocumentBytes {
 		return nil, Faults{{Message: fmt.Sprintf("the document has %d bytes; the most is %d", len(content), maxDocumentBytes)}}
@@ -155,33 +157,34 @@
 	if err := yaml.Unmarshal(content, &root); err != nil {
 		return nil, syntaxFaults(err)
 	}
-	var read document
+	var doc document
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
 	decoder.KnownFields(true)
-	if err := decoder.Decode(&read); err != nil && !errors.Is(err, io.EOF) {
+	if err := decoder.Decode(&doc); err != nil && !errors.Is(err, io.EOF) {
 		return nil, syntaxFaults(err)
 	}
-	check := &checker{root: &root}
-	parsed := check.convert(&read)
-	if len(check.faults) > 0 {
-		return nil, check.faults
+	c := &checker{root: &root}
+	config := c.convert(&doc)
+	if len(c.faults) > 0 {
+		return nil, c.faults
 	}
-	return parsed, nil
+	return config, nil
 }
 
 var yamlLinePattern = regexp.MustCompile(`line (\d+): (.*)`)
 
-// syntaxFaults turns the YAML library's errors, which name lines, into faults.
+// syntaxFaults converts an error of the YAML library into faults. The library gives the line only
+// as part of the message, and no column.
 func syntaxFaults(err error) Faults {
-	texts := []string{err.Error()}
-	var typed *yaml.TypeError
-	if errors.As(err, &typed) {
-		texts = typed.Errors
+	messages := []string{err.Error()}
+	var typeError *yaml.TypeError
+	if errors.As(err, &typeError) {
+		messages = typeError.Errors
 	}
-	faults := make(Faults, 0, len(texts))
-	for _, text := range texts {
-		fault := Fault{Line: 1, Column: 1, Message: strings.TrimPrefix(text, "yaml: ")}
-		if match := yamlLinePattern.FindStringSubmatch(text); match != nil {
+	faults := make(Faults, 0, len(messages))
+	for _, message := range messages {
+		fault := Fault{Line: 1, Column: 1, Message: strings.TrimPrefix(message, "yaml: ")}
+		if match := yamlLinePattern.FindStringSubmatch(message); match != nil {
 			fault.Line, _ = strconv.Atoi(match[1])
 			fault.Message = match[2]
 		}
