--- a/command/command.go
+++ b/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of ambertiller: the roles and the
-// operator's commands.
+// Package command implements the command line of ambertiller: the commands that
+// run a role and the operator's commands.
 //
 // # Usage
 //
@@ -7,7 +7,7 @@
 //
 // # Exit codes
 //
-// See [ExitOK] and the constants beside it.
+// The exit codes of a command are [ExitOK] and the other Exit constants.
 package command
 
 import (
@@ -25,48 +25,51 @@
 
 // Exit codes.
 const (
-	ExitOK          = 0 // done
-	ExitFailed      = 1 // the command failed
-	ExitUsage       = 2 // the flags, variables or arguments are wrong
-	ExitFaults      = 3 // a checked document has faults
-	ExitConflict    = 4 // another change was first
-	ExitUnreachable = 5 // no entry answered; it is not known whether anything was done
-	ExitNotFound    = 6 // there is no such thing
+	ExitOK          = 0 // the command succeeded
+	ExitFailed      = 1 // the command failed for a reason that has no code of its own
+	ExitUsage       = 2 // invalid flags, environment variables or arguments
+	ExitFaults      = 3 // the document has faults
+	ExitConflict    = 4 // a conflicting change was made first
+	ExitUnreachable = 5 // no response, or the outcome is unknown; the change may have been made
+	ExitNotFound    = 6 // the requested object does not exist
 	ExitUnavailable = 7 // nothing was done; try again later
 )
 
-// exitError carries an exit code with an error.
+// exitError is an error that determines the exit code of the command.
 type exitError struct {
 	code  int
 	cause error
 }
 
-// Error implements error.
-func (exit *exitError) Error() string { return exit.cause.Error() }
+// Error returns the message of the cause.
+func (e *exitError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
-func (exit *exitError) Unwrap() error { return exit.cause }
+func (e *exitError) Unwrap() error { return e.cause }
 
-func newUsageError(format string, arguments ...any) error {
-	return &exitError{code: ExitUsage, cause: errors.Errorf(format, arguments...)}
+// newUsageError returns an error with exit code ExitUsage.
+func newUsageError(format string, args ...any) error {
+	return &exitError{code: ExitUsage, cause: errors.Errorf(format, args...)}
 }
 
-// Run runs one command and returns its exit code.
-func Run(ctx context.Context, arguments []string, out, errOut io.Writer) int {
-	app := newApp(out, errOut)
-	err := app.Run(ctx, arguments)
+// Run runs the command that args, which include the program name, select. It writes an error to stderr and
+// returns the exit code.
+func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
+	app := newApp(stdout, stderr)
+	err := app.Run(ctx, args)
 	if err == nil {
 		return ExitOK
 	}
-	// Nothing can be done when standard error is closed.
-	_, _ = fmt.Fprintln(errOut, "ambertiller: "+err.Error())
+	// A failed write is ignored: there is no other place to report it.
+	_, _ = fmt.Fprintln(stderr, "ambertiller: "+err.Error())
 	return exitCode(err)
 }
 
+// exitCode returns the exit code for an error of a command.
 func exitCode(err error) int {
-	var exit *exitError
-	if errors.As(err, &exit) {
-		return exit.code
+	var e *exitError
+	if errors.As(err, &e) {
+		return e.code
 	}
 	var problem *api.Problem
 	if errors.As(err, &problem) {
@@ -75,6 +78,7 @@
 	return ExitFailed
 }
 
+// problemExitCode returns the exit code for a problem that an entry responded with.
 func problemExitCode(problem *api.Problem) int {
 	switch problem.Type {
 	case api.TypeBadRequest, api.TypeTooLarge:
@@ -105,22 +109,23 @@
 	version        = "0.1.0"
 )
 
-func newApp(out, errOut io.Writer) *cli.Command {
+// newApp returns the root command. Its ExitErrHandler does nothing, so that Run decides on the exit code.
+func newApp(stdout, stderr io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:                  "ambertiller",
 		Usage:                 "schedule latency-critical and batch work on the same workers",
 		Version:               version + revision(),
 		EnableShellCompletion: true,
-		Writer:                out,
-		ErrWriter:             errOut,
+		Writer:                stdout,
+		ErrWriter:             stderr,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
 		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 			return newUsageError("%v; see `ambertiller help`", err)
 		},
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "entry", Usage: "URL of an entry, or of the balancer in front of them", Value: defaultEntry, Sources: envVar("ENTRY")},
-			&cli.StringFlag{Name: "output", Usage: "table or json", Value: outputTable, Sources: envVar("OUTPUT")},
-			&cli.DurationFlag{Name: "timeout", Usage: "how long an operator's command may take", Value: defaultTimeout, Sources: envVar("TIMEOUT")},
+			&cli.StringFlag{Name: "entry", Usage: "URL of an entry, or of the load balancer in front of the entries", Value: defaultEntry, Sources: envVar("ENTRY")},
+			&cli.StringFlag{Name: "output", Usage: "output format: table or json", Value: outputTable, Sources: envVar("OUTPUT")},
+			&cli.DurationFlag{Name: "timeout", Usage: "time limit of an operator's command", Value: defaultTimeout, Sources: envVar("TIMEOUT")},
 		},
 		Commands: []*cli.Command{
 			entryCommand(), guardCommand(), gatewayCommand(), agentCommand(), standinCommand(), demoCommand(),
@@ -132,15 +137,17 @@
 	}
 }
 
-// envVar names the variable behind a flag.
+// envVar returns the environment variable AMBERTILLER_name as the source of a flag's value.
 func envVar(name string) cli.ValueSourceChain { return cli.EnvVars("AMBERTILLER_" + name) }
 
+// revision returns the revision of the source from which the binary was built, in parentheses after
+// a space, or an empty string if it is unknown.
 func revision() string {
-	info, found := debug.ReadBuildInfo()
+	buildInfo, found := debug.ReadBuildInfo()
 	if !found {
 		return ""
 	}
-	for _, setting := range info.Settings {
+	for _, setting := range buildInfo.Settings {
 		if setting.Key == "vcs.revision" {
 			return " (" + setting.Value + ")"
 		}
@@ -148,7 +155,7 @@
 	return ""
 }
 
-// versionInfo is what `ambertiller version` prints.
+// versionInfo is the output of `ambertiller version`.
 type versionInfo struct {
 	Version string `json:"version"`
 	Format  uint32 `json:"record_format"`
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -13,18 +13,19 @@
 	"ambertiller.example/ambertiller/command"
 )
 
-func runCommand(arguments ...string) (code int, out, errOut string) {
+// runCommand runs a command in this process and returns its exit code and output.
+func runCommand(args ...string) (code int, out, errOut string) {
 	var stdout, stderr bytes.Buffer
-	code = command.Run(context.Background(), append([]string{"ambertiller"}, arguments...), &stdout, &stderr)
+	code = command.Run(context.Background(), append([]string{"ambertiller"}, args...), &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
-// TestSettingsReportEveryFault: a role with several wrong settings names all of
-// them at once and starts nothing.
+// TestSettingsReportEveryFault checks that a command with several invalid flags
+// reports all of them together and starts nothing.
 func TestSettingsReportEveryFault(t *testing.T) {
 	tests := map[string]struct {
-		arguments []string
-		want      []string
+		args []string
+		want []string
 	}{
 		"entry": {
 			[]string{"entry", "--http", "localhost:1", "--rpc", "127.0.0.1", "--platform", "ftp://x", "--stop-timeout", "0s", "--appends-per-second", "0", "--log-level", "loud"},
@@ -39,43 +40,45 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			code, _, errOut := runCommand(test.arguments...)
+			code, _, stderr := runCommand(test.args...)
 			if code != command.ExitUsage {
-				t.Errorf("exit code %d: %s", code, errOut)
+				t.Errorf("exit code %d: %s", code, stderr)
 			}
 			for _, want := range test.want {
-				if !strings.Contains(errOut, want) {
-					t.Errorf("%q is not in %s", want, errOut)
+				if !strings.Contains(stderr, want) {
+					t.Errorf("%q is not in %s", want, stderr)
 				}
 			}
 		})
 	}
 }
 
+// TestEnvironmentVariables checks that a flag takes its value from its environment variable.
 func TestEnvironmentVariables(t *testing.T) {
 	t.Setenv("AMBERTILLER_OUTPUT", "json")
-	code, out, errOut := runCommand("version")
+	code, out, stderr := runCommand("version")
 	var info struct {
 		Version string `json:"version"`
 	}
 	if err := json.Unmarshal([]byte(out), &info); code != command.ExitOK || err != nil || info.Version == "" {
-		t.Errorf("exit code %d, %q, %q, %v", code, out, errOut, err)
+		t.Errorf("exit code %d, %q, %q, %v", code, out, stderr, err)
 	}
 }
 
-// TestExitCodes: each kind of failure has its own code, and says what to do.
+// TestExitCodes checks the exit code for each kind of problem, and that an error
+// message is printed.
 func TestExitCodes(t *testing.T) {
 	tests := map[string]struct {
 		problem api.Problem
 		code    int
 	}{
-		"not found":     {api.Problem{Type: api.TypeNotFound, Status: http.StatusNotFound}, command.ExitNotFound},
-		"conflict":      {api.Problem{Type: api.TypeConflict, Status: http.StatusConflict}, command.ExitConflict},
-		"faults":        {api.Problem{Type: api.TypeBadRequest, Status: http.StatusBadRequest, Faults: []api.Fault{{Message: "x"}}}, command.ExitFaults},
-		"bad request":   {api.Problem{Type: api.TypeBadRequest, Status: http.StatusBadRequest}, command.ExitUsage},
-		"log down":      {api.Problem{Type: api.TypeLog, Status: http.StatusServiceUnavailable, Outcome: api.OutcomeNotRun}, command.ExitUnavailable},
-		"log unsettled": {api.Problem{Type: api.TypeLog, Status: http.StatusServiceUnavailable, Outcome: api.OutcomeUnknown}, command.ExitUnreachable},
-		"can never run": {api.Problem{Type: api.TypeImpossible, Status: http.StatusUnprocessableEntity}, command.ExitFailed},
+		"not found":           {api.Problem{Type: api.TypeNotFound, Status: http.StatusNotFound}, command.ExitNotFound},
+		"conflict":            {api.Problem{Type: api.TypeConflict, Status: http.StatusConflict}, command.ExitConflict},
+		"faults":              {api.Problem{Type: api.TypeBadRequest, Status: http.StatusBadRequest, Faults: []api.Fault{{Message: "x"}}}, command.ExitFaults},
+		"bad request":         {api.Problem{Type: api.TypeBadRequest, Status: http.StatusBadRequest}, command.ExitUsage},
+		"log down":            {api.Problem{Type: api.TypeLog, Status: http.StatusServiceUnavailable, Outcome: api.OutcomeNotRun}, command.ExitUnavailable},
+		"log outcome unknown": {api.Problem{Type: api.TypeLog, Status: http.StatusServiceUnavailable, Outcome: api.OutcomeUnknown}, command.ExitUnreachable},
+		"impossible task":     {api.Problem{Type: api.TypeImpossible, Status: http.StatusUnprocessableEntity}, command.ExitFailed},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -85,21 +88,22 @@
 				_ = json.NewEncoder(writer).Encode(test.problem)
 			}))
 			defer entry.Close()
-			if code, _, errOut := runCommand("--entry", entry.URL, "task", "t-1"); code != test.code || errOut == "" {
-				t.Errorf("exit code %d: %q", code, errOut)
+			if code, _, stderr := runCommand("--entry", entry.URL, "task", "t-1"); code != test.code || stderr == "" {
+				t.Errorf("exit code %d: %q", code, stderr)
 			}
 		})
 	}
 	t.Run("no entry", func(t *testing.T) {
-		if code, _, errOut := runCommand("--entry", "http://127.0.0.1:1", "workers"); code != command.ExitUnreachable || !strings.Contains(errOut, "check --entry") {
-			t.Errorf("exit code %d: %q", code, errOut)
+		if code, _, stderr := runCommand("--entry", "http://127.0.0.1:1", "workers"); code != command.ExitUnreachable || !strings.Contains(stderr, "check --entry") {
+			t.Errorf("exit code %d: %q", code, stderr)
 		}
 	})
 }
 
+// TestCheckOffline checks that documents can be checked without an entry.
 func TestCheckOffline(t *testing.T) {
-	if code, _, errOut := runCommand("config", "check", "--offline", "../examples/sapporo/config.yaml"); code != command.ExitOK {
-		t.Errorf("exit code %d: %s", code, errOut)
+	if code, _, stderr := runCommand("config", "check", "--offline", "../examples/sapporo/config.yaml"); code != command.ExitOK {
+		t.Errorf("exit code %d: %s", code, stderr)
 	}
 	if code, _, _ := runCommand("config", "check", "--offline", "../config/testdata/every-fault.yaml"); code != command.ExitFaults {
 		t.Errorf("exit code %d", code)
--- a/command/drain_test.go
+++ b/command/drain_test.go
@@ -12,43 +12,43 @@
 	"ambertiller.example/ambertiller/command"
 )
 
-// TestDrainFailureDomain: each worker of the failure domain is drained, and no other.
+// TestDrainFailureDomain checks that exactly the workers of the failure domain are drained.
 func TestDrainFailureDomain(t *testing.T) {
 	tests := map[string]struct {
-		arguments []string
-		code      int
-		drained   []string // in the order of the calls; with "-" for an end
+		args    []string
+		code    int
+		drained []string // workers in the order of the calls; the prefix "-" marks the end of a drain
 	}{
-		"a domain":           {[]string{"--failure-domain", "milano-a"}, command.ExitOK, []string{"w-1", "w-3"}},
-		"given back":         {[]string{"--end", "--failure-domain", "milano-a"}, command.ExitOK, []string{"-w-1", "-w-3"}},
-		"nobody there":       {[]string{"--failure-domain", "torino"}, command.ExitUsage, nil},
-		"a worker besides":   {[]string{"--failure-domain", "milano-a", "w-2"}, command.ExitUsage, nil},
-		"neither of the two": {nil, command.ExitUsage, nil},
-		"a worker by itself": {[]string{"w-2"}, command.ExitOK, []string{"w-2"}},
+		"failure domain":            {[]string{"--failure-domain", "milano-a"}, command.ExitOK, []string{"w-1", "w-3"}},
+		"end of the drain":          {[]string{"--end", "--failure-domain", "milano-a"}, command.ExitOK, []string{"-w-1", "-w-3"}},
+		"domain without workers":    {[]string{"--failure-domain", "torino"}, command.ExitUsage, nil},
+		"domain and worker":         {[]string{"--failure-domain", "milano-a", "w-2"}, command.ExitUsage, nil},
+		"neither domain nor worker": {nil, command.ExitUsage, nil},
+		"worker":                    {[]string{"w-2"}, command.ExitOK, []string{"w-2"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var drained []string
 			mux := http.NewServeMux()
-			mux.HandleFunc("GET /v1/workers", func(answer http.ResponseWriter, _ *http.Request) {
+			mux.HandleFunc("GET /v1/workers", func(w http.ResponseWriter, _ *http.Request) {
 				workers := []api.Worker{{Name: "w-1", FailureDomain: "milano-a"}, {Name: "w-2", FailureDomain: "bergamo"}, {Name: "w-3", FailureDomain: "milano-a"}}
-				_ = json.NewEncoder(answer).Encode(workers)
+				_ = json.NewEncoder(w).Encode(workers)
 			})
-			mux.HandleFunc("PUT /v1/workers/{worker}/drain", func(answer http.ResponseWriter, request *http.Request) {
-				var asked api.DrainRequest
-				_ = json.NewDecoder(request.Body).Decode(&asked)
-				sign := "-"
-				if asked.Draining {
-					sign = ""
+			mux.HandleFunc("PUT /v1/workers/{worker}/drain", func(w http.ResponseWriter, request *http.Request) {
+				var requested api.DrainRequest
+				_ = json.NewDecoder(request.Body).Decode(&requested)
+				prefix := "-"
+				if requested.Draining {
+					prefix = ""
 				}
-				drained = append(drained, sign+request.PathValue("worker"))
-				_ = json.NewEncoder(answer).Encode(asked)
+				drained = append(drained, prefix+request.PathValue("worker"))
+				_ = json.NewEncoder(w).Encode(requested)
 			})
 			server := httptest.NewServer(mux)
 			t.Cleanup(server.Close)
-			code, _, errOut := runCommand(append([]string{"--entry", server.URL, "drain"}, test.arguments...)...)
+			code, _, stderr := runCommand(append([]string{"--entry", server.URL, "drain"}, test.args...)...)
 			if code != test.code || !slices.Equal(drained, test.drained) {
-				t.Errorf("code %d, drained %v, said %q", code, drained, strings.TrimSpace(errOut))
+				t.Errorf("exit code %d, drained %v, stderr %q", code, drained, strings.TrimSpace(stderr))
 			}
 		})
 	}
--- a/command/evacuate_test.go
+++ b/command/evacuate_test.go
@@ -14,7 +14,7 @@
 	"ambertiller.example/ambertiller/standin/wirestore"
 )
 
-// TestEvacuate: an operator evacuates failure domains, sees which are, and gives them back.
+// TestEvacuate evacuates failure domains, lists them and ends their evacuation.
 func TestEvacuate(t *testing.T) {
 	store := wirestore.New(1, time.Now)
 	server := httptest.NewServer(store)
@@ -26,8 +26,8 @@
 		t.Fatal(err)
 	}
 	steps := []struct {
-		arguments []string
-		want      string
+		args []string
+		want string
 	}{
 		{nil, `"evacuated": []`},
 		{[]string{"milano-a"}, `"milano-a"`},
@@ -36,17 +36,17 @@
 		{[]string{"--end", "milano-a"}, `"evacuated": []`},
 	}
 	for _, step := range steps {
-		given := append([]string{"--output", "json", "evacuate", "--settings", path}, step.arguments...)
-		code, out, errOut := runCommand(given...)
+		args := append([]string{"--output", "json", "evacuate", "--settings", path}, step.args...)
+		code, out, stderr := runCommand(args...)
 		if code != command.ExitOK || !strings.Contains(out, step.want) {
-			t.Errorf("%v: code %d, said %q, %q", step.arguments, code, out, errOut)
+			t.Errorf("%v: exit code %d, stdout %q, stderr %q", step.args, code, out, stderr)
 		}
 	}
-	if _, stands := store.Newest(platform.OperatorTopic, 0, platform.EvacuationKey("milano-a")); stands {
-		t.Error("the record is still there")
+	if _, exists := store.Newest(platform.OperatorTopic, 0, platform.EvacuationKey("milano-a")); exists {
+		t.Error("the record of the evacuation was not deleted")
 	}
 	store.Fail(func(string) wirestore.Fault { return wirestore.FaultBusy })
-	if code, _, errOut := runCommand("evacuate", "--settings", path, "milano-a"); code != command.ExitUnreachable || !strings.Contains(errOut, "call it again") {
-		t.Errorf("store away: code %d, said %q", code, errOut)
+	if code, _, stderr := runCommand("evacuate", "--settings", path, "milano-a"); code != command.ExitUnreachable || !strings.Contains(stderr, "call it again") {
+		t.Errorf("store unavailable: exit code %d, stderr %q", code, stderr)
 	}
 }
--- a/command/logs.go
+++ b/command/logs.go
@@ -7,20 +7,20 @@
 	"github.com/pkg/errors"
 )
 
-// withLogFiles opens log files, or takes standard input if none is named, for as long as
-// use takes.
-func withLogFiles(input io.Reader, paths []string, use func(logs []io.Reader) error) error {
+// withLogFiles opens the log files at paths, calls read with them and closes them when it returns.
+// Without paths, read gets stdin.
+func withLogFiles(stdin io.Reader, paths []string, read func(logs []io.Reader) error) error {
 	if len(paths) == 0 {
-		return use([]io.Reader{input})
+		return read([]io.Reader{stdin})
 	}
 	var logs []io.Reader
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if err != nil {
-			return errors.Wrap(err, "open the log")
+			return errors.Wrap(err, "open the log file")
 		}
-		defer file.Close() //nolint:errcheck // it was only read.
+		defer file.Close() //nolint:errcheck // The file was only read.
 		logs = append(logs, file)
 	}
-	return use(logs)
+	return read(logs)
 }
--- a/command/operator.go
+++ b/command/operator.go
@@ -22,13 +22,13 @@
 
 func workersCommand() *cli.Command {
 	return &cli.Command{
-		Name: "workers", Usage: "show workers and what each carries",
-		Action: func(ctx context.Context, from *cli.Command) error {
-			calling, err := newClient(from)
+		Name: "workers", Usage: "list workers with their state, free capacity and tasks",
+		Action: func(ctx context.Context, cmd *cli.Command) error {
+			c, err := newClient(cmd)
 			if err != nil {
 				return err
 			}
-			workers, err := calling.workers(ctx)
+			workers, err := c.workers(ctx)
 			if err != nil {
 				return err
 			}
@@ -40,60 +40,60 @@
 					fmt.Sprintf("%d/%d", worker.SlotsUsed, worker.Slots), strings.Join(worker.Tasks, " "),
 				})
 			}
-			return calling.printer.print(workers, []string{"NAME", "FAILURE DOMAIN", "RACK", "STATE", "DRAINING", "FREE PROCESSORS", "SLOTS", "TASKS"}, rows)
+			return c.printer.print(workers, []string{"NAME", "FAILURE DOMAIN", "RACK", "STATE", "DRAINING", "FREE PROCESSORS", "SLOTS", "TASKS"}, rows)
 		},
 	}
 }
 
-// workers lists the workers that the entry knows.
-func (calling *client) workers(ctx context.Context) ([]api.Worker, error) {
+// workers returns the workers that the entry knows.
+func (c *client) workers(ctx context.Context) ([]api.Worker, error) {
 	var workers []api.Worker
-	err := calling.call(ctx, http.MethodGet, "/v1/workers", nil, nil, &workers)
+	err := c.call(ctx, http.MethodGet, "/v1/workers", nil, nil, &workers)
 	return workers, err
 }
 
 func drainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "drain", Usage: "move the tasks of a worker, or of all workers of a failure domain, elsewhere and place no more there", ArgsUsage: "WORKER",
+		Name: "drain", Usage: "move the tasks of a worker, or of all workers of a failure domain, to other workers and place no more there", ArgsUsage: "WORKER",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: "end", Usage: "end the drain"},
-			&cli.StringFlag{Name: "failure-domain", Usage: "drain the workers that are in this failure domain now, in place of one worker"},
+			&cli.StringFlag{Name: "failure-domain", Usage: "drain the workers that are in this failure domain now, instead of a single worker"},
 			authorFlag(),
 		},
-		Action: func(ctx context.Context, from *cli.Command) error {
-			asked := api.DrainRequest{Draining: !from.Bool("end"), Author: changeAuthor(from)}
-			if domain := from.String("failure-domain"); domain != "" {
-				return drainFailureDomain(ctx, from, domain, asked)
+		Action: func(ctx context.Context, cmd *cli.Command) error {
+			request := api.DrainRequest{Draining: !cmd.Bool("end"), Author: changeAuthor(cmd)}
+			if domain := cmd.String("failure-domain"); domain != "" {
+				return drainFailureDomain(ctx, cmd, domain, request)
 			}
-			return singleArgumentAction("WORKER", func(ctx context.Context, calling *client, worker string) error {
-				done, err := calling.drain(ctx, worker, asked)
+			return singleArgumentAction("WORKER", func(ctx context.Context, c *client, worker string) error {
+				reply, err := c.drain(ctx, worker, request)
 				if err != nil {
 					return err
 				}
-				return calling.printer.printFields(&done, "worker", worker, "draining", strconv.FormatBool(done.Draining))
-			})(ctx, from)
+				return c.printer.printFields(&reply, "worker", worker, "draining", strconv.FormatBool(reply.Draining))
+			})(ctx, cmd)
 		},
 	}
 }
 
-// drain begins or ends the drain of a worker.
-func (calling *client) drain(ctx context.Context, worker string, asked api.DrainRequest) (api.DrainRequest, error) {
-	var done api.DrainRequest
-	err := calling.call(ctx, http.MethodPut, "/v1/workers/"+url.PathEscape(worker)+"/drain", nil, asked, &done)
-	return done, err
+// drain starts or ends the drain of a worker.
+func (c *client) drain(ctx context.Context, worker string, request api.DrainRequest) (api.DrainRequest, error) {
+	var reply api.DrainRequest
+	err := c.call(ctx, http.MethodPut, "/v1/workers/"+url.PathEscape(worker)+"/drain", nil, request, &reply)
+	return reply, err
 }
 
-// drainFailureDomain begins or ends the drain of each worker of a failure domain. A worker that
-// joins later is not drained; `ambertiller workers` shows it.
-func drainFailureDomain(ctx context.Context, from *cli.Command, domain string, asked api.DrainRequest) error {
-	if from.Args().Present() {
+// drainFailureDomain starts or ends the drain of each worker that is in a failure domain now. A
+// worker that joins the domain later is not drained; `ambertiller workers` shows it.
+func drainFailureDomain(ctx context.Context, cmd *cli.Command, domain string, request api.DrainRequest) error {
+	if cmd.Args().Present() {
 		return newUsageError("give a WORKER or --failure-domain, not both")
 	}
-	calling, err := newClient(from)
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
-	workers, err := calling.workers(ctx)
+	workers, err := c.workers(ctx)
 	if err != nil {
 		return err
 	}
@@ -102,24 +102,26 @@
 		if worker.FailureDomain != domain {
 			continue
 		}
-		done, err := calling.drain(ctx, worker.Name, asked)
+		reply, err := c.drain(ctx, worker.Name, request)
 		if err != nil {
-			return errors.Wrapf(err, "worker %s, after %d others; call it again", worker.Name, len(rows))
+			return errors.Wrapf(err, "worker %s, after %d others were done; run the command again", worker.Name, len(rows))
 		}
-		rows = append(rows, []string{worker.Name, strconv.FormatBool(done.Draining)})
+		rows = append(rows, []string{worker.Name, strconv.FormatBool(reply.Draining)})
 	}
 	if len(rows) == 0 {
 		return newUsageError("no worker is in the failure domain %q; see `ambertiller workers`", domain)
 	}
-	return calling.printer.print(rows, []string{"WORKER", "DRAINING"}, rows)
+	return c.printer.print(rows, []string{"WORKER", "DRAINING"}, rows)
 }
 
 func authorFlag() cli.Flag {
-	return &cli.StringFlag{Name: "author", Usage: "who makes the change; default: the user", Sources: envVar("AUTHOR")}
+	return &cli.StringFlag{Name: "author", Usage: "author of the change; default: the current user", Sources: envVar("AUTHOR")}
 }
 
-func changeAuthor(from *cli.Command) string {
-	if author := from.String("author"); author != "" {
+// changeAuthor returns the value of the flag --author, or else the name of the current user. It is
+// empty if the user is unknown.
+func changeAuthor(cmd *cli.Command) string {
+	if author := cmd.String("author"); author != "" {
 		return author
 	}
 	if current, err := user.Current(); err == nil {
@@ -139,47 +141,49 @@
 	flag := &cli.StringFlag{Name: "policy", Usage: "name of the policy", Value: policy.Placement}
 	return &cli.Command{
 		Name: "policy", Usage: "check, publish and show policies",
-		Commands: documentCommands(func(from *cli.Command) string { return config.PolicyDocumentName(from.String("policy")) }, []cli.Flag{flag}),
+		Commands: documentCommands(func(cmd *cli.Command) string { return config.PolicyDocumentName(cmd.String("policy")) }, []cli.Flag{flag}),
 	}
 }
 
-// documentCommands are the commands on the document that name returns.
-func documentCommands(name func(from *cli.Command) string, flags []cli.Flag) []*cli.Command {
+// documentCommands returns the subcommands that check, publish and show the document that name
+// returns. flags are added to each of them.
+func documentCommands(name func(cmd *cli.Command) string, flags []cli.Flag) []*cli.Command {
 	return []*cli.Command{
 		{
-			Name: "check", Usage: "say what is wrong in a file and what it would change", ArgsUsage: "FILE",
-			Flags:  append([]cli.Flag{&cli.BoolFlag{Name: "offline", Usage: "check the file alone, without asking an entry"}}, flags...),
-			Action: func(ctx context.Context, from *cli.Command) error { return checkDocument(ctx, from, name(from)) },
+			Name: "check", Usage: "report the faults of a file and the decisions that it would change", ArgsUsage: "FILE",
+			Flags:  append([]cli.Flag{&cli.BoolFlag{Name: "offline", Usage: "check only the file itself, without calling an entry"}}, flags...),
+			Action: func(ctx context.Context, cmd *cli.Command) error { return checkDocument(ctx, cmd, name(cmd)) },
 		},
 		{
 			Name: "publish", Usage: "publish a file", ArgsUsage: "FILE",
 			Flags: append([]cli.Flag{
-				&cli.IntFlag{Name: "based-on", Usage: "version the file was made from; default: the newest now", Value: -1},
-				&cli.StringFlag{Name: "comment", Usage: "why"},
+				&cli.IntFlag{Name: "based-on", Usage: "version that the file was made from; default: the newest one", Value: -1},
+				&cli.StringFlag{Name: "comment", Usage: "reason for the change"},
 				authorFlag(),
 			}, flags...),
-			Action: func(ctx context.Context, from *cli.Command) error { return publishDocument(ctx, from, name(from)) },
+			Action: func(ctx context.Context, cmd *cli.Command) error { return publishDocument(ctx, cmd, name(cmd)) },
 		},
 		{
-			Name: "history", Usage: "list the versions that are kept", Flags: flags,
-			Action: func(ctx context.Context, from *cli.Command) error { return showHistory(ctx, from, name(from)) },
+			Name: "history", Usage: "list the retained versions", Flags: flags,
+			Action: func(ctx context.Context, cmd *cli.Command) error { return showHistory(ctx, cmd, name(cmd)) },
 		},
 		{
 			Name: "show", Usage: "show the newest version",
 			Flags: append([]cli.Flag{
 				&cli.IntFlag{Name: "version", Usage: "show this version instead"},
-				&cli.BoolFlag{Name: "in-force", Usage: "show which instances decide by which version"},
+				&cli.BoolFlag{Name: "in-force", Usage: "show which version each instance uses"},
 			}, flags...),
-			Action: func(ctx context.Context, from *cli.Command) error { return showDocument(ctx, from, name(from)) },
+			Action: func(ctx context.Context, cmd *cli.Command) error { return showDocument(ctx, cmd, name(cmd)) },
 		},
 	}
 }
 
-func readDocumentFile(from *cli.Command) (string, error) {
-	if from.Args().Len() != 1 {
+// readDocumentFile returns the content of the file that is the command's only argument.
+func readDocumentFile(cmd *cli.Command) (string, error) {
+	if cmd.Args().Len() != 1 {
 		return "", newUsageError("give exactly one FILE")
 	}
-	content, err := os.ReadFile(from.Args().First())
+	content, err := os.ReadFile(cmd.Args().First())
 	if err != nil {
 		return "", &exitError{code: ExitUsage, cause: errors.Wrap(err, "read the file")}
 	}
@@ -189,24 +193,25 @@
 	return string(content), nil
 }
 
-func checkDocument(ctx context.Context, from *cli.Command, name string) error {
-	content, err := readDocumentFile(from)
+// checkDocument checks a file on an entry, or locally with --offline, and prints a report.
+func checkDocument(ctx context.Context, cmd *cli.Command, name string) error {
+	content, err := readDocumentFile(cmd)
 	if err != nil {
 		return err
 	}
-	calling, err := newClient(from)
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
 	report := api.CheckReport{Valid: true}
-	if from.Bool("offline") {
+	if cmd.Bool("offline") {
 		if err := document.Check(name, []byte(content)); err != nil {
 			return &exitError{code: ExitFaults, cause: err}
 		}
-	} else if err := calling.call(ctx, http.MethodPost, documentPath(name)+"/check", nil, api.PublishRequest{Content: content}, &report); err != nil {
+	} else if err := c.call(ctx, http.MethodPost, documentPath(name)+"/check", nil, api.PublishRequest{Content: content}, &report); err != nil {
 		return err
 	}
-	if err := calling.printer.print(&report, []string{"CHECK", "RESULT"}, checkReportRows(&report)); err != nil {
+	if err := c.printer.print(&report, []string{"CHECK", "RESULT"}, checkReportRows(&report)); err != nil {
 		return err
 	}
 	if !report.Valid {
@@ -229,34 +234,37 @@
 	return rows
 }
 
-func publishDocument(ctx context.Context, from *cli.Command, name string) error {
-	content, err := readDocumentFile(from)
+// publishDocument publishes a file as the next version of the document.
+func publishDocument(ctx context.Context, cmd *cli.Command, name string) error {
+	content, err := readDocumentFile(cmd)
 	if err != nil {
 		return err
 	}
-	calling, err := newClient(from)
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
-	basedOn, err := calling.baseVersion(ctx, from, name)
+	basedOn, err := c.baseVersion(ctx, cmd, name)
 	if err != nil {
 		return err
 	}
-	asked := api.PublishRequest{BasedOn: basedOn, Author: changeAuthor(from), Comment: from.String("comment"), Content: content}
+	request := api.PublishRequest{BasedOn: basedOn, Author: changeAuthor(cmd), Comment: cmd.String("comment"), Content: content}
 	var published api.Document
-	if err := calling.call(ctx, http.MethodPut, documentPath(name), nil, asked, &published); err != nil {
+	if err := c.call(ctx, http.MethodPut, documentPath(name), nil, request, &published); err != nil {
 		return err
 	}
-	return calling.printer.printFields(&published, "name", published.Name, "version", formatUint(published.Version), "author", published.Author)
+	return c.printer.printFields(&published, "name", published.Name, "version", formatUint(published.Version), "author", published.Author)
 }
 
-// baseVersion returns the version that a publication starts from.
-func (calling *client) baseVersion(ctx context.Context, from *cli.Command, name string) (uint64, error) {
-	if given := from.Int("based-on"); given >= 0 {
-		return uint64(given), nil
+// baseVersion returns the version on which a publication is based: the value of --based-on, or else
+// the newest version, or 0 if there is none. The entry rejects the publication if that is no longer
+// the newest version.
+func (c *client) baseVersion(ctx context.Context, cmd *cli.Command, name string) (uint64, error) {
+	if version := cmd.Int("based-on"); version >= 0 {
+		return uint64(version), nil
 	}
 	var newest api.Document
-	err := calling.call(ctx, http.MethodGet, documentPath(name), nil, nil, &newest)
+	err := c.call(ctx, http.MethodGet, documentPath(name), nil, nil, &newest)
 	var problem *api.Problem
 	if errors.As(err, &problem) && problem.Type == api.TypeNotFound {
 		return 0, nil
@@ -264,84 +272,88 @@
 	return newest.Version, err
 }
 
-func showHistory(ctx context.Context, from *cli.Command, name string) error {
-	calling, err := newClient(from)
+// showHistory prints the retained versions of the document.
+func showHistory(ctx context.Context, cmd *cli.Command, name string) error {
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
 	var versions []api.Document
-	if err := calling.call(ctx, http.MethodGet, documentPath(name)+"/history", nil, nil, &versions); err != nil {
+	if err := c.call(ctx, http.MethodGet, documentPath(name)+"/history", nil, nil, &versions); err != nil {
 		return err
 	}
 	rows := make([][]string, 0, len(versions))
 	for _, version := range versions {
 		rows = append(rows, []string{formatUint(version.Version), version.Author, version.Written.Format(timeFormat), version.Comment})
 	}
-	return calling.printer.print(versions, []string{"VERSION", "AUTHOR", "WRITTEN", "COMMENT"}, rows)
+	return c.printer.print(versions, []string{"VERSION", "AUTHOR", "WRITTEN", "COMMENT"}, rows)
 }
 
-func showDocument(ctx context.Context, from *cli.Command, name string) error {
-	if from.Bool("in-force") {
-		return showInForce(ctx, from, name)
+// showDocument prints a version of the document, or with --in-force the version that each instance uses.
+func showDocument(ctx context.Context, cmd *cli.Command, name string) error {
+	if cmd.Bool("in-force") {
+		return showInForce(ctx, cmd, name)
 	}
-	calling, err := newClient(from)
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
 	path := documentPath(name)
-	if version := from.Int("version"); version > 0 {
+	if version := cmd.Int("version"); version > 0 {
 		path += "?version=" + strconv.Itoa(version)
 	}
-	var shown api.Document
-	if err := calling.call(ctx, http.MethodGet, path, nil, nil, &shown); err != nil {
+	var doc api.Document
+	if err := c.call(ctx, http.MethodGet, path, nil, nil, &doc); err != nil {
 		return err
 	}
-	if calling.printer.asJSON {
-		return calling.printer.print(&shown, nil, nil)
+	if c.printer.asJSON {
+		return c.printer.print(&doc, nil, nil)
 	}
-	_, err = fmt.Fprintf(calling.printer.out, "# %s version %d by %s, %s\n%s", shown.Name, shown.Version, shown.Author, shown.Written.Format(timeFormat), shown.Content)
+	_, err = fmt.Fprintf(c.printer.out, "# %s version %d by %s, %s\n%s", doc.Name, doc.Version, doc.Author, doc.Written.Format(timeFormat), doc.Content)
 	return errors.Wrap(err, "print")
 }
 
 func inForceCommand() *cli.Command {
 	return &cli.Command{
-		Name: "in-force", Usage: "show which instances decide by which versions of all documents",
-		Action: func(ctx context.Context, from *cli.Command) error { return showInForce(ctx, from, "") },
+		Name: "in-force", Usage: "show which version of each document the instances use",
+		Action: func(ctx context.Context, cmd *cli.Command) error { return showInForce(ctx, cmd, "") },
 	}
 }
 
-func showInForce(ctx context.Context, from *cli.Command, name string) error {
-	calling, err := newClient(from)
+// showInForce prints the version of the named document that each instance uses, or of all documents
+// if name is empty.
+func showInForce(ctx context.Context, cmd *cli.Command, name string) error {
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
-	var all []api.InForce
-	if err := calling.call(ctx, http.MethodGet, "/v1/in-force", nil, nil, &all); err != nil {
+	var statuses []api.InForce
+	if err := c.call(ctx, http.MethodGet, "/v1/in-force", nil, nil, &statuses); err != nil {
 		return err
 	}
-	listed := []api.InForce{}
+	selected := []api.InForce{}
 	rows := [][]string{}
-	for _, each := range all {
-		if name != "" && each.Document != name {
+	for _, status := range statuses {
+		if name != "" && status.Document != name {
 			continue
 		}
-		listed = append(listed, each)
-		rows = append(rows, []string{each.Document, each.Role, each.Instance, formatUint(each.Version), formatUint(each.Accepted)})
+		selected = append(selected, status)
+		rows = append(rows, []string{status.Document, status.Role, status.Instance, formatUint(status.Version), formatUint(status.Accepted)})
 	}
-	return calling.printer.print(listed, []string{"DOCUMENT", "ROLE", "INSTANCE", "IN FORCE", "ACCEPTED"}, rows)
+	return c.printer.print(selected, []string{"DOCUMENT", "ROLE", "INSTANCE", "IN FORCE", "ACCEPTED"}, rows)
 }
 
 func versionCommand() *cli.Command {
 	return &cli.Command{
-		Name: "version", Usage: "print the version and the record format it knows",
-		Action: func(_ context.Context, from *cli.Command) error {
-			given := &settings{command: from}
-			out := newPrinter(from, given)
-			if err := given.err(); err != nil {
+		Name: "version", Usage: "print the version and the record format that it supports",
+		Action: func(_ context.Context, cmd *cli.Command) error {
+			flags := &settings{command: cmd}
+			printer := newPrinter(cmd, flags)
+			if err := flags.err(); err != nil {
 				return err
 			}
 			info := versionInfo{Version: version + revision(), Format: state.Format}
-			return out.printFields(&info, "version", info.Version, "record format", formatInt(int(info.Format)))
+			return printer.printFields(&info, "version", info.Version, "record format", formatInt(int(info.Format)))
 		},
 	}
 }
--- a/command/platform.go
+++ b/command/platform.go
@@ -17,87 +17,92 @@
 )
 
 const (
-	// stopGraceRatio is the part of the platform's grace that a planned stop may
-	// take: past the grace the process is killed.
+	// stopGraceRatio is the fraction of the platform's grace period that a planned stop may take. The
+	// process is killed when the period is over.
 	stopGraceRatio = 0.85
-	// platformGCPercent and platformMemoryLimit: the roles hold a few MiB, and
-	// collecting at the default rate costs more than the memory it saves.
+	// platformGCPercent and platformMemoryLimit configure the garbage collector. The roles use only a few
+	// MiB, for which the default rate of collections costs more than the memory that it saves.
 	platformGCPercent   = 200
 	platformMemoryLimit = 110 << 20
-	// droppedLinesInterval is how often log lines that were dropped are counted.
+	// droppedLinesInterval is the interval at which the number of dropped log lines is logged.
 	droppedLinesInterval = 5 * time.Second
 )
 
-// reloadableRole is a role whose settings file may change while it runs.
+// reloadableRole is a role that can read its settings file again while it runs.
 type reloadableRole interface {
 	runnableRole
 	ReloadSettings(ctx context.Context, path string) error
 }
 
 func gatewayCommand() *cli.Command {
-	return platformCommand("gateway", "run a gateway on the platform: it answers clients and schedules their jobs",
+	return platformCommand("gateway", "run a gateway on the platform: it serves clients and schedules their jobs",
 		func(ctx context.Context, settings platform.Settings, events *event.Logger) (reloadableRole, error) {
 			return daemon.NewGateway(ctx, settings, events)
 		})
 }
 
 func agentCommand() *cli.Command {
-	return platformCommand("agent", "run an agent on the platform: the process beside one worker",
+	return platformCommand("agent", "run an agent on the platform: the process that runs next to one worker",
 		func(ctx context.Context, settings platform.Settings, events *event.Logger) (reloadableRole, error) {
 			return daemon.NewAgent(ctx, settings, events)
 		})
 }
 
+// roleConstructor creates a role of the platform without starting it.
 type roleConstructor func(ctx context.Context, settings platform.Settings, events *event.Logger) (reloadableRole, error)
 
-func platformCommand(name, usage string, role roleConstructor) *cli.Command {
+// platformCommand returns the command that runs a role of the platform.
+func platformCommand(name, usage string, newRole roleConstructor) *cli.Command {
 	return &cli.Command{
 		Name:  name,
 		Usage: usage,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "path of the platform's settings file", Sources: cli.EnvVars(platform.SettingsVariable)},
 			&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error", Value: "info", Sources: envVar("LOG_LEVEL")},
-			&cli.BoolFlag{Name: "check", Usage: "check the settings and end"},
+			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
 		},
-		Action: func(ctx context.Context, from *cli.Command) error { return runPlatformRole(ctx, from, role) },
+		Action: func(ctx context.Context, cmd *cli.Command) error { return runPlatformRole(ctx, cmd, newRole) },
 	}
 }
 
-func runPlatformRole(ctx context.Context, from *cli.Command, role roleConstructor) error {
-	path := from.String("settings")
-	loaded, err := platform.LoadSettings(path)
+// runPlatformRole loads the settings file, sets up the log and runs a role until it is stopped. It
+// returns only after the log has been written.
+func runPlatformRole(ctx context.Context, cmd *cli.Command, newRole roleConstructor) error {
+	path := cmd.String("settings")
+	platformSettings, err := platform.LoadSettings(path)
 	if err != nil {
 		return newUsageError("%v", err)
 	}
-	if from.Bool("check") {
+	if cmd.Bool("check") {
 		return nil
 	}
 	debug.SetGCPercent(platformGCPercent)
 	debug.SetMemoryLimit(platformMemoryLimit)
 	writer := event.NewAsyncWriter(os.Stdout, time.Now)
-	events, err := event.Open(writer, "json", from.String("log-level"))
+	events, err := event.Open(writer, "json", cmd.String("log-level"))
 	if err != nil {
 		return newUsageError("%v", err)
 	}
-	logCtx, endLog := context.WithCancel(context.WithoutCancel(ctx))
-	logged := make(chan struct{})
+	logCtx, stopLog := context.WithCancel(context.WithoutCancel(ctx))
+	logWritten := make(chan struct{})
 	go func() {
 		writer.Run(logCtx)
-		close(logged)
+		close(logWritten)
 	}()
 	defer func() {
-		endLog()
-		<-logged
+		stopLog()
+		<-logWritten
 	}()
 	go logDroppedLines(logCtx, writer, events)
-	running, err := role(ctx, loaded, events)
+	role, err := newRole(ctx, platformSettings, events)
 	if err != nil {
 		return err
 	}
-	go reloadOnSignal(logCtx, running, path)
-	return runRole(ctx, running, time.Duration(float64(loaded.GracePeriod())*stopGraceRatio))
+	go reloadOnSignal(logCtx, role, path)
+	return runRole(ctx, role, time.Duration(float64(platformSettings.GracePeriod())*stopGraceRatio))
 }
 
+// logDroppedLines logs periodically how many log lines were dropped since the last time, if any.
 func logDroppedLines(ctx context.Context, writer *event.AsyncWriter, events *event.Logger) {
 	ticker := time.NewTicker(droppedLinesInterval)
 	defer ticker.Stop()
@@ -113,8 +118,8 @@
 	}
 }
 
-// reloadOnSignal reads the settings again at each SIGHUP.
-func reloadOnSignal(ctx context.Context, running reloadableRole, path string) {
+// reloadOnSignal reloads the settings file on each SIGHUP.
+func reloadOnSignal(ctx context.Context, role reloadableRole, path string) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -123,8 +128,8 @@
 		case <-ctx.Done():
 			return
 		case <-signals:
-			// A file with faults is logged; the settings in force stay.
-			_ = running.ReloadSettings(ctx, path)
+			// The role logs an error itself and keeps its current settings.
+			_ = role.ReloadSettings(ctx, path)
 		}
 	}
 }
--- a/command/platform_test.go
+++ b/command/platform_test.go
@@ -9,10 +9,10 @@
 	"ambertiller.example/ambertiller/command"
 )
 
-// TestPlatformSettingsAreChecked: both roles name every fault of the settings file
-// in one line and start nothing.
+// TestPlatformSettingsAreChecked checks that both roles of the platform report all faults of the
+// settings file in one line and start nothing.
 func TestPlatformSettingsAreChecked(t *testing.T) {
-	sound := `
+	valid := `
 node_name = "edge-1"
 ip = "127.0.0.1"
 internal_ports = [7720, 7735]
@@ -28,9 +28,9 @@
 		code int
 		want []string
 	}{
-		"sound":        {sound, command.ExitOK, nil},
-		"two faults":   {strings.Replace(strings.Replace(sound, "edge-1", "", 1), "parts = 8", "", 1), command.ExitUsage, []string{"node_name is empty", "platform.parts must be at least 1"}},
-		"not the form": {"{}", command.ExitUsage, []string{"settings"}},
+		"valid":      {valid, command.ExitOK, nil},
+		"two faults": {strings.Replace(strings.Replace(valid, "edge-1", "", 1), "parts = 8", "", 1), command.ExitUsage, []string{"node_name is empty", "platform.parts must be at least 1"}},
+		"not TOML":   {"{}", command.ExitUsage, []string{"settings"}},
 	}
 	for _, role := range []string{"gateway", "agent"} {
 		for name, test := range tests {
@@ -39,13 +39,13 @@
 				if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
 					t.Fatal(err)
 				}
-				code, _, errOut := runCommand(role, "--settings", path, "--check")
-				if code != test.code || strings.Count(errOut, "\n") > 1 {
-					t.Errorf("code %d, said %q", code, errOut)
+				code, _, stderr := runCommand(role, "--settings", path, "--check")
+				if code != test.code || strings.Count(stderr, "\n") > 1 {
+					t.Errorf("exit code %d, stderr %q", code, stderr)
 				}
 				for _, want := range test.want {
-					if !strings.Contains(errOut, want) {
-						t.Errorf("%q lacks %q", errOut, want)
+					if !strings.Contains(stderr, want) {
+						t.Errorf("%q does not contain %q", stderr, want)
 					}
 				}
 			})
@@ -53,10 +53,12 @@
 	}
 }
 
+// TestPlatformSettingsMissing checks that the error for a missing settings file names the
+// environment variable that gives its path.
 func TestPlatformSettingsMissing(t *testing.T) {
-	code, _, errOut := runCommand("agent", "--settings", filepath.Join(t.TempDir(), "none.toml"))
-	if code != command.ExitUsage || !strings.Contains(errOut, "AMBERTILLER_BOOT") {
-		t.Errorf("code %d, said %q", code, errOut)
+	code, _, stderr := runCommand("agent", "--settings", filepath.Join(t.TempDir(), "none.toml"))
+	if code != command.ExitUsage || !strings.Contains(stderr, "AMBERTILLER_BOOT") {
+		t.Errorf("exit code %d, stderr %q", code, stderr)
 	}
 }
 
@@ -64,12 +66,12 @@
 	log := filepath.Join("..", "trace", "testdata", "failed", "edge-milano-b-1.log")
 	code, out, _ := runCommand("trace", "e20636f97a5f298c", log)
 	if code != command.ExitOK || !strings.Contains(out, "job ended") {
-		t.Errorf("code %d, said %q", code, out)
+		t.Errorf("exit code %d, stdout %q", code, out)
 	}
 	if code, _, _ := runCommand("trace", "ffffffffffffffff", log); code != command.ExitNotFound {
-		t.Errorf("an ID that no log names: code %d", code)
+		t.Errorf("ID that is not in the log: exit code %d", code)
 	}
 	if code, _, _ := runCommand("trace"); code != command.ExitUsage {
-		t.Errorf("no ID: code %d", code)
+		t.Errorf("missing ID: exit code %d", code)
 	}
 }
--- a/command/role.go
+++ b/command/role.go
@@ -15,21 +15,22 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
+// Maximum values of flags.
 const (
 	maxAppendsPerSecond = 10_000
 	maxInstances        = 1000
 	maxSnapshotEvery    = 10_000_000
 )
 
-// runnableRole is a role that runs until it is told to stop.
+// runnableRole is a role that runs from Start until Stop.
 type runnableRole interface {
 	Start(ctx context.Context) error
 	Stop(ctx context.Context) error
 }
 
-// runRole starts a role, waits for SIGTERM or SIGINT, and stops it within the
-// bound. A second signal ends it at once.
-func runRole(ctx context.Context, role runnableRole, bound time.Duration) error {
+// runRole starts a role, waits for SIGTERM, SIGINT or the end of ctx, and then stops the role
+// within stopTimeout. A second signal aborts the stop.
+func runRole(ctx context.Context, role runnableRole, stopTimeout time.Duration) error {
 	if err := role.Start(ctx); err != nil {
 		return errors.Wrap(err, "start")
 	}
@@ -40,43 +41,43 @@
 	case <-signals:
 	case <-ctx.Done():
 	}
-	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), bound)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	go func() {
 		<-signals
 		cancel()
 	}()
-	return errors.Wrap(role.Stop(stopCtx), "the planned stop did not finish what was in flight")
+	return errors.Wrap(role.Stop(stopCtx), "the planned stop did not finish the work in flight")
 }
 
 func entryCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "entry",
-		Usage: "run an entry: the process that callers and operators reach",
+		Usage: "run an entry: the process that serves callers and operators",
 		Flags: append(roleFlags(defaultEntryProcessors),
-			&cli.StringFlag{Name: "name", Usage: "name of this instance, as on the platform's list", Sources: envVar("NAME")},
+			&cli.StringFlag{Name: "name", Usage: "name of this instance, as in the platform's instance list", Sources: envVar("NAME")},
 			&cli.StringFlag{Name: "failure-domain", Usage: "failure domain of this instance", Sources: envVar("FAILURE_DOMAIN")},
-			&cli.StringFlag{Name: "http", Usage: "IP number and port for callers, operators and the balancer", Sources: envVar("HTTP")},
-			&cli.StringFlag{Name: "rpc", Usage: "IP number and port for guards and other entries", Sources: envVar("RPC")},
+			&cli.StringFlag{Name: "http", Usage: "IP address and port for callers, operators and the load balancer", Sources: envVar("HTTP")},
+			&cli.StringFlag{Name: "rpc", Usage: "IP address and port for guards and other entries", Sources: envVar("RPC")},
 			&cli.StringFlag{Name: "platform", Usage: "URL of the platform's log and instance list", Sources: envVar("PLATFORM")},
-			&cli.IntFlag{Name: "appends-per-second", Usage: "bound on this entry's appends to the log, 1 to 10000", Value: 90, Sources: envVar("APPENDS_PER_SECOND")},
-			&cli.IntFlag{Name: "snapshot-every", Usage: "entries of the log between snapshots, 100 to 10000000", Value: 20_000, Sources: envVar("SNAPSHOT_EVERY")},
+			&cli.IntFlag{Name: "appends-per-second", Usage: "maximum rate of this entry's appends to the log, 1 to 10000", Value: 90, Sources: envVar("APPENDS_PER_SECOND")},
+			&cli.IntFlag{Name: "snapshot-every", Usage: "number of log entries between snapshots, 100 to 10000000", Value: 20_000, Sources: envVar("SNAPSHOT_EVERY")},
 		),
-		Action: func(ctx context.Context, from *cli.Command) error {
-			given := &settings{command: from}
+		Action: func(ctx context.Context, cmd *cli.Command) error {
+			flags := &settings{command: cmd}
 			options := daemon.EntryOptions{
-				Name:             given.requiredString("name"),
-				FailureDomain:    given.requiredString("failure-domain"),
-				HTTPAddress:      given.listenAddress("http"),
-				RPCAddress:       given.listenAddress("rpc"),
-				PlatformURL:      given.requiredURL("platform"),
-				OTLPEndpoint:     given.optionalURL("otlp-endpoint"),
-				AppendsPerSecond: float64(given.intInRange("appends-per-second", 1, maxAppendsPerSecond)),
-				SnapshotEvery:    int64(given.intInRange("snapshot-every", 100, maxSnapshotEvery)),
-				LeaveDelay:       given.durationInRange("leave-delay", 0, maxStopTimeout),
-				Events:           given.openLogger(),
+				Name:             flags.requiredString("name"),
+				FailureDomain:    flags.requiredString("failure-domain"),
+				HTTPAddress:      flags.listenAddress("http"),
+				RPCAddress:       flags.listenAddress("rpc"),
+				PlatformURL:      flags.requiredURL("platform"),
+				OTLPEndpoint:     flags.optionalURL("otlp-endpoint"),
+				AppendsPerSecond: float64(flags.intInRange("appends-per-second", 1, maxAppendsPerSecond)),
+				SnapshotEvery:    int64(flags.intInRange("snapshot-every", 100, maxSnapshotEvery)),
+				LeaveDelay:       flags.durationInRange("leave-delay", 0, maxStopTimeout),
+				Events:           flags.openLogger(),
 			}
-			return runWithSettings(ctx, given, func() (runnableRole, error) { return daemon.NewEntry(ctx, options) })
+			return runWithSettings(ctx, flags, func() (runnableRole, error) { return daemon.NewEntry(ctx, options) })
 		},
 	}
 }
@@ -84,65 +85,65 @@
 func guardCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "guard",
-		Usage: "run a guard: the process beside one backend server",
+		Usage: "run a guard: the process that runs next to one backend server",
 		Flags: append(roleFlags(defaultGuardProcessors),
-			&cli.StringFlag{Name: "name", Usage: "name of the worker, as on the platform's list", Sources: envVar("NAME")},
+			&cli.StringFlag{Name: "name", Usage: "name of the worker, as in the platform's instance list", Sources: envVar("NAME")},
 			&cli.StringFlag{Name: "failure-domain", Usage: "failure domain of the worker", Sources: envVar("FAILURE_DOMAIN")},
 			&cli.StringFlag{Name: "service", Usage: "service that the backend server runs", Sources: envVar("SERVICE")},
-			&cli.StringFlag{Name: "rpc", Usage: "IP number and port for entries", Sources: envVar("RPC")},
-			&cli.StringFlag{Name: "admin", Usage: "IP number and port for metrics and health", Sources: envVar("ADMIN")},
+			&cli.StringFlag{Name: "rpc", Usage: "IP address and port for entries", Sources: envVar("RPC")},
+			&cli.StringFlag{Name: "admin", Usage: "IP address and port for metrics and health checks", Sources: envVar("ADMIN")},
 			&cli.StringFlag{Name: "platform", Usage: "URL of the platform's instance list", Sources: envVar("PLATFORM")},
-			&cli.StringFlag{Name: "worker", Usage: "URL of the platform's interface to the worker", Sources: envVar("WORKER")},
+			&cli.StringFlag{Name: "worker", Usage: "URL of the platform's API for the worker", Sources: envVar("WORKER")},
 			&cli.StringFlag{Name: "backend", Usage: "URL of the backend server", Sources: envVar("BACKEND")},
 		),
-		Action: func(ctx context.Context, from *cli.Command) error {
-			given := &settings{command: from}
+		Action: func(ctx context.Context, cmd *cli.Command) error {
+			flags := &settings{command: cmd}
 			options := daemon.GuardOptions{
-				Name:          given.requiredString("name"),
-				FailureDomain: given.requiredString("failure-domain"),
-				Service:       given.requiredString("service"),
-				RPCAddress:    given.listenAddress("rpc"),
-				AdminAddress:  given.listenAddress("admin"),
-				PlatformURL:   given.requiredURL("platform"),
-				WorkerURL:     given.requiredURL("worker"),
-				BackendURL:    given.requiredURL("backend"),
-				OTLPEndpoint:  given.optionalURL("otlp-endpoint"),
-				LeaveDelay:    given.durationInRange("leave-delay", 0, maxStopTimeout),
-				Events:        given.openLogger(),
+				Name:          flags.requiredString("name"),
+				FailureDomain: flags.requiredString("failure-domain"),
+				Service:       flags.requiredString("service"),
+				RPCAddress:    flags.listenAddress("rpc"),
+				AdminAddress:  flags.listenAddress("admin"),
+				PlatformURL:   flags.requiredURL("platform"),
+				WorkerURL:     flags.requiredURL("worker"),
+				BackendURL:    flags.requiredURL("backend"),
+				OTLPEndpoint:  flags.optionalURL("otlp-endpoint"),
+				LeaveDelay:    flags.durationInRange("leave-delay", 0, maxStopTimeout),
+				Events:        flags.openLogger(),
 			}
-			return runWithSettings(ctx, given, func() (runnableRole, error) { return daemon.NewGuard(ctx, options) })
+			return runWithSettings(ctx, flags, func() (runnableRole, error) { return daemon.NewGuard(ctx, options) })
 		},
 	}
 }
 
-// runWithSettings makes a role once all its settings are sound, and runs it.
-func runWithSettings(ctx context.Context, given *settings, role func() (runnableRole, error)) error {
-	given.applyRuntimeLimits()
-	bound := given.durationInRange("stop-timeout", time.Second, maxStopTimeout)
-	if err := given.err(); err != nil {
+// runWithSettings creates a role and runs it, unless the flags have faults.
+func runWithSettings(ctx context.Context, flags *settings, newRole func() (runnableRole, error)) error {
+	flags.applyRuntimeLimits()
+	stopTimeout := flags.durationInRange("stop-timeout", time.Second, maxStopTimeout)
+	if err := flags.err(); err != nil {
 		return err
 	}
-	made, err := role()
+	role, err := newRole()
 	if err != nil {
 		return err
 	}
-	return runRole(ctx, made, bound)
+	return runRole(ctx, role, stopTimeout)
 }
 
-// standinRole runs the stand-in until it is told to stop.
+// standinRole runs the stand-in for the platform.
 type standinRole struct {
 	options  standin.Options
 	platform *standin.Platform
 }
 
-// Start implements stoppable.
+// Start starts the stand-in.
 func (role *standinRole) Start(ctx context.Context) error {
 	platform, err := standin.Start(ctx, role.options)
 	role.platform = platform
 	return err
 }
 
-// Stop implements stoppable.
+// Stop closes the stand-in. It does not wait for requests in flight.
 func (role *standinRole) Stop(context.Context) error {
 	role.platform.Close()
 	return nil
@@ -151,30 +152,30 @@
 func standinCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "standin",
-		Usage: "run a small stand-in for the platform, for trying things out: a log, an instance list, workers with a backend server each",
+		Usage: "run a small stand-in for the platform, for trials: a log, an instance list, and workers with a backend server each",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "network", Usage: "first two parts of the loopback IP numbers to use", Value: "127.70", Sources: envVar("NETWORK")},
+			&cli.StringFlag{Name: "network", Usage: "first two octets of the loopback IP addresses to use", Value: "127.70", Sources: envVar("NETWORK")},
 			&cli.IntFlag{Name: "workers", Usage: "number of workers, 1 to 1000", Value: 3, Sources: envVar("WORKERS")},
-			&cli.IntFlag{Name: "entries", Usage: "number of entries on the list, 1 to 1000", Value: 2, Sources: envVar("ENTRIES")},
-			&cli.StringFlag{Name: "failure-domains", Usage: "names, with commas between", Value: "milano-a,milano-b,bergamo", Sources: envVar("FAILURE_DOMAINS")},
+			&cli.IntFlag{Name: "entries", Usage: "number of entries in the instance list, 1 to 1000", Value: 2, Sources: envVar("ENTRIES")},
+			&cli.StringFlag{Name: "failure-domains", Usage: "comma-separated names", Value: "milano-a,milano-b,bergamo", Sources: envVar("FAILURE_DOMAINS")},
 			&cli.IntFlag{Name: "processors", Usage: "processors of a worker, 1 to 1000", Value: 32, Sources: envVar("PROCESSORS")},
-			&cli.DurationFlag{Name: "work-time", Usage: "time of a request at a backend server", Value: 0, Sources: envVar("WORK_TIME")},
+			&cli.DurationFlag{Name: "work-time", Usage: "processing time of a request at a backend server", Value: 0, Sources: envVar("WORK_TIME")},
 		},
-		Action: func(ctx context.Context, from *cli.Command) error {
-			given := &settings{command: from}
-			network := given.requiredString("network")
+		Action: func(ctx context.Context, cmd *cli.Command) error {
+			flags := &settings{command: cmd}
+			network := flags.requiredString("network")
 			if !strings.HasPrefix(network, "127.") || strings.Count(network, ".") != 1 {
-				given.addFault("network", "must be the first two parts of a loopback IP number, such as 127.70")
+				flags.addFault("network", "must be the first two octets of a loopback IP address, such as 127.70")
 			}
 			options := standin.Options{
 				Layout:         standin.Layout{Network: network},
-				Workers:        given.intInRange("workers", 1, maxInstances),
-				Entries:        given.intInRange("entries", 1, maxInstances),
-				FailureDomains: strings.Split(given.requiredString("failure-domains"), ","),
-				Processors:     given.intInRange("processors", 1, maxInstances),
-				WorkTime:       given.durationInRange("work-time", 0, time.Hour),
+				Workers:        flags.intInRange("workers", 1, maxInstances),
+				Entries:        flags.intInRange("entries", 1, maxInstances),
+				FailureDomains: strings.Split(flags.requiredString("failure-domains"), ","),
+				Processors:     flags.intInRange("processors", 1, maxInstances),
+				WorkTime:       flags.durationInRange("work-time", 0, time.Hour),
 			}
-			if err := given.err(); err != nil {
+			if err := flags.err(); err != nil {
 				return err
 			}
 			return runRole(ctx, &standinRole{options: options}, time.Second)
--- a/command/settings.go
+++ b/command/settings.go
@@ -14,116 +14,124 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// settings reads the flags of a role and collects everything that is wrong
-// with them, so that an operator can mend it in one go.
+// settings reads the flags of a command and collects all their faults, so that an
+// operator can correct them together.
 type settings struct {
 	command *cli.Command
 	faults  []string
 }
 
-func (given *settings) addFault(flag, message string) {
-	given.faults = append(given.faults, "--"+flag+" "+message)
+func (flags *settings) addFault(flag, message string) {
+	flags.faults = append(flags.faults, "--"+flag+" "+message)
 }
 
-// err names every fault at once.
-func (given *settings) err() error {
-	if len(given.faults) == 0 {
+// err returns all faults as one usage error, or nil if there are none.
+func (flags *settings) err() error {
+	if len(flags.faults) == 0 {
 		return nil
 	}
-	return newUsageError("the settings have faults: %s; see `ambertiller help %s`", strings.Join(given.faults, "; "), given.command.Name)
+	return newUsageError("the settings have faults: %s; see `ambertiller help %s`", strings.Join(flags.faults, "; "), flags.command.Name)
 }
 
-func (given *settings) requiredString(flag string) string {
-	value := given.command.String(flag)
+// requiredString returns the value of a flag that must not be empty.
+func (flags *settings) requiredString(flag string) string {
+	value := flags.command.String(flag)
 	if value == "" {
-		given.addFault(flag, "must be set")
+		flags.addFault(flag, "must be set")
 	}
 	return value
 }
 
-// listenAddress reads an IP number and port to listen on.
-func (given *settings) listenAddress(flag string) string {
-	value := given.command.String(flag)
+// listenAddress returns the value of a flag that must be an IP address and port to listen on.
+func (flags *settings) listenAddress(flag string) string {
+	value := flags.command.String(flag)
 	host, port, err := net.SplitHostPort(value)
 	switch {
 	case value == "":
-		given.addFault(flag, "must be set to an IP number and port")
+		flags.addFault(flag, "must be set to an IP number and port")
 	case err != nil || port == "":
-		given.addFault(flag, "must be an IP number and port such as 127.70.1.1:7201, not "+value)
+		flags.addFault(flag, "must be an IP number and port such as 127.70.1.1:7201, not "+value)
 	case net.ParseIP(host) == nil:
-		given.addFault(flag, "must name an IP number, not "+host)
+		flags.addFault(flag, "must name an IP number, not "+host)
 	}
 	return value
 }
 
-// requiredURL reads the base URL of another process.
-func (given *settings) requiredURL(flag string) string {
-	value := given.command.String(flag)
+// requiredURL returns the base URL of another process without a trailing slash. The flag must be
+// set to a URL with the scheme http or https.
+func (flags *settings) requiredURL(flag string) string {
+	value := flags.command.String(flag)
 	parsed, err := url.Parse(value)
 	switch {
 	case value == "":
-		given.addFault(flag, "must be set to a URL")
+		flags.addFault(flag, "must be set to a URL")
 	case err != nil || parsed.Host == "" || (parsed.Scheme != "http" && parsed.Scheme != "https"):
-		given.addFault(flag, "must be a URL such as http://127.70.0.1:7000, not "+value)
+		flags.addFault(flag, "must be a URL such as http://127.70.0.1:7000, not "+value)
 	}
 	return strings.TrimSuffix(value, "/")
 }
 
-func (given *settings) optionalURL(flag string) string {
-	if given.command.String(flag) == "" {
+// optionalURL is like requiredURL, but returns an empty string if the flag is not set.
+func (flags *settings) optionalURL(flag string) string {
+	if flags.command.String(flag) == "" {
 		return ""
 	}
-	return given.requiredURL(flag)
+	return flags.requiredURL(flag)
 }
 
-func (given *settings) durationInRange(flag string, least, most time.Duration) time.Duration {
-	value := given.command.Duration(flag)
-	if value < least || value > most {
-		given.addFault(flag, "must be "+least.String()+" to "+most.String()+", not "+value.String())
+// durationInRange returns the value of a flag that must be from minValue to maxValue.
+func (flags *settings) durationInRange(flag string, minValue, maxValue time.Duration) time.Duration {
+	value := flags.command.Duration(flag)
+	if value < minValue || value > maxValue {
+		flags.addFault(flag, "must be "+minValue.String()+" to "+maxValue.String()+", not "+value.String())
 	}
 	return value
 }
 
-func (given *settings) intInRange(flag string, least, most int) int {
-	value := given.command.Int(flag)
-	if value < least || value > most {
-		given.addFault(flag, "is out of bounds; see the help for its bounds")
+// intInRange returns the value of a flag that must be from minValue to maxValue. The fault refers
+// to the help text, which has to state these bounds.
+func (flags *settings) intInRange(flag string, minValue, maxValue int) int {
+	value := flags.command.Int(flag)
+	if value < minValue || value > maxValue {
+		flags.addFault(flag, "is out of bounds; see the help for its bounds")
 	}
 	return value
 }
 
-// openLogger opens the log that the flags ask for.
-func (given *settings) openLogger() *event.Logger {
-	logger, err := event.Open(os.Stderr, given.command.String("log-format"), given.command.String("log-level"))
+// openLogger returns a logger to standard error with the format and level that the flags select.
+func (flags *settings) openLogger() *event.Logger {
+	logger, err := event.Open(os.Stderr, flags.command.String("log-format"), flags.command.String("log-level"))
 	if err != nil {
-		given.faults = append(given.faults, err.Error())
+		flags.faults = append(flags.faults, err.Error())
 		return event.Discard()
 	}
 	return logger
 }
 
-// applyRuntimeLimits reads how many processors the role may use at once, and sets it.
+// applyRuntimeLimits sets how many processors the Go runtime uses at once, from the flag
+// --processors, and configures the garbage collector. It has no effect if the flags have faults.
 //
-// Performance: on a machine with many processors an idle Go process spends more
-// on waking threads than a request costs; see docs/MEASUREMENTS.md.
-func (given *settings) applyRuntimeLimits() {
-	count := given.intInRange("processors", 1, maxProcessors)
-	if len(given.faults) == 0 {
+// Performance: on a machine with many processors, a Go process that is idle and may use all of
+// them spends more time on waking threads than a request costs; see docs/MEASUREMENTS.md.
+func (flags *settings) applyRuntimeLimits() {
+	count := flags.intInRange("processors", 1, maxProcessors)
+	if len(flags.faults) == 0 {
 		runtime.GOMAXPROCS(count)
 		debug.SetGCPercent(roleGCPercent)
 		debug.SetMemoryLimit(roleMemoryLimit)
 	}
 }
 
-// roleFlags are the flags that every role has.
+// roleFlags returns the flags that entries and guards have in common. processors is the default
+// of --processors.
 func roleFlags(processors int) []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "log-format", Usage: "json or text", Value: "json", Sources: envVar("LOG_FORMAT")},
 		&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error", Value: "info", Sources: envVar("LOG_LEVEL")},
-		&cli.IntFlag{Name: "processors", Usage: "processors that this process uses at once, 1 to 256", Value: processors, Sources: envVar("PROCESSORS")},
+		&cli.IntFlag{Name: "processors", Usage: "number of processors that this process uses at once, 1 to 256", Value: processors, Sources: envVar("PROCESSORS")},
 		&cli.StringFlag{Name: "otlp-endpoint", Usage: "URL to push metrics to by OTLP over HTTP", Sources: envVar("OTLP_ENDPOINT")},
-		&cli.DurationFlag{Name: "stop-timeout", Usage: "bound of a planned stop", Value: defaultStopTimeout, Sources: envVar("STOP_TIMEOUT")},
-		&cli.DurationFlag{Name: "leave-delay", Usage: "how long a planned stop waits for others to notice before it closes anything", Value: defaultLeaveDelay, Sources: envVar("LEAVE_DELAY")},
+		&cli.DurationFlag{Name: "stop-timeout", Usage: "time limit of a planned stop", Value: defaultStopTimeout, Sources: envVar("STOP_TIMEOUT")},
+		&cli.DurationFlag{Name: "leave-delay", Usage: "how long a planned stop waits for other processes to notice it before it closes anything", Value: defaultLeaveDelay, Sources: envVar("LEAVE_DELAY")},
 	}
 }
 
@@ -132,9 +140,9 @@
 	defaultLeaveDelay  = 3 * time.Second
 	maxStopTimeout     = 10 * time.Minute
 
-	// roleGCPercent trades memory for processor time: a role that holds a few MiB
-	// would otherwise collect many times a second. roleMemoryLimit makes collection
-	// eager again well below the 128 MB that a node may use.
+	// roleGCPercent trades memory for processor time: at the default of 100, a role that uses a
+	// few MiB collects garbage many times a second. roleMemoryLimit makes collections frequent
+	// again well below the 128 MB that a node may use.
 	roleGCPercent   = 400
 	roleMemoryLimit = 96 << 20
 
--- a/command/task.go
+++ b/command/task.go
@@ -24,77 +24,79 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "team", Usage: "team that the task belongs to", Sources: envVar("TEAM")},
 			&cli.StringFlag{Name: "kind", Usage: "kind of work, as configured"},
-			&cli.StringFlag{Name: "name", Usage: "a name for people"},
+			&cli.StringFlag{Name: "name", Usage: "descriptive name"},
 			&cli.FloatFlag{Name: "processors", Usage: "processors it needs", Value: 1},
 			&cli.StringFlag{Name: "memory", Usage: "memory it needs, such as 4GiB", Value: "1GiB"},
 			&cli.Int64Flag{Name: "accelerators", Usage: "accelerators it needs"},
 			&cli.Int32Flag{Name: "priority", Usage: "priority, instead of the kind's"},
 			&cli.StringFlag{Name: "run-time", Usage: "expected run time, such as 90s"},
-			&cli.StringFlag{Name: "input", Usage: "input handed to the task"},
+			&cli.StringFlag{Name: "input", Usage: "input of the task"},
 			&cli.StringFlag{Name: "failure-domain", Usage: "failure domain it must run in"},
-			&cli.StringFlag{Name: "key", Usage: "idempotency key: the same team and key is the same task"},
+			&cli.StringFlag{Name: "key", Usage: "idempotency key: submissions with the same team and key are the same task"},
 			&cli.BoolFlag{Name: "wait", Usage: "wait until the task has ended, within --timeout"},
 		},
-		Action: func(ctx context.Context, from *cli.Command) error {
-			calling, err := newClient(from)
+		Action: func(ctx context.Context, cmd *cli.Command) error {
+			c, err := newClient(cmd)
 			if err != nil {
 				return err
 			}
-			asked := api.TaskRequest{
-				Team:          from.String("team"),
-				Kind:          from.String("kind"),
-				Name:          from.String("name"),
-				Processors:    from.Float("processors"),
-				Memory:        from.String("memory"),
-				Accelerators:  from.Int64("accelerators"),
-				RunTime:       from.String("run-time"),
-				Input:         from.String("input"),
-				FailureDomain: from.String("failure-domain"),
+			request := api.TaskRequest{
+				Team:          cmd.String("team"),
+				Kind:          cmd.String("kind"),
+				Name:          cmd.String("name"),
+				Processors:    cmd.Float("processors"),
+				Memory:        cmd.String("memory"),
+				Accelerators:  cmd.Int64("accelerators"),
+				RunTime:       cmd.String("run-time"),
+				Input:         cmd.String("input"),
+				FailureDomain: cmd.String("failure-domain"),
 			}
-			if from.IsSet("priority") {
-				priority := from.Int32("priority")
-				asked.Priority = &priority
+			if cmd.IsSet("priority") {
+				priority := cmd.Int32("priority")
+				request.Priority = &priority
 			}
 			header := http.Header{}
-			if key := from.String("key"); key != "" {
+			if key := cmd.String("key"); key != "" {
 				header.Set(api.HeaderKey, key)
 			}
 			var task api.Task
-			if err := calling.call(ctx, http.MethodPost, "/v1/tasks", header, asked, &task); err != nil {
+			if err := c.call(ctx, http.MethodPost, "/v1/tasks", header, request, &task); err != nil {
 				return err
 			}
-			if from.Bool("wait") {
-				if err := calling.waitForEnd(ctx, &task, from.Duration("timeout")); err != nil {
+			if cmd.Bool("wait") {
+				if err := c.waitForEnd(ctx, &task, cmd.Duration("timeout")); err != nil {
 					return err
 				}
 			}
-			return calling.printTask(&task)
+			return c.printTask(&task)
 		},
 	}
 }
 
+// terminalPhases are the phases that a task does not leave.
 var terminalPhases = map[string]bool{"finished": true, "failed": true, "cancelled": true}
 
-func (calling *client) waitForEnd(ctx context.Context, task *api.Task, most time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// waitForEnd requests the task repeatedly until it has ended, and updates it with each response.
+func (c *client) waitForEnd(ctx context.Context, task *api.Task, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ticker := time.NewTicker(waitInterval)
 	defer ticker.Stop()
 	for !terminalPhases[task.Phase] {
 		select {
 		case <-ctx.Done():
-			return &exitError{code: ExitUnavailable, cause: fmt.Errorf("task %s is still %s; look again with `ambertiller task %s`", task.ID, task.Phase, task.ID)}
+			return &exitError{code: ExitUnavailable, cause: fmt.Errorf("task %s is still %s; check again with `ambertiller task %s`", task.ID, task.Phase, task.ID)}
 		case <-ticker.C:
 		}
-		if err := calling.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(task.ID), nil, nil, task); err != nil {
+		if err := c.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(task.ID), nil, nil, task); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (calling *client) printTask(task *api.Task) error {
-	return calling.printer.printFields(task,
+func (c *client) printTask(task *api.Task) error {
+	return c.printer.printFields(task,
 		"id", task.ID, "team", task.Team, "kind", task.Kind, "name", task.Name,
 		"phase", task.Phase, "reason", task.Reason, "worker", task.Worker,
 		"attempt", formatUint(task.Attempt), "evictions", formatInt(task.Evictions), "start failures", formatInt(task.StartFailures),
@@ -103,29 +105,30 @@
 		"created", task.Created.Format(timeFormat), "changed", task.Changed.Format(timeFormat))
 }
 
-// singleArgumentAction is an Action that needs exactly one argument.
-func singleArgumentAction(what string, act func(ctx context.Context, calling *client, argument string) error) cli.ActionFunc {
-	return func(ctx context.Context, from *cli.Command) error {
-		if from.Args().Len() != 1 {
-			return newUsageError("give exactly one %s: ambertiller %s %s", what, from.Name, what)
+// singleArgumentAction returns an action that calls run with the command's only argument. name is
+// the argument's name in the usage error that is returned for any other number of arguments.
+func singleArgumentAction(name string, run func(ctx context.Context, c *client, arg string) error) cli.ActionFunc {
+	return func(ctx context.Context, cmd *cli.Command) error {
+		if cmd.Args().Len() != 1 {
+			return newUsageError("give exactly one %s: ambertiller %s %s", name, cmd.Name, name)
 		}
-		calling, err := newClient(from)
+		c, err := newClient(cmd)
 		if err != nil {
 			return err
 		}
-		return act(ctx, calling, from.Args().First())
+		return run(ctx, c, cmd.Args().First())
 	}
 }
 
 func cancelCommand() *cli.Command {
 	return &cli.Command{
 		Name: "cancel", Usage: "cancel a task", ArgsUsage: "TASK",
-		Action: singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
+		Action: singleArgumentAction("TASK", func(ctx context.Context, c *client, id string) error {
 			var task api.Task
-			if err := calling.call(ctx, http.MethodDelete, "/v1/tasks/"+url.PathEscape(id), nil, nil, &task); err != nil {
+			if err := c.call(ctx, http.MethodDelete, "/v1/tasks/"+url.PathEscape(id), nil, nil, &task); err != nil {
 				return err
 			}
-			return calling.printTask(&task)
+			return c.printTask(&task)
 		}),
 	}
 }
@@ -133,12 +136,12 @@
 func taskCommand() *cli.Command {
 	return &cli.Command{
 		Name: "task", Usage: "show a task", ArgsUsage: "TASK",
-		Action: singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
+		Action: singleArgumentAction("TASK", func(ctx context.Context, c *client, id string) error {
 			var task api.Task
-			if err := calling.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(id), nil, nil, &task); err != nil {
+			if err := c.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(id), nil, nil, &task); err != nil {
 				return err
 			}
-			return calling.printTask(&task)
+			return c.printTask(&task)
 		}),
 	}
 }
@@ -146,29 +149,29 @@
 func resultCommand() *cli.Command {
 	return &cli.Command{
 		Name: "result", Usage: "show what a task produced", ArgsUsage: "TASK",
-		Action: singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
+		Action: singleArgumentAction("TASK", func(ctx context.Context, c *client, id string) error {
 			var result api.Result
-			if err := calling.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(id)+"/result", nil, nil, &result); err != nil {
+			if err := c.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(id)+"/result", nil, nil, &result); err != nil {
 				return err
 			}
-			return calling.printer.printFields(&result, "id", result.ID, "phase", result.Phase, "reason", result.Reason, "output", result.Output)
+			return c.printer.printFields(&result, "id", result.ID, "phase", result.Phase, "reason", result.Reason, "output", result.Output)
 		}),
 	}
 }
 
 func throttleCommand() *cli.Command {
 	return &cli.Command{
-		Name: "throttle", Usage: "bound a running task to a share of its processors", ArgsUsage: "TASK",
-		Flags: []cli.Flag{&cli.FloatFlag{Name: "share", Usage: "above 0, at most 1", Value: 1}},
-		Action: func(ctx context.Context, from *cli.Command) error {
-			asked := api.ThrottleRequest{Share: from.Float("share")}
-			return singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
-				var done api.ThrottleRequest
-				if err := calling.call(ctx, http.MethodPut, "/v1/tasks/"+url.PathEscape(id)+"/throttle", nil, asked, &done); err != nil {
+		Name: "throttle", Usage: "limit a running task to a share of its processors", ArgsUsage: "TASK",
+		Flags: []cli.Flag{&cli.FloatFlag{Name: "share", Usage: "share of the processors, above 0 and at most 1", Value: 1}},
+		Action: func(ctx context.Context, cmd *cli.Command) error {
+			request := api.ThrottleRequest{Share: cmd.Float("share")}
+			return singleArgumentAction("TASK", func(ctx context.Context, c *client, id string) error {
+				var reply api.ThrottleRequest
+				if err := c.call(ctx, http.MethodPut, "/v1/tasks/"+url.PathEscape(id)+"/throttle", nil, request, &reply); err != nil {
 					return err
 				}
-				return calling.printer.printFields(&done, "task", id, "share", formatFloat(done.Share))
-			})(ctx, from)
+				return c.printer.printFields(&reply, "task", id, "share", formatFloat(reply.Share))
+			})(ctx, cmd)
 		},
 	}
 }
@@ -177,61 +180,62 @@
 	return &cli.Command{
 		Name: "tasks", Usage: "list tasks",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "team", Usage: "only of this team"},
-			&cli.StringFlag{Name: "kind", Usage: "only of this kind"},
-			&cli.StringFlag{Name: "phase", Usage: "only in this phase"},
-			&cli.StringFlag{Name: "worker", Usage: "only on this worker"},
+			&cli.StringFlag{Name: "team", Usage: "only tasks of this team"},
+			&cli.StringFlag{Name: "kind", Usage: "only tasks of this kind"},
+			&cli.StringFlag{Name: "phase", Usage: "only tasks in this phase"},
+			&cli.StringFlag{Name: "worker", Usage: "only tasks on this worker"},
 		},
-		Action: func(ctx context.Context, from *cli.Command) error {
-			calling, err := newClient(from)
+		Action: func(ctx context.Context, cmd *cli.Command) error {
+			c, err := newClient(cmd)
 			if err != nil {
 				return err
 			}
 			query := url.Values{}
 			for _, name := range []string{"team", "kind", "phase", "worker"} {
-				if value := from.String(name); value != "" {
+				if value := cmd.String(name); value != "" {
 					query.Set(name, value)
 				}
 			}
 			var tasks []api.Task
-			if err := calling.call(ctx, http.MethodGet, "/v1/tasks?"+query.Encode(), nil, nil, &tasks); err != nil {
+			if err := c.call(ctx, http.MethodGet, "/v1/tasks?"+query.Encode(), nil, nil, &tasks); err != nil {
 				return err
 			}
 			rows := make([][]string, 0, len(tasks))
 			for _, task := range tasks {
 				rows = append(rows, []string{task.ID, task.Team, task.Kind, task.Phase, task.Worker, formatUint(task.Attempt), task.Reason})
 			}
-			return calling.printer.print(tasks, []string{"ID", "TEAM", "KIND", "PHASE", "WORKER", "ATTEMPT", "REASON"}, rows)
+			return c.printer.print(tasks, []string{"ID", "TEAM", "KIND", "PHASE", "WORKER", "ATTEMPT", "REASON"}, rows)
 		},
 	}
 }
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "say why a task is where it is, or what it waits for", ArgsUsage: "TASK",
-		Action: singleArgumentAction("TASK", func(ctx context.Context, calling *client, id string) error {
-			var made api.Explanation
-			if err := calling.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(id)+"/explain", nil, nil, &made); err != nil {
+		Name: "explain", Usage: "explain why a task was placed on its worker, or why it is waiting", ArgsUsage: "TASK",
+		Action: singleArgumentAction("TASK", func(ctx context.Context, c *client, id string) error {
+			var explanation api.Explanation
+			if err := c.call(ctx, http.MethodGet, "/v1/tasks/"+url.PathEscape(id)+"/explain", nil, nil, &explanation); err != nil {
 				return err
 			}
-			return calling.printer.print(&made, []string{"FIELD", "VALUE"}, explanationRows(&made))
+			return c.printer.print(&explanation, []string{"FIELD", "VALUE"}, explanationRows(&explanation))
 		}),
 	}
 }
 
-func explanationRows(made *api.Explanation) [][]string {
-	rows := [][]string{{"summary", made.Summary}, {"policy", made.Policy}}
-	if made.PolicyFault != "" {
-		rows = append(rows, []string{"policy fault", made.PolicyFault})
+// explanationRows returns the rows of an explanation's table.
+func explanationRows(explanation *api.Explanation) [][]string {
+	rows := [][]string{{"summary", explanation.Summary}, {"policy", explanation.Policy}}
+	if explanation.PolicyFault != "" {
+		rows = append(rows, []string{"policy fault", explanation.PolicyFault})
 	}
-	if made.Candidate != "" {
-		rows = append(rows, []string{"best worker", made.Candidate + " scores " + formatFloat(made.Score)})
+	if explanation.Candidate != "" {
+		rows = append(rows, []string{"best worker", explanation.Candidate + " scores " + formatFloat(explanation.Score)})
 	}
-	if made.Second != "" {
-		rows = append(rows, []string{"next best", made.Second + " scores " + formatFloat(made.SecondScore)})
+	if explanation.Second != "" {
+		rows = append(rows, []string{"next best", explanation.Second + " scores " + formatFloat(explanation.SecondScore)})
 	}
-	for _, constraint := range made.Constraints {
-		rows = append(rows, []string{"left out: " + constraint.Name, fmt.Sprintf("%d of %d workers", constraint.Workers, made.Workers)})
+	for _, constraint := range explanation.Constraints {
+		rows = append(rows, []string{"left out: " + constraint.Name, fmt.Sprintf("%d of %d workers", constraint.Workers, explanation.Workers)})
 	}
 	return rows
 }
