--- a/cmd/ambertiller/platform_test.go
+++ b/cmd/ambertiller/platform_test.go
@@ -31,136 +31,141 @@
 	submissionBody         = `{"spec":"s","steps":[{"count":1,"cpu":500,"mem_mb":256,"estimate_ms":900}]}`
 )
 
-// platformDeployment is the platform's part of a deployment, and the processes that run on it.
+// platformDeployment is a fake of the platform, on which gateways and agents run as separate processes.
 type platformDeployment struct {
 	t             *testing.T
 	binary        string
 	store         *wirestore.Store
 	worker        *wireworker.Worker
-	storeAddress  string // the store's address
-	workerAddress string // the worker's
+	storeAddress  string
+	workerAddress string
 }
 
+// newPlatformDeployment builds the binary and starts a store, which has a configuration, and a
+// worker. It starts no gateways or agents.
 func newPlatformDeployment(t *testing.T) *platformDeployment {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "ambertiller")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	made := &platformDeployment{t: t, binary: binary, store: wirestore.New(8, time.Now), worker: wireworker.New(workerIncarnation, clockwork.NewRealClock())}
-	made.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(publishedConfiguration))
-	made.storeAddress = made.startServer(made.store)
-	made.workerAddress = made.startServer(made.worker)
-	return made
+	d := &platformDeployment{t: t, binary: binary, store: wirestore.New(8, time.Now), worker: wireworker.New(workerIncarnation, clockwork.NewRealClock())}
+	d.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(publishedConfiguration))
+	d.storeAddress = d.startServer(d.store)
+	d.workerAddress = d.startServer(d.worker)
+	return d
 }
 
-func (made *platformDeployment) startServer(handler http.Handler) string {
+// startServer serves handler until the end of the test and returns the address.
+func (d *platformDeployment) startServer(handler http.Handler) string {
 	server := httptest.NewServer(handler)
-	made.t.Cleanup(func() {
+	d.t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startRole runs a role on an address of the loopback network, and returns the process
-// and where it listens.
-func (made *platformDeployment) startRole(role, ip string) *exec.Cmd {
-	made.t.Helper()
-	path := filepath.Join(made.t.TempDir(), "local.toml")
-	file := bootfile.File{Name: role + "-" + ip, IP: ip, Worker: made.workerAddress, Store: made.storeAddress, LeaseMost: maxLease}
+// startRole runs a role that listens on a loopback address until the end of the test, and shows its
+// log if the test failed.
+func (d *platformDeployment) startRole(role, ip string) *exec.Cmd {
+	d.t.Helper()
+	path := filepath.Join(d.t.TempDir(), "local.toml")
+	file := bootfile.File{Name: role + "-" + ip, IP: ip, Worker: d.workerAddress, Store: d.storeAddress, LeaseMost: maxLease}
 	if err := file.Write(path); err != nil {
-		made.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	started := exec.Command(made.binary, role)
-	started.Env = append(os.Environ(), platform.SettingsVariable+"="+path)
+	process := exec.Command(d.binary, role)
+	process.Env = append(os.Environ(), platform.SettingsVariable+"="+path)
 	var log bytes.Buffer
-	started.Stdout, started.Stderr = &log, &log
-	if err := started.Start(); err != nil {
-		made.t.Fatal(err)
+	process.Stdout, process.Stderr = &log, &log
+	if err := process.Start(); err != nil {
+		d.t.Fatal(err)
 	}
-	made.t.Cleanup(func() {
-		_ = started.Process.Kill()
-		_ = started.Wait()
-		if made.t.Failed() {
-			made.t.Logf("%s: %s", role, log.String())
+	d.t.Cleanup(func() {
+		_ = process.Process.Kill()
+		_ = process.Wait()
+		if d.t.Failed() {
+			d.t.Logf("%s: %s", role, log.String())
 		}
 	})
-	return started
+	return process
 }
 
-// waitFor repeats a step until it holds.
-func (made *platformDeployment) waitFor(what string, holds func() bool) {
-	made.t.Helper()
+// waitFor evaluates condition repeatedly until it is true. goal describes what the test waits for.
+func (d *platformDeployment) waitFor(goal string, condition func() bool) {
+	d.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	for !holds() {
+	for !condition() {
 		if ctx.Err() != nil {
-			made.t.Fatalf("%s did not come about", what)
+			d.t.Fatalf("timed out waiting for %s", goal)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func (made *platformDeployment) sendRequest(method, url, body string) (status int, text string) {
+// sendRequest returns the status and body of the response, or status 0 and the error if there is none.
+func (d *platformDeployment) sendRequest(method, url, body string) (status int, text string) {
 	request, err := http.NewRequestWithContext(context.Background(), method, url, strings.NewReader(body))
 	if err != nil {
-		made.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	request.Host = "q.example"
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer answer.Body.Close() //nolint:errcheck // it has been read.
-	var read bytes.Buffer
-	if _, err := read.ReadFrom(answer.Body); err != nil {
+	defer response.Body.Close() //nolint:errcheck // The body has been read.
+	var responseBody bytes.Buffer
+	if _, err := responseBody.ReadFrom(response.Body); err != nil {
 		return 0, err.Error()
 	}
-	return answer.StatusCode, read.String()
+	return response.StatusCode, responseBody.String()
 }
 
-func (made *platformDeployment) sendHeartbeat(ip string) bool {
-	body := fmt.Sprintf(`{"service":"verbale","address":"%s","zone":"milano-a","state":"ready","capacity":{"cpu":4000,"mem_mb":8000},"labels":["a","r1"],"seq":1}`, made.workerAddress)
-	status, _ := made.sendRequest(http.MethodPut, "http://"+bootfile.Beats(ip)+"/v1/instances/"+workerIncarnation, body)
+// sendHeartbeat sends a heartbeat of the worker to the agent at ip and reports whether it was accepted.
+func (d *platformDeployment) sendHeartbeat(ip string) bool {
+	body := fmt.Sprintf(`{"service":"verbale","address":"%s","zone":"milano-a","state":"ready","capacity":{"cpu":4000,"mem_mb":8000},"labels":["a","r1"],"seq":1}`, d.workerAddress)
+	status, _ := d.sendRequest(http.MethodPut, "http://"+bootfile.Beats(ip)+"/v1/instances/"+workerIncarnation, body)
 	return status == http.StatusOK
 }
 
-// TestGatewayTakeover hands a job in at a gateway that then is killed: another one
-// takes its shard over and shows the job as completed once its task has ended, and
-// both stop as told.
+// TestGatewayTakeover kills a gateway that owns a running job. A second gateway must take over the
+// shard and report the job as completed once its task has ended, without starting the task again.
+// The second gateway and the agent must exit without an error on SIGTERM.
 func TestGatewayTakeover(t *testing.T) {
-	made := newPlatformDeployment(t)
+	d := newPlatformDeployment(t)
 	network := fmt.Sprintf("127.%d", 200+os.Getpid()%50)
-	first, second, side := network+".0.1", network+".0.2", network+".0.3"
-	killed := made.startRole("gateway", first)
-	agent := made.startRole("agent", side)
-	made.waitFor("the agent's answer to a heartbeat", func() bool { return made.sendHeartbeat(side) })
-	url := "http://" + bootfile.Front(first) + "/q/" + platformJobID
-	made.waitFor("the job's acceptance", func() bool {
-		status, _ := made.sendRequest(http.MethodPost, url, submissionBody)
+	firstIP, secondIP, agentIP := network+".0.1", network+".0.2", network+".0.3"
+	firstGateway := d.startRole("gateway", firstIP)
+	agent := d.startRole("agent", agentIP)
+	d.waitFor("the agent to accept a heartbeat", func() bool { return d.sendHeartbeat(agentIP) })
+	url := "http://" + bootfile.Front(firstIP) + "/q/" + platformJobID
+	d.waitFor("the gateway to accept the job", func() bool {
+		status, _ := d.sendRequest(http.MethodPost, url, submissionBody)
 		return status == http.StatusOK
 	})
-	made.waitFor("the task's start", func() bool { _, runs := made.worker.Running(platformTaskID); return runs })
-	stays := made.startRole("gateway", second)
-	if err := killed.Process.Kill(); err != nil {
+	d.waitFor("the task to start", func() bool { _, runs := d.worker.Running(platformTaskID); return runs })
+	secondGateway := d.startRole("gateway", secondIP)
+	if err := firstGateway.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	made.worker.End(platformTaskID, "done")
-	url = "http://" + bootfile.Front(second) + "/q/" + platformJobID
-	made.waitFor("the job's completion", func() bool {
-		_, text := made.sendRequest(http.MethodGet, url, "")
+	d.worker.End(platformTaskID, "done")
+	url = "http://" + bootfile.Front(secondIP) + "/q/" + platformJobID
+	d.waitFor("the job to be completed", func() bool {
+		_, text := d.sendRequest(http.MethodGet, url, "")
 		return strings.Contains(text, "completed")
 	})
-	if got := len(made.worker.Starts()); got != 1 {
-		t.Errorf("%d starts", got)
+	if got := len(d.worker.Starts()); got != 1 {
+		t.Errorf("the task was started %d times, want once", got)
 	}
-	for _, process := range []*exec.Cmd{stays, agent} {
+	for _, process := range []*exec.Cmd{secondGateway, agent} {
 		if err := process.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		if err := process.Wait(); err != nil {
-			t.Errorf("%s ended with %v", process.Args[1], err)
+			t.Errorf("%s exited with %v", process.Args[1], err)
 		}
 	}
 }
