--- a/command/client.go
+++ b/command/client.go
@@ -59,7 +59,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.httpClient.Do(request)
 	if err != nil {
-		return &exitError{code: ExitUnreachable, cause: errors.Wrap(err, "no answer from the entry; check --entry and try again")}
+		return &exitError{code: ExitUnreachable, cause: errors.Wrap(err, "no response from the entry; check --entry and try again")}
 	}
 	defer func() { _ = response.Body.Close() }()
 	return decodeResponse(response, result)
--- a/command/operator.go
+++ b/command/operator.go
@@ -158,7 +158,7 @@
 			Name: "publish", Usage: "publish a file", ArgsUsage: "FILE",
 			Flags: append([]cli.Flag{
 				&cli.IntFlag{Name: "based-on", Usage: "version that the file was made from; default: the newest one", Value: -1},
-				&cli.StringFlag{Name: "comment", Usage: "reason for the change"},
+				&cli.StringFlag{Name: "comment", Usage: "why"},
 				authorFlag(),
 			}, flags...),
 			Action: func(ctx context.Context, cmd *cli.Command) error { return publishDocument(ctx, cmd, name(cmd)) },
