--- a/agent/agent.go
+++ b/agent/agent.go
@@ -82,7 +82,7 @@
 	leaseDuration = 4 * time.Second
 	// maxClockDrift is the largest relative difference between two clocks over a lease: the worker's clock
 	// may run 2% slow, and so may the agent's.
-	maxClockDrift = 2 * lease.ClockRateBound
+	maxClockDrift = 2 * lease.MaxClockDriftRate
 	// callTimeout is the timeout of an order to the worker, which is on the same machine and answers within
 	// milliseconds.
 	callTimeout = 800 * time.Millisecond
--- a/budget/budget.go
+++ b/budget/budget.go
@@ -16,16 +16,16 @@
 
 // Budget is a store of retries. It may be used by many goroutines.
 type Budget struct {
-	mu     sync.Mutex
-	ratio  float64
-	most   float64
-	tokens float64
+	mu        sync.Mutex
+	ratio     float64
+	maxTokens float64
+	tokens    float64
 }
 
 // New returns a full budget: ratio retries for each first try, and at most
 // burst retries saved up.
 func New(ratio float64, burst int) *Budget {
-	return &Budget{ratio: ratio, most: float64(burst), tokens: float64(burst)}
+	return &Budget{ratio: ratio, maxTokens: float64(burst), tokens: float64(burst)}
 }
 
 // SetRatio changes the number of retries for each first try.
@@ -39,7 +39,7 @@
 func (retries *Budget) Deposit() {
 	retries.mu.Lock()
 	defer retries.mu.Unlock()
-	retries.tokens = min(retries.most, retries.tokens+retries.ratio)
+	retries.tokens = min(retries.maxTokens, retries.tokens+retries.ratio)
 }
 
 // Withdraw takes a retry and reports whether there was one.
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -7,9 +7,9 @@
 	"ambertiller.example/ambertiller/budget"
 )
 
-// TestRetriesDoNotMultiply: when every request fails, retries stay at the
+// TestRetriesStayAtRatio: when every request fails, retries stay at the
 // ratio of the first tries, beyond what was saved up.
-func TestRetriesDoNotMultiply(t *testing.T) {
+func TestRetriesStayAtRatio(t *testing.T) {
 	tests := map[string]struct {
 		ratio       float64
 		burst, want int
--- a/changelog/append.go
+++ b/changelog/append.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	maxBatchRecords  = 512
-	maxBatchBytes    = logservice.MaxEntryBytes / 2
-	appendTimeout    = 2 * time.Second
-	appendRetryFirst = 50 * time.Millisecond
-	appendRetryMax   = time.Second
+	maxBatchRecords     = 512
+	maxBatchBytes       = logservice.MaxEntryBytes / 2
+	appendTimeout       = 2 * time.Second
+	minAppendRetryDelay = 50 * time.Millisecond
+	maxAppendRetryDelay = time.Second
 )
 
 // proposal is one call of Append.
@@ -31,12 +31,12 @@
 	bytes    int
 	outcomes map[string]state.Outcome
 	done     chan struct{}
-	failure  error
+	err      error
 	sent     bool
 }
 
-// settled notes one outcome; the journal's lock is held.
-func (proposed *proposal) settled(outcome state.Outcome) {
+// addOutcome notes one outcome; the journal's lock is held.
+func (proposed *proposal) addOutcome(outcome state.Outcome) {
 	proposed.outcomes[outcome.RecordID()] = outcome
 	if len(proposed.outcomes) == len(proposed.records) {
 		close(proposed.done)
@@ -63,7 +63,7 @@
 	}
 	select {
 	case <-proposed.done:
-		return log.result(proposed)
+		return log.orderedOutcomes(proposed)
 	case <-ctx.Done():
 		return nil, log.abandon(proposed)
 	}
@@ -72,8 +72,8 @@
 func (log *Journal) enqueue(proposed *proposal) error {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	if log.halted != nil {
-		return &NotAppendedError{cause: log.halted}
+	if log.haltErr != nil {
+		return &NotAppendedError{cause: log.haltErr}
 	}
 	select {
 	case log.queue <- proposed:
@@ -81,16 +81,16 @@
 		return &NotAppendedError{cause: errors.New("too many appends are waiting; try again later")}
 	}
 	for _, rec := range proposed.records {
-		log.waiting[rec.GetId()] = proposed
+		log.pendingProposals[rec.GetId()] = proposed
 	}
 	return nil
 }
 
-func (log *Journal) result(proposed *proposal) ([]state.Outcome, error) {
+func (log *Journal) orderedOutcomes(proposed *proposal) ([]state.Outcome, error) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	if proposed.failure != nil {
-		return nil, proposed.failure
+	if proposed.err != nil {
+		return nil, proposed.err
 	}
 	ordered := make([]state.Outcome, 0, len(proposed.records))
 	for _, rec := range proposed.records {
@@ -103,7 +103,7 @@
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	for _, rec := range proposed.records {
-		delete(log.waiting, rec.GetId())
+		delete(log.pendingProposals, rec.GetId())
 	}
 	cause := errors.WithStack(proposed.ctx.Err())
 	if proposed.sent {
@@ -112,9 +112,9 @@
 	return &NotAppendedError{cause: cause}
 }
 
-// send takes proposals off the queue, several to a batch, as fast as the bound
+// sendProposals takes proposals off the queue, several to a batch, as fast as the bound
 // on appends lets it.
-func (log *Journal) send(ctx context.Context) {
+func (log *Journal) sendProposals(ctx context.Context) {
 	for {
 		var first *proposal
 		select {
@@ -125,12 +125,12 @@
 		if err := log.limiter.Wait(ctx); err != nil {
 			return
 		}
-		log.sendBatch(ctx, log.collect(first))
+		log.sendBatch(ctx, log.collectBatch(first))
 	}
 }
 
-// collect adds what has queued up meanwhile to the first proposal.
-func (log *Journal) collect(first *proposal) []*proposal {
+// collectBatch adds what has queued up meanwhile to the first proposal.
+func (log *Journal) collectBatch(first *proposal) []*proposal {
 	collected := []*proposal{first}
 	count, bytes := len(first.records), first.bytes
 	for count < maxBatchRecords && bytes < maxBatchBytes {
@@ -159,37 +159,37 @@
 	}
 	data, err := proto.Marshal(batch)
 	if err != nil {
-		log.fail(proposals, &NotAppendedError{cause: err})
+		log.failProposals(proposals, &NotAppendedError{cause: err})
 		return
 	}
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = appendRetryFirst
-	retry.MaxInterval = appendRetryMax
+	retry.InitialInterval = minAppendRetryDelay
+	retry.MaxInterval = maxAppendRetryDelay
 	for ctx.Err() == nil {
-		err := log.appendOnce(ctx, data)
+		err := log.appendWithTimeout(ctx, data)
 		if err == nil {
 			return
 		}
 		var throttled *logservice.ThrottledError
 		switch {
 		case errors.As(err, &throttled):
-			log.event(ctx, event.AppendFailed, slog.String("error", err.Error()))
-			log.pause(ctx, throttled.RetryAfter)
+			log.logEvent(ctx, event.AppendFailed, slog.String("error", err.Error()))
+			log.sleep(ctx, throttled.RetryAfter)
 		case errors.Is(err, logservice.ErrRefused):
-			log.event(ctx, event.AppendFailed, slog.String("error", err.Error()))
-			log.fail(proposals, &NotAppendedError{cause: err})
+			log.logEvent(ctx, event.AppendFailed, slog.String("error", err.Error()))
+			log.failProposals(proposals, &NotAppendedError{cause: err})
 			return
 		default:
-			log.event(ctx, event.AppendUnsettled, slog.String("batch", batch.GetId()), slog.String("error", err.Error()))
-			log.pause(ctx, retry.NextBackOff())
+			log.logEvent(ctx, event.AppendUnsettled, slog.String("batch", batch.GetId()), slog.String("error", err.Error()))
+			log.sleep(ctx, retry.NextBackOff())
 		}
-		if !log.open(proposals) {
+		if !log.needsRetry(proposals) {
 			return
 		}
 	}
 }
 
-func (log *Journal) appendOnce(ctx context.Context, data []byte) error {
+func (log *Journal) appendWithTimeout(ctx context.Context, data []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err := log.service.Append(ctx, RecordStream, data)
@@ -212,8 +212,8 @@
 	return kept
 }
 
-// open reports whether the batch is unsettled and a caller waits for it.
-func (log *Journal) open(proposals []*proposal) bool {
+// needsRetry reports whether the batch is unsettled and a caller waits for it.
+func (log *Journal) needsRetry(proposals []*proposal) bool {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	for _, proposed := range proposals {
@@ -227,14 +227,14 @@
 	return false
 }
 
-func (log *Journal) fail(proposals []*proposal, failure error) {
+func (log *Journal) failProposals(proposals []*proposal, failure error) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	for _, proposed := range proposals {
 		for _, rec := range proposed.records {
-			delete(log.waiting, rec.GetId())
+			delete(log.pendingProposals, rec.GetId())
 		}
-		proposed.failure = failure
+		proposed.err = failure
 		close(proposed.done)
 	}
 }
--- a/changelog/bench_test.go
+++ b/changelog/bench_test.go
@@ -21,32 +21,32 @@
 func BenchmarkColdStart(b *testing.B) {
 	for _, tasks := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprint(tasks, " tasks"), func(b *testing.B) {
-			log := filledLog(b, tasks)
+			log := newFilledLog(b, tasks)
 			server := httptest.NewServer(standin.LogHandler(log))
 			defer server.Close()
 			b.ReportAllocs()
 			for b.Loop() {
-				coldStart(b, logservice.NewClient(server.URL, http.DefaultClient), tasks+1000)
+				startAndCatchUp(b, logservice.NewClient(server.URL, http.DefaultClient), tasks+1000)
 			}
 		})
 	}
 }
 
-func filledLog(b *testing.B, tasks int) *standin.Log {
+func newFilledLog(b *testing.B, tasks int) *standin.Log {
 	b.Helper()
 	log := standin.NewLog(0)
-	writer := running(b, log, changelog.Options{Writer: "one"})
+	writer := startJournal(b, log, changelog.Options{Writer: "one"})
 	records := make([]*record.Record, 0, 500)
 	for number := range tasks {
 		records = append(records, createRecord(fmt.Sprintf("task-%06d", number)))
 		if len(records) == cap(records) || number == tasks-1 {
-			if _, err := writer.Append(within(b), records...); err != nil {
+			if _, err := writer.Append(testContext(b), records...); err != nil {
 				b.Fatal(err)
 			}
 			records = records[:0]
 		}
 	}
-	if err := writer.WriteSnapshot(within(b)); err != nil {
+	if err := writer.WriteSnapshot(testContext(b)); err != nil {
 		b.Fatal(err)
 	}
 	for number := range 1000 {
@@ -61,7 +61,7 @@
 	return log
 }
 
-func coldStart(b *testing.B, service logservice.Service, want int) {
+func startAndCatchUp(b *testing.B, service logservice.Service, want int) {
 	made := changelog.New(service, changelog.Options{Writer: "two"})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -69,8 +69,8 @@
 		made.Run(ctx)
 		close(done)
 	}()
-	await(b, "the reader is ready", func() bool { return made.Ready() == nil })
-	if held := size(made); held != want {
+	waitFor(b, "the reader is ready", func() bool { return made.Ready() == nil })
+	if held := taskCount(made); held != want {
 		b.Fatalf("it holds %d tasks and not %d", held, want)
 	}
 	cancel()
--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -48,9 +48,9 @@
 	defaultAppendsPerSecond = 100
 	defaultSnapshotEvery    = 20_000
 	appendBurst             = 10
-	readMax                 = 512
+	maxReadEntries          = 512
 	readWait                = time.Second
-	queueLength             = 4096
+	queueCapacity           = 4096
 )
 
 // ErrHalted is the cause of failures after the log needed a newer build.
@@ -92,7 +92,7 @@
 	// is due. Default 20,000.
 	SnapshotEvery int64
 	// KnownFormat is the newest record format this instance reads. Default
-	// state.Format.
+	// state.LatestFormat.
 	KnownFormat uint32
 	// Clock paces retries. Default the real clock.
 	Clock clockwork.Clock
@@ -107,15 +107,15 @@
 	limiter *rate.Limiter
 	queue   chan *proposal
 
-	mu         sync.Mutex
-	folded     *state.State
-	waiting    map[string]*proposal
-	changed    chan struct{}
-	freshAt    time.Time
-	head       int64
-	caughtUp   bool
-	halted     error
-	snapshotAt int64
+	mu               sync.Mutex
+	state            *state.State
+	pendingProposals map[string]*proposal
+	changed          chan struct{}
+	syncedAt         time.Time
+	endOffset        int64
+	caughtUp         bool
+	haltErr          error
+	snapshotOffset   int64
 }
 
 // New returns a Journal over the platform's log. Run makes it follow.
@@ -127,7 +127,7 @@
 		options.SnapshotEvery = defaultSnapshotEvery
 	}
 	if options.KnownFormat == 0 {
-		options.KnownFormat = state.Format
+		options.KnownFormat = state.LatestFormat
 	}
 	if options.Clock == nil {
 		options.Clock = clockwork.NewRealClock()
@@ -136,13 +136,13 @@
 		options.Events = event.Discard()
 	}
 	return &Journal{
-		service: service,
-		options: options,
-		limiter: rate.NewLimiter(rate.Limit(options.AppendsPerSecond), appendBurst),
-		queue:   make(chan *proposal, queueLength),
-		folded:  state.NewKnowing(options.KnownFormat),
-		waiting: map[string]*proposal{},
-		changed: make(chan struct{}),
+		service:          service,
+		options:          options,
+		limiter:          rate.NewLimiter(rate.Limit(options.AppendsPerSecond), appendBurst),
+		queue:            make(chan *proposal, queueCapacity),
+		state:            state.NewForFormat(options.KnownFormat),
+		pendingProposals: map[string]*proposal{},
+		changed:          make(chan struct{}),
 	}
 }
 
@@ -150,7 +150,7 @@
 func (log *Journal) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { log.follow(ctx) })
-	loops.Go(func() { log.send(ctx) })
+	loops.Go(func() { log.sendProposals(ctx) })
 	loops.Wait()
 }
 
@@ -167,7 +167,7 @@
 func (log *Journal) View(look func(folded *state.State)) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	look(log.folded)
+	look(log.state)
 }
 
 // Changed returns a channel that is closed when the state next changes.
@@ -177,20 +177,20 @@
 	return log.changed
 }
 
-// FreshAt returns the time at which the last read that reached the end of the
+// SyncedAt returns the time at which the last read that reached the end of the
 // log began: every append that was answered before it is in the state. It is
 // zero until there was one.
-func (log *Journal) FreshAt() time.Time {
+func (log *Journal) SyncedAt() time.Time {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	return log.freshAt
+	return log.syncedAt
 }
 
 // Lag returns how many entries of the log, as last seen, are not folded yet.
 func (log *Journal) Lag() int64 {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	return max(0, log.head-log.folded.Next())
+	return max(0, log.endOffset-log.state.NextOffset())
 }
 
 // Ready returns nil once the instance has folded the log to its end and may
@@ -198,8 +198,8 @@
 func (log *Journal) Ready() error {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	if log.halted != nil {
-		return log.halted
+	if log.haltErr != nil {
+		return log.haltErr
 	}
 	if !log.caughtUp {
 		return errors.New("the log has not been read to its end since the start")
@@ -207,7 +207,7 @@
 	return nil
 }
 
-func (log *Journal) event(ctx context.Context, code event.Code, attributes ...slog.Attr) {
+func (log *Journal) logEvent(ctx context.Context, code event.Code, attributes ...slog.Attr) {
 	log.options.Events.Log(ctx, code, attributes...)
 }
 
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -17,10 +17,10 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-const patience = time.Minute
+const testTimeout = time.Minute
 
-// running returns a journal that follows the log until the test ends.
-func running(t testing.TB, log logservice.Service, options changelog.Options) *changelog.Journal {
+// startJournal returns a journal that follows the log until the test ends.
+func startJournal(t testing.TB, log logservice.Service, options changelog.Options) *changelog.Journal {
 	t.Helper()
 	if options.AppendsPerSecond == 0 {
 		options.AppendsPerSecond = 1e6
@@ -39,9 +39,9 @@
 	return made
 }
 
-func await(t testing.TB, what string, holds func() bool) {
+func waitFor(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
 			t.Fatalf("waited in vain: %s", what)
@@ -64,71 +64,71 @@
 	return rec
 }
 
-func within(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func version(log *changelog.Journal) (version uint64) {
+func configVersion(log *changelog.Journal) (version uint64) {
 	log.View(func(folded *state.State) { version = folded.Document("config").GetVersion() })
 	return version
 }
 
-// TestRacingAppends: two instances propose from the same version; each learns
+// TestConcurrentAppends: two instances propose from the same version; each learns
 // from the log which one won.
-func TestRacingAppends(t *testing.T) {
+func TestConcurrentAppends(t *testing.T) {
 	log := standin.NewLog(0)
-	one, other := running(t, log, changelog.Options{Writer: "one"}), running(t, log, changelog.Options{Writer: "other"})
+	one, other := startJournal(t, log, changelog.Options{Writer: "one"}), startJournal(t, log, changelog.Options{Writer: "other"})
 	results := make(chan bool, 2)
 	for _, each := range []*changelog.Journal{one, other} {
 		go func() {
-			outcomes, err := each.Append(within(t), publishRecord(0, "x"))
+			outcomes, err := each.Append(testContext(t), publishRecord(0, "x"))
 			results <- err == nil && outcomes[0].Accepted()
 		}()
 	}
 	if first, second := <-results, <-results; first == second {
 		t.Errorf("accepted: %t and %t", first, second)
 	}
-	await(t, "both hold version 1", func() bool { return version(one) == 1 && version(other) == 1 })
+	waitFor(t, "both hold version 1", func() bool { return configVersion(one) == 1 && configVersion(other) == 1 })
 }
 
-// TestLostAnswer: the append takes effect and its answer is lost. It is settled
+// TestLostAppendResponse: the append takes effect and its answer is lost. It is settled
 // by reading, and a second copy does nothing.
-func TestLostAnswer(t *testing.T) {
+func TestLostAppendResponse(t *testing.T) {
 	log := standin.NewLog(0)
 	log.LoseAnswers(3)
-	made := running(t, log, changelog.Options{Writer: "one"})
-	outcomes, err := made.Append(within(t), publishRecord(0, "x"))
+	made := startJournal(t, log, changelog.Options{Writer: "one"})
+	outcomes, err := made.Append(testContext(t), publishRecord(0, "x"))
 	if err != nil || !outcomes[0].Accepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
-	if version(made) != 1 {
-		t.Errorf("the version is %d", version(made))
+	if configVersion(made) != 1 {
+		t.Errorf("the version is %d", configVersion(made))
 	}
 }
 
-// deafLog takes appends without an answer and shows nothing of them.
-type deafLog struct {
+// unreadableLog takes appends without an answer and shows nothing of them.
+type unreadableLog struct {
 	*standin.Log
 }
 
-func (log *deafLog) Read(ctx context.Context, stream string, options logservice.ReadOptions) (logservice.Page, error) {
+func (log *unreadableLog) Read(ctx context.Context, stream string, options logservice.ReadOptions) (logservice.Page, error) {
 	if stream == changelog.RecordStream {
 		return logservice.Page{}, errors.New("unreadable")
 	}
 	return log.Log.Read(ctx, stream, options)
 }
 
-// TestGivingUp tells a caller who gives up whether the records may still take
+// TestCancelledAppend tells a caller who gives up whether the records may still take
 // effect.
-func TestGivingUp(t *testing.T) {
+func TestCancelledAppend(t *testing.T) {
 	t.Run("sent and never read: unsettled", func(t *testing.T) {
-		log := &deafLog{Log: standin.NewLog(0)}
-		made := running(t, log, changelog.Options{})
+		log := &unreadableLog{Log: standin.NewLog(0)}
+		made := startJournal(t, log, changelog.Options{})
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
-			await(t, "the append is there", func() bool { return log.Appends() == 1 })
+			waitFor(t, "the append is there", func() bool { return log.Appends() == 1 })
 			cancel()
 		}()
 		_, err := made.Append(ctx, publishRecord(0, "x"))
@@ -150,16 +150,16 @@
 		runCtx, stop := context.WithCancel(context.Background())
 		defer stop()
 		go made.Run(runCtx)
-		if _, err := made.Append(within(t), createRecord("a")); err != nil {
+		if _, err := made.Append(testContext(t), createRecord("a")); err != nil {
 			t.Fatal(err)
 		}
-		if version(made) != 0 {
+		if configVersion(made) != 0 {
 			t.Error("a withdrawn record took effect")
 		}
 	})
 	t.Run("too large: not appended", func(t *testing.T) {
 		made := changelog.New(standin.NewLog(0), changelog.Options{})
-		_, err := made.Append(within(t), publishRecord(0, string(make([]byte, logservice.MaxEntryBytes))))
+		_, err := made.Append(testContext(t), publishRecord(0, string(make([]byte, logservice.MaxEntryBytes))))
 		var failed *changelog.NotAppendedError
 		if !errors.As(err, &failed) {
 			t.Errorf("got %v", err)
@@ -170,9 +170,9 @@
 // TestThrottled: the platform takes no more appends for a while; the batch is
 // sent again when it says, and takes effect once.
 func TestThrottled(t *testing.T) {
-	log := &throttledLog{Log: standin.NewLog(0), refusals: 2}
-	made := running(t, log, changelog.Options{})
-	if outcomes, err := made.Append(within(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	log := &throttledLog{Log: standin.NewLog(0), remainingRefusals: 2}
+	made := startJournal(t, log, changelog.Options{})
+	if outcomes, err := made.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 	if log.Appends() != 1 {
@@ -182,30 +182,30 @@
 
 type throttledLog struct {
 	*standin.Log
-	refusals int
+	remainingRefusals int
 }
 
 func (log *throttledLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
-	if log.refusals > 0 {
-		log.refusals--
+	if log.remainingRefusals > 0 {
+		log.remainingRefusals--
 		return 0, &logservice.ThrottledError{RetryAfter: time.Millisecond}
 	}
 	return log.Log.Append(ctx, stream, data)
 }
 
-// TestCoalescing: proposals that wait together share an append.
-func TestCoalescing(t *testing.T) {
+// TestAppendsAreBatched: proposals that wait together share an append.
+func TestAppendsAreBatched(t *testing.T) {
 	log := standin.NewLog(0)
 	made := changelog.New(log, changelog.Options{AppendsPerSecond: 1e6})
 	const proposals = 100
 	failures := make(chan error, proposals)
 	for number := range proposals {
 		go func() {
-			_, err := made.Append(within(t), createRecord(fmt.Sprint(number)))
+			_, err := made.Append(testContext(t), createRecord(fmt.Sprint(number)))
 			failures <- err
 		}()
 	}
-	await(t, "all wait", func() bool { return made.Queued() == proposals })
+	waitFor(t, "all wait", func() bool { return made.Queued() == proposals })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go made.Run(ctx)
@@ -219,17 +219,17 @@
 	}
 }
 
-func fill(t testing.TB, made *changelog.Journal, from, to int) {
+func appendTasks(t testing.TB, made *changelog.Journal, from, to int) {
 	t.Helper()
 	for number := from; number < to; number++ {
-		if _, err := made.Append(within(t), createRecord(fmt.Sprintf("task-%05d", number))); err != nil {
+		if _, err := made.Append(testContext(t), createRecord(fmt.Sprintf("task-%05d", number))); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func size(log *changelog.Journal) (size int) {
-	log.View(func(folded *state.State) { size = folded.Size() })
+func taskCount(log *changelog.Journal) (size int) {
+	log.View(func(folded *state.State) { size = folded.TaskCount() })
 	return size
 }
 
@@ -237,75 +237,75 @@
 // newest whole snapshot when the log no longer keeps the records before it.
 func TestRestoreAfterRetention(t *testing.T) {
 	log := standin.NewLog(0)
-	writer := running(t, log, changelog.Options{Writer: "one"})
-	fill(t, writer, 0, 50)
-	if err := writer.WriteSnapshot(within(t)); err != nil {
+	writer := startJournal(t, log, changelog.Options{Writer: "one"})
+	appendTasks(t, writer, 0, 50)
+	if err := writer.WriteSnapshot(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
-	fill(t, writer, 50, 60)
+	appendTasks(t, writer, 50, 60)
 	log.Trim(changelog.RecordStream, 50)
-	reader := running(t, log, changelog.Options{Writer: "two"})
-	await(t, "the reader is ready", func() bool { return reader.Ready() == nil })
-	if size(reader) != 60 {
-		t.Errorf("the reader holds %d tasks", size(reader))
+	reader := startJournal(t, log, changelog.Options{Writer: "two"})
+	waitFor(t, "the reader is ready", func() bool { return reader.Ready() == nil })
+	if taskCount(reader) != 60 {
+		t.Errorf("the reader holds %d tasks", taskCount(reader))
 	}
 }
 
-// TestSnapshotCutHalfway: the writer of a snapshot dies between two chunks;
+// TestIncompleteSnapshotIgnored: the writer of a snapshot dies between two chunks;
 // readers use the whole one before it.
-func TestSnapshotCutHalfway(t *testing.T) {
-	log := &dyingLog{Log: standin.NewLog(0), chunks: 1000}
-	writer := running(t, log, changelog.Options{Writer: "one"})
-	fill(t, writer, 0, 20)
-	if err := writer.WriteSnapshot(within(t)); err != nil {
+func TestIncompleteSnapshotIgnored(t *testing.T) {
+	log := &snapshotCutLog{Log: standin.NewLog(0), remainingChunks: 1000}
+	writer := startJournal(t, log, changelog.Options{Writer: "one"})
+	appendTasks(t, writer, 0, 20)
+	if err := writer.WriteSnapshot(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
-	fill(t, writer, 20, 3000)
-	log.chunks = 1
-	if err := writer.WriteSnapshot(within(t)); err == nil {
+	appendTasks(t, writer, 20, 3000)
+	log.remainingChunks = 1
+	if err := writer.WriteSnapshot(testContext(t)); err == nil {
 		t.Fatal("the snapshot was meant to be cut")
 	}
-	reader := running(t, log.Log, changelog.Options{Writer: "two"})
-	await(t, "the reader is ready", func() bool { return reader.Ready() == nil })
-	if size(reader) != 3000 {
-		t.Errorf("the reader holds %d tasks", size(reader))
+	reader := startJournal(t, log.Log, changelog.Options{Writer: "two"})
+	waitFor(t, "the reader is ready", func() bool { return reader.Ready() == nil })
+	if taskCount(reader) != 3000 {
+		t.Errorf("the reader holds %d tasks", taskCount(reader))
 	}
 }
 
-type dyingLog struct {
+type snapshotCutLog struct {
 	*standin.Log
-	chunks int
+	remainingChunks int
 }
 
-func (log *dyingLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
+func (log *snapshotCutLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	if stream == changelog.SnapshotStream {
-		if log.chunks == 0 {
+		if log.remainingChunks == 0 {
 			return 0, errors.New("the writer died")
 		}
-		log.chunks--
+		log.remainingChunks--
 	}
 	return log.Log.Append(ctx, stream, data)
 }
 
-// TestSnapshotsInTime: snapshots are written by themselves, and one of several
+// TestPeriodicSnapshots: snapshots are written by themselves, and one of several
 // instances is enough.
-func TestSnapshotsInTime(t *testing.T) {
+func TestPeriodicSnapshots(t *testing.T) {
 	log := standin.NewLog(0)
-	first := running(t, log, changelog.Options{Writer: "one", SnapshotEvery: 10})
-	second := running(t, log, changelog.Options{Writer: "two", SnapshotEvery: 10})
-	fill(t, first, 0, 25)
-	await(t, "a snapshot is there", func() bool { return log.End(changelog.SnapshotStream) > 0 })
-	await(t, "both have read all", func() bool { return size(second) == 25 })
+	first := startJournal(t, log, changelog.Options{Writer: "one", SnapshotEvery: 10})
+	second := startJournal(t, log, changelog.Options{Writer: "two", SnapshotEvery: 10})
+	appendTasks(t, first, 0, 25)
+	waitFor(t, "a snapshot is there", func() bool { return log.End(changelog.SnapshotStream) > 0 })
+	waitFor(t, "both have read all", func() bool { return taskCount(second) == 25 })
 }
 
-// TestUnreadableBatch: bytes that are no batch are passed over by every reader.
-func TestUnreadableBatch(t *testing.T) {
+// TestUnreadableBatchSkipped: bytes that are no batch are passed over by every reader.
+func TestUnreadableBatchSkipped(t *testing.T) {
 	log := standin.NewLog(0)
-	if _, err := log.Append(within(t), changelog.RecordStream, []byte{0xff, 0x01}); err != nil {
+	if _, err := log.Append(testContext(t), changelog.RecordStream, []byte{0xff, 0x01}); err != nil {
 		t.Fatal(err)
 	}
-	made := running(t, log, changelog.Options{})
-	if outcomes, err := made.Append(within(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	made := startJournal(t, log, changelog.Options{})
+	if outcomes, err := made.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 }
@@ -314,19 +314,19 @@
 // refuses appends, while a newer one goes on.
 func TestNewerFormatHalts(t *testing.T) {
 	log := standin.NewLog(0)
-	older := running(t, log, changelog.Options{Writer: "old", KnownFormat: 1})
-	newer := running(t, log, changelog.Options{Writer: "new", KnownFormat: 2})
+	older := startJournal(t, log, changelog.Options{Writer: "old", KnownFormat: 1})
+	newer := startJournal(t, log, changelog.Options{Writer: "new", KnownFormat: 2})
 	raise := changelog.NewRecord(time.Unix(0, 0))
 	raise.Body = &record.Record_FormatRaise{FormatRaise: &record.FormatRaise{Format: 2}}
-	if _, err := newer.Append(within(t), raise); err != nil {
+	if _, err := newer.Append(testContext(t), raise); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the older one halts", func() bool { return errors.Is(older.Ready(), changelog.ErrHalted) })
-	_, err := older.Append(within(t), publishRecord(0, "x"))
+	waitFor(t, "the older one halts", func() bool { return errors.Is(older.Ready(), changelog.ErrHalted) })
+	_, err := older.Append(testContext(t), publishRecord(0, "x"))
 	if !errors.Is(err, changelog.ErrHalted) {
 		t.Errorf("got %v", err)
 	}
-	if outcomes, err := newer.Append(within(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	if outcomes, err := newer.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
 		t.Errorf("outcomes %v, %v", outcomes, err)
 	}
 }
@@ -341,11 +341,11 @@
 	f.Add([]byte{0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		log := standin.NewLog(0)
-		if _, err := log.Append(within(t), changelog.RecordStream, data); err != nil {
+		if _, err := log.Append(testContext(t), changelog.RecordStream, data); err != nil {
 			t.Fatal(err)
 		}
-		made := running(t, log, changelog.Options{KnownFormat: 1 << 31})
-		await(t, "the reader is ready", func() bool { return made.Ready() == nil })
+		made := startJournal(t, log, changelog.Options{KnownFormat: 1 << 31})
+		waitFor(t, "the reader is ready", func() bool { return made.Ready() == nil })
 		if lag := made.Lag(); lag != 0 {
 			t.Errorf("the reader is %d behind", lag)
 		}
--- a/changelog/follow.go
+++ b/changelog/follow.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	readRetryFirst = 20 * time.Millisecond
-	readRetryMax   = 2 * time.Second
+	minReadRetryDelay = 20 * time.Millisecond
+	maxReadRetryDelay = 2 * time.Second
 )
 
 // follow restores and then reads the log until ctx ends. After failures it
@@ -25,16 +25,16 @@
 // instance at once.
 func (log *Journal) follow(ctx context.Context) {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = readRetryFirst
-	retry.MaxInterval = readRetryMax
+	retry.InitialInterval = minReadRetryDelay
+	retry.MaxInterval = maxReadRetryDelay
 	restored := false
 	for ctx.Err() == nil {
 		if err := log.followOnce(ctx, &restored); err != nil {
 			if errors.Is(err, ErrHalted) {
 				return
 			}
-			log.event(ctx, event.ReadFailed, slog.String("error", err.Error()))
-			log.pause(ctx, retry.NextBackOff())
+			log.logEvent(ctx, event.ReadFailed, slog.String("error", err.Error()))
+			log.sleep(ctx, retry.NextBackOff())
 			continue
 		}
 		retry.Reset()
@@ -43,13 +43,13 @@
 
 func (log *Journal) followOnce(ctx context.Context, restored *bool) error {
 	if !*restored {
-		if err := log.restore(ctx); err != nil {
+		if err := log.restoreSnapshot(ctx); err != nil {
 			return err
 		}
 		*restored = true
 	}
 	began := log.options.Clock.Now()
-	page, err := log.service.Read(ctx, RecordStream, log.nextRead())
+	page, err := log.service.Read(ctx, RecordStream, log.readOptions())
 	var trimmed *logservice.TrimmedError
 	if errors.As(err, &trimmed) {
 		*restored = false
@@ -58,94 +58,94 @@
 	if err != nil {
 		return err
 	}
-	if err := log.fold(ctx, page); err != nil {
+	if err := log.applyPage(ctx, page); err != nil {
 		return err
 	}
-	log.noteFresh(began, page)
-	log.snapshotIfDue(ctx)
+	log.updateProgress(began, page)
+	log.writeSnapshotIfDue(ctx)
 	return nil
 }
 
-// nextRead says what to read. An instance that has not reached the end of the
+// readOptions says what to read. An instance that has not reached the end of the
 // log does not wait there: with nothing new in the log, a new instance would
 // otherwise be held up for as long as the platform holds a read.
-func (log *Journal) nextRead() logservice.ReadOptions {
+func (log *Journal) readOptions() logservice.ReadOptions {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	options := logservice.ReadOptions{From: log.folded.Next(), Max: readMax}
+	options := logservice.ReadOptions{From: log.state.NextOffset(), Max: maxReadEntries}
 	if log.caughtUp {
 		options.Wait = readWait
 	}
 	return options
 }
 
-func (log *Journal) next() int64 {
+func (log *Journal) nextOffset() int64 {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	return log.folded.Next()
+	return log.state.NextOffset()
 }
 
-// fold applies a page and wakes those who wait for its records.
-func (log *Journal) fold(ctx context.Context, page logservice.Page) error {
+// applyPage applies a page and wakes those who wait for its records.
+func (log *Journal) applyPage(ctx context.Context, page logservice.Page) error {
 	for _, entry := range page.Entries {
 		batch := &record.Batch{}
 		if err := proto.Unmarshal(entry.Data, batch); err != nil {
-			log.event(ctx, event.BatchUnreadable, slog.Int64("offset", entry.Offset), slog.String("error", err.Error()))
-			log.skip(entry.Offset)
+			log.logEvent(ctx, event.BatchUnreadable, slog.Int64("offset", entry.Offset), slog.String("error", err.Error()))
+			log.skipEntry(entry.Offset)
 			continue
 		}
-		if err := log.apply(ctx, entry.Offset, batch); err != nil {
+		if err := log.applyBatch(ctx, entry.Offset, batch); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (log *Journal) skip(offset int64) {
+func (log *Journal) skipEntry(offset int64) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	log.folded.Skip(offset)
+	log.state.Skip(offset)
 }
 
-func (log *Journal) apply(ctx context.Context, offset int64, batch *record.Batch) error {
+func (log *Journal) applyBatch(ctx context.Context, offset int64, batch *record.Batch) error {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	outcomes, err := log.folded.Apply(offset, batch)
+	outcomes, err := log.state.Apply(offset, batch)
 	if err != nil {
-		log.halted = errors.Wrap(ErrHalted, err.Error())
-		log.event(ctx, event.FormatTooNew, slog.Int64("offset", offset), slog.String("error", err.Error()))
-		return log.halted
+		log.haltErr = errors.Wrap(ErrHalted, err.Error())
+		log.logEvent(ctx, event.FormatTooNew, slog.Int64("offset", offset), slog.String("error", err.Error()))
+		return log.haltErr
 	}
 	for _, outcome := range outcomes {
-		log.settle(outcome)
+		log.deliverOutcome(outcome)
 	}
 	close(log.changed)
 	log.changed = make(chan struct{})
 	return nil
 }
 
-// settle hands an outcome to the proposal that waits for it. A duplicate
+// deliverOutcome hands an outcome to the proposal that waits for it. A duplicate
 // settles nothing: its first copy did.
-func (log *Journal) settle(outcome state.Outcome) {
-	waiting, found := log.waiting[outcome.RecordID()]
+func (log *Journal) deliverOutcome(outcome state.Outcome) {
+	waiting, found := log.pendingProposals[outcome.RecordID()]
 	if !found || outcome.Reason() == state.ReasonDuplicate {
 		return
 	}
-	delete(log.waiting, outcome.RecordID())
-	waiting.settled(outcome)
+	delete(log.pendingProposals, outcome.RecordID())
+	waiting.addOutcome(outcome)
 }
 
-func (log *Journal) noteFresh(began time.Time, page logservice.Page) {
+func (log *Journal) updateProgress(began time.Time, page logservice.Page) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	log.head = page.Next
-	if log.folded.Next() >= page.Next {
-		log.freshAt = began
+	log.endOffset = page.Next
+	if log.state.NextOffset() >= page.Next {
+		log.syncedAt = began
 		log.caughtUp = true
 	}
 }
 
-func (log *Journal) pause(ctx context.Context, wait time.Duration) {
+func (log *Journal) sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-log.options.Clock.After(wait):
--- a/changelog/history_test.go
+++ b/changelog/history_test.go
@@ -23,26 +23,26 @@
 // some, and throttles. What it does is drawn from a seed.
 type faultyLog struct {
 	*standin.Log
-	mu    sync.Mutex
-	draws *rand.Rand
+	mu     sync.Mutex
+	random *rand.Rand
 }
 
 func newFaultyLog(seed uint64) *faultyLog {
-	return &faultyLog{Log: standin.NewLog(0), draws: rand.New(rand.NewPCG(seed, seed))}
+	return &faultyLog{Log: standin.NewLog(0), random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-var errFault = errors.New("a fault that was put in")
+var errInjected = errors.New("a fault that was put in")
 
 func (log *faultyLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	log.mu.Lock()
-	fault := log.draws.IntN(10)
+	fault := log.random.IntN(10)
 	log.mu.Unlock()
 	switch fault {
 	case 0:
-		return 0, errFault
+		return 0, errInjected
 	case 1:
 		_, _ = log.Log.Append(ctx, stream, data)
-		return 0, errFault
+		return 0, errInjected
 	case 2:
 		_, _ = log.Log.Append(ctx, stream, data)
 		return log.Log.Append(ctx, stream, data)
@@ -52,15 +52,15 @@
 	return log.Log.Append(ctx, stream, data)
 }
 
-// recorder collects the operations of a concurrent run.
-type recorder struct {
+// operationRecorder collects the operations of a concurrent run.
+type operationRecorder struct {
 	mu         sync.Mutex
 	clock      atomic.Int64
 	operations []porcupine.Operation
 }
 
-// do runs one operation and notes when it was called and answered.
-func (history *recorder) do(client int, input any, call func() any) {
+// record runs one operation and notes when it was called and answered.
+func (history *operationRecorder) record(client int, input any, call func() any) {
 	called := history.clock.Add(1)
 	output := call()
 	returned := history.clock.Add(1)
@@ -71,29 +71,29 @@
 	})
 }
 
-// publishing is an attempt to replace the version it is based on.
-type publishing struct{ basedOn uint64 }
+// publishInput is an attempt to replace the version it is based on.
+type publishInput struct{ basedOn uint64 }
 
-// verdict is what became of a proposal.
-type verdict int
+// result is what became of a proposal.
+type result int
 
 const (
-	accepted verdict = iota
-	lost
-	open // not known; it may have taken effect at any time
+	accepted result = iota
+	rejected
+	unknown // not known; it may have taken effect at any time
 )
 
 // transition returns the states that a verdict leaves possible: of a proposal
 // that fits, or does not fit, the state before.
-func transition(became verdict, fits bool, before, after any) []any {
+func transition(became result, fits bool, before, after any) []any {
 	switch {
 	case became == accepted && fits:
 		return []any{after}
-	case became == lost && !fits:
+	case became == rejected && !fits:
 		return []any{before}
-	case became == open && fits:
+	case became == unknown && fits:
 		return []any{before, after}
-	case became == open:
+	case became == unknown:
 		return []any{before}
 	}
 	return nil
@@ -104,93 +104,93 @@
 var documentModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(before, input, output any) []any {
-		version, proposed := before.(uint64), input.(publishing)
+		version, proposed := before.(uint64), input.(publishInput)
 		fits := proposed.basedOn == version
-		return transition(output.(verdict), fits, version, version+1)
+		return transition(output.(result), fits, version, version+1)
 	},
 }
 
-// publisher proposes a version and says what became of it.
-type publisher func(log *changelog.Journal, basedOn uint64) verdict
+// publishFunc proposes a version and says what became of it.
+type publishFunc func(log *changelog.Journal, basedOn uint64) result
 
 // propose appends a record and reads what became of it.
-func propose(log *changelog.Journal, rec *record.Record) verdict {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func propose(log *changelog.Journal, rec *record.Record) result {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	outcomes, err := log.Append(ctx, rec)
 	switch {
 	case err != nil:
-		return open
+		return unknown
 	case outcomes[0].Accepted():
 		return accepted
 	}
-	return lost
+	return rejected
 }
 
-func publishAndRead(log *changelog.Journal, basedOn uint64) verdict {
+func publishAndRead(log *changelog.Journal, basedOn uint64) result {
 	return propose(log, publishRecord(basedOn, "x"))
 }
 
-// publishAndHope is broken on purpose: it judges by what this instance knew
+// publishFromLocalState is broken on purpose: it judges by what this instance knew
 // before the append, not by what the log says of it.
-func publishAndHope(log *changelog.Journal, basedOn uint64) verdict {
-	fits := version(log) == basedOn
-	if publishAndRead(log, basedOn) == open {
-		return open
+func publishFromLocalState(log *changelog.Journal, basedOn uint64) result {
+	fits := configVersion(log) == basedOn
+	if publishAndRead(log, basedOn) == unknown {
+		return unknown
 	}
 	if fits {
 		return accepted
 	}
-	return lost
+	return rejected
 }
 
-// raceOperators lets operators at three instances publish at the same time,
+// checkConcurrentPublishes lets operators at three instances publish at the same time,
 // each from the version that its instance shows.
-func raceOperators(t *testing.T, seed uint64, publish publisher) porcupine.CheckResult {
+func checkConcurrentPublishes(t *testing.T, seed uint64, publish publishFunc) porcupine.CheckResult {
 	log := newFaultyLog(seed)
-	history := &recorder{}
+	history := &operationRecorder{}
 	var operators sync.WaitGroup
 	for instance := range 3 {
-		made := running(t, log, changelog.Options{Writer: fmt.Sprint("entry-", instance)})
+		made := startJournal(t, log, changelog.Options{Writer: fmt.Sprint("entry-", instance)})
 		for operator := range 2 {
 			operators.Go(func() {
 				for range 8 {
-					basedOn := version(made)
-					history.do(instance*2+operator, publishing{basedOn}, func() any { return publish(made, basedOn) })
+					basedOn := configVersion(made)
+					history.record(instance*2+operator, publishInput{basedOn}, func() any { return publish(made, basedOn) })
 				}
 			})
 		}
 	}
 	operators.Wait()
 	model := documentModel.ToModel()
-	return porcupine.CheckOperationsTimeout(model, history.operations, patience)
+	return porcupine.CheckOperationsTimeout(model, history.operations, testTimeout)
 }
 
-const histories = 20
+const historyCount = 20
 
-// TestConfigurationHistory: operators race at several instances over a log
+// TestConfigurationLinearizability: operators race at several instances over a log
 // that loses answers; their publications are as if made one after the other.
-func TestConfigurationHistory(t *testing.T) {
-	for seed := range uint64(histories) {
-		if result := raceOperators(t, seed, publishAndRead); result != porcupine.Ok {
+func TestConfigurationLinearizability(t *testing.T) {
+	for seed := range uint64(historyCount) {
+		if result := checkConcurrentPublishes(t, seed, publishAndRead); result != porcupine.Ok {
 			t.Errorf("seed %d: %s", seed, result)
 		}
 	}
 }
 
-// TestConfigurationHistoryCatches: a publisher that hopes instead of reading is
+// TestConfigurationCheckDetectsStaleReads: a publisher that hopes instead of reading is
 // caught.
-func TestConfigurationHistoryCatches(t *testing.T) {
-	for seed := range uint64(histories) {
-		if raceOperators(t, seed, publishAndHope) == porcupine.Illegal {
+func TestConfigurationCheckDetectsStaleReads(t *testing.T) {
+	for seed := range uint64(historyCount) {
+		if checkConcurrentPublishes(t, seed, publishFromLocalState) == porcupine.Illegal {
 			return
 		}
 	}
 	t.Error("the check passed every history of a broken publisher")
 }
 
-// claiming is an attempt to take or give back a key.
-type claiming struct {
+// claimInput is an attempt to take or give back a key.
+type claimInput struct {
 	key, holder string
 	release     bool
 }
@@ -200,7 +200,7 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
 		for _, operation := range history {
-			key := operation.Input.(claiming).key
+			key := operation.Input.(claimInput).key
 			byKey[key] = append(byKey[key], operation)
 		}
 		parts := make([][]porcupine.Operation, 0, len(byKey))
@@ -211,19 +211,19 @@
 	},
 	Init: func() []any { return []any{""} },
 	Step: func(before, input, output any) []any {
-		holder, asked := before.(string), input.(claiming)
+		holder, asked := before.(string), input.(claimInput)
 		fits, after := holder == "", asked.holder
 		if asked.release {
 			fits, after = holder == asked.holder, ""
 		}
-		return transition(output.(verdict), fits, holder, after)
+		return transition(output.(result), fits, holder, after)
 	},
 }
 
-// claimer proposes a claim or its release and says what became of it.
-type claimer func(log *changelog.Journal, asked claiming) verdict
+// claimFunc proposes a claim or its release and says what became of it.
+type claimFunc func(log *changelog.Journal, asked claimInput) result
 
-func claimRecord(asked claiming) *record.Record {
+func claimRecord(asked claimInput) *record.Record {
 	rec := changelog.NewRecord(time.Unix(0, 0))
 	rec.Body = &record.Record_Claim{Claim: &record.Claim{Key: asked.key, Holder: asked.holder}}
 	if asked.release {
@@ -232,42 +232,42 @@
 	return rec
 }
 
-func claimThroughLog(log *changelog.Journal, asked claiming) verdict {
+func claimAndRead(log *changelog.Journal, asked claimInput) result {
 	return propose(log, claimRecord(asked))
 }
 
-// claimLocally is broken on purpose: it takes a key that its own copy of the
+// claimFromLocalState is broken on purpose: it takes a key that its own copy of the
 // state shows as free, and tells the log afterwards.
-func claimLocally(log *changelog.Journal, asked claiming) verdict {
+func claimFromLocalState(log *changelog.Journal, asked claimInput) result {
 	var holder string
 	log.View(func(folded *state.State) { holder = folded.Claim(asked.key).GetHolder() })
-	claimThroughLog(log, asked)
+	claimAndRead(log, asked)
 	if (asked.release && holder == asked.holder) || (!asked.release && holder == "") {
 		return accepted
 	}
-	return lost
+	return rejected
 }
 
-func raceClaims(t *testing.T, seed uint64, claim claimer) porcupine.CheckResult {
+func checkConcurrentClaims(t *testing.T, seed uint64, claim claimFunc) porcupine.CheckResult {
 	log := newFaultyLog(seed)
-	history := &recorder{}
+	history := &operationRecorder{}
 	var callers sync.WaitGroup
 	for instance := range 3 {
-		made := running(t, log, changelog.Options{Writer: fmt.Sprint("entry-", instance)})
+		made := startJournal(t, log, changelog.Options{Writer: fmt.Sprint("entry-", instance)})
 		for caller := range 2 {
 			callers.Go(func() {
 				client := instance*2 + caller
 				for round := range 8 {
-					asked := claiming{key: fmt.Sprint("key-", round%2), holder: fmt.Sprintf("%d/%d", client, round)}
+					asked := claimInput{key: fmt.Sprint("key-", round%2), holder: fmt.Sprintf("%d/%d", client, round)}
 					held := false
-					history.do(client, asked, func() any {
+					history.record(client, asked, func() any {
 						became := claim(made, asked)
 						held = became == accepted
 						return became
 					})
 					if held {
 						asked.release = true
-						history.do(client, asked, func() any { return claim(made, asked) })
+						history.record(client, asked, func() any { return claim(made, asked) })
 					}
 				}
 			})
@@ -275,23 +275,23 @@
 	}
 	callers.Wait()
 	model := claimModel.ToModel()
-	return porcupine.CheckOperationsTimeout(model, history.operations, patience)
+	return porcupine.CheckOperationsTimeout(model, history.operations, testTimeout)
 }
 
-// TestClaimHistory: the same keys are claimed and given back at several
+// TestClaimLinearizability: the same keys are claimed and given back at several
 // instances over a log that loses answers; no key has two holders.
-func TestClaimHistory(t *testing.T) {
-	for seed := range uint64(histories) {
-		if result := raceClaims(t, seed, claimThroughLog); result != porcupine.Ok {
+func TestClaimLinearizability(t *testing.T) {
+	for seed := range uint64(historyCount) {
+		if result := checkConcurrentClaims(t, seed, claimAndRead); result != porcupine.Ok {
 			t.Errorf("seed %d: %s", seed, result)
 		}
 	}
 }
 
-// TestClaimHistoryCatches: a claimer that trusts its own copy is caught.
-func TestClaimHistoryCatches(t *testing.T) {
-	for seed := range uint64(histories) {
-		if raceClaims(t, seed, claimLocally) == porcupine.Illegal {
+// TestClaimCheckDetectsStaleReads: a claimer that trusts its own copy is caught.
+func TestClaimCheckDetectsStaleReads(t *testing.T) {
+	for seed := range uint64(historyCount) {
+		if checkConcurrentClaims(t, seed, claimFromLocalState) == porcupine.Illegal {
 			return
 		}
 	}
--- a/changelog/snapshot.go
+++ b/changelog/snapshot.go
@@ -15,56 +15,56 @@
 )
 
 const (
-	snapshotChunkBytes = 256 << 10
-	snapshotReadMax    = 64
+	snapshotChunkBytes     = 256 << 10
+	maxSnapshotReadEntries = 64
 )
 
-// snapshotIfDue starts a snapshot when enough of the log has come since the
+// writeSnapshotIfDue starts a snapshot when enough of the log has come since the
 // last one that this instance knows of. Which entry writes it is left to
 // chance: the first to find it due looks whether another one was quicker, and
 // a second copy does no harm.
-func (log *Journal) snapshotIfDue(ctx context.Context) {
+func (log *Journal) writeSnapshotIfDue(ctx context.Context) {
 	log.mu.Lock()
-	due := log.caughtUp && log.folded.Next()-log.snapshotAt >= log.options.SnapshotEvery
+	due := log.caughtUp && log.state.NextOffset()-log.snapshotOffset >= log.options.SnapshotEvery
 	log.mu.Unlock()
 	if !due {
 		return
 	}
-	if newest, err := log.newestSnapshot(ctx); err == nil && newest != nil && log.noteSnapshot(newest.nextOffset) {
+	if newest, err := log.newestSnapshot(ctx); err == nil && newest != nil && log.recordSnapshot(newest.nextOffset) {
 		return
 	}
 	if err := log.WriteSnapshot(ctx); err != nil {
-		log.event(ctx, event.SnapshotFailed, slog.String("error", err.Error()))
+		log.logEvent(ctx, event.SnapshotFailed, slog.String("error", err.Error()))
 	}
 }
 
-// noteSnapshot remembers a snapshot of another instance and reports whether it
+// recordSnapshot remembers a snapshot of another instance and reports whether it
 // is recent enough.
-func (log *Journal) noteSnapshot(nextOffset int64) bool {
+func (log *Journal) recordSnapshot(nextOffset int64) bool {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	log.snapshotAt = max(log.snapshotAt, nextOffset)
-	return log.folded.Next()-log.snapshotAt < log.options.SnapshotEvery
+	log.snapshotOffset = max(log.snapshotOffset, nextOffset)
+	return log.state.NextOffset()-log.snapshotOffset < log.options.SnapshotEvery
 }
 
 // WriteSnapshot writes the present state to the log, in chunks.
 func (log *Journal) WriteSnapshot(ctx context.Context) error {
 	log.mu.Lock()
-	data, err := log.folded.Snapshot()
-	next := log.folded.Next()
-	format := log.folded.RecordFormat()
-	log.snapshotAt = next
+	data, err := log.state.Snapshot()
+	next := log.state.NextOffset()
+	format := log.state.RecordFormat()
+	log.snapshotOffset = next
 	log.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	chunks := chunk(data, next, format)
+	chunks := splitSnapshot(data, next, format)
 	for _, part := range chunks {
 		if err := log.appendChunk(ctx, part); err != nil {
 			return err
 		}
 	}
-	log.event(ctx, event.SnapshotWritten, slog.Int64("next_offset", next), slog.Int("bytes", len(data)), slog.Int("chunks", len(chunks)))
+	log.logEvent(ctx, event.SnapshotWritten, slog.Int64("next_offset", next), slog.Int("bytes", len(data)), slog.Int("chunks", len(chunks)))
 	return nil
 }
 
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func chunk(data []byte, next int64, format uint32) []*record.SnapshotChunk {
+func splitSnapshot(data []byte, next int64, format uint32) []*record.SnapshotChunk {
 	id := uuid.NewString()
 	count := max(1, (len(data)+snapshotChunkBytes-1)/snapshotChunkBytes)
 	chunks := make([]*record.SnapshotChunk, 0, count)
@@ -103,8 +103,8 @@
 	return chunks
 }
 
-// wholeSnapshot is a snapshot all of whose chunks were read.
-type wholeSnapshot struct {
+// completeSnapshot is a snapshot all of whose chunks were read.
+type completeSnapshot struct {
 	nextOffset int64
 	data       []byte
 }
@@ -112,12 +112,12 @@
 // newestSnapshot reads the snapshot stream and returns the whole snapshot that
 // reaches furthest, nil when there is none. Chunks of writers that died
 // halfway, or of two writers at once, stand between each other.
-func (log *Journal) newestSnapshot(ctx context.Context) (*wholeSnapshot, error) {
+func (log *Journal) newestSnapshot(ctx context.Context) (*completeSnapshot, error) {
 	parts := map[string][]*record.SnapshotChunk{}
-	var newest *wholeSnapshot
+	var newest *completeSnapshot
 	from := int64(0)
 	for {
-		page, err := log.service.Read(ctx, SnapshotStream, logservice.ReadOptions{From: from, Max: snapshotReadMax})
+		page, err := log.service.Read(ctx, SnapshotStream, logservice.ReadOptions{From: from, Max: maxSnapshotReadEntries})
 		var trimmed *logservice.TrimmedError
 		if errors.As(err, &trimmed) {
 			from = trimmed.Earliest
@@ -139,7 +139,7 @@
 }
 
 // addChunk returns the whole snapshot when the chunk completes one.
-func addChunk(parts map[string][]*record.SnapshotChunk, encoded []byte) *wholeSnapshot {
+func addChunk(parts map[string][]*record.SnapshotChunk, encoded []byte) *completeSnapshot {
 	part := &record.SnapshotChunk{}
 	if err := proto.Unmarshal(encoded, part); err != nil || part.GetCount() == 0 {
 		return nil
@@ -151,7 +151,7 @@
 	if len(parts[part.GetId()]) < int(part.GetCount()) {
 		return nil
 	}
-	whole := &wholeSnapshot{nextOffset: part.GetNextOffset()}
+	whole := &completeSnapshot{nextOffset: part.GetNextOffset()}
 	for _, each := range parts[part.GetId()] {
 		whole.data = append(whole.data, each.GetData()...)
 	}
@@ -159,13 +159,13 @@
 	return whole
 }
 
-// restore replaces the state by the newest snapshot if that reaches further.
-func (log *Journal) restore(ctx context.Context) error {
+// restoreSnapshot replaces the state by the newest snapshot if that reaches further.
+func (log *Journal) restoreSnapshot(ctx context.Context) error {
 	newest, err := log.newestSnapshot(ctx)
 	if err != nil {
 		return err
 	}
-	if newest == nil || newest.nextOffset <= log.next() {
+	if newest == nil || newest.nextOffset <= log.nextOffset() {
 		return nil
 	}
 	folded, err := state.Restore(newest.data, log.options.KnownFormat)
@@ -173,15 +173,15 @@
 	defer log.mu.Unlock()
 	var tooNew *state.FormatError
 	if errors.As(err, &tooNew) {
-		log.halted = errors.Wrap(ErrHalted, err.Error())
-		log.event(ctx, event.FormatTooNew, slog.String("error", err.Error()))
-		return log.halted
+		log.haltErr = errors.Wrap(ErrHalted, err.Error())
+		log.logEvent(ctx, event.FormatTooNew, slog.String("error", err.Error()))
+		return log.haltErr
 	}
 	if err != nil {
 		return err
 	}
-	log.folded = folded
-	log.snapshotAt = newest.nextOffset
-	log.event(ctx, event.SnapshotRestored, slog.Int64("next_offset", newest.nextOffset), slog.Int("tasks", folded.Size()))
+	log.state = folded
+	log.snapshotOffset = newest.nextOffset
+	log.logEvent(ctx, event.SnapshotRestored, slog.Int64("next_offset", newest.nextOffset), slog.Int("tasks", folded.TaskCount()))
 	return nil
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -138,7 +138,7 @@
 // claim with Release or Finish.
 func (claims *Claims) Take(ctx context.Context, key, service string, now time.Time) (*Held, error) {
 	log := claims.options.Journal
-	if log.Ready() != nil || now.Sub(log.FreshAt()) >= claims.options.StaleLog {
+	if log.Ready() != nil || now.Sub(log.SyncedAt()) >= claims.options.StaleLog {
 		return nil, ErrLogDown
 	}
 	// Performance: a key whose request has ended costs no append. One that is
--- a/command/operator.go
+++ b/command/operator.go
@@ -352,7 +352,7 @@
 			if err := flags.err(); err != nil {
 				return err
 			}
-			info := versionInfo{Version: version + revision(), Format: state.Format}
+			info := versionInfo{Version: version + revision(), Format: state.LatestFormat}
 			return printer.printFields(&info, "version", info.Version, "record format", formatInt(int(info.Format)))
 		},
 	}
--- a/entry/clean.go
+++ b/entry/clean.go
@@ -32,12 +32,12 @@
 
 func forgetRecords(folded *state.State, now time.Time, keepEnded, keepClaims time.Duration) []*record.Record {
 	var records []*record.Record
-	for _, id := range folded.EndedBefore(now.Add(-keepEnded), mostForgotten) {
+	for _, id := range folded.EndedTaskIDs(now.Add(-keepEnded), mostForgotten) {
 		rec := changelog.NewRecord(now)
 		rec.Body = &record.Record_TaskForget{TaskForget: &record.TaskForget{Task: id}}
 		records = append(records, rec)
 	}
-	for _, key := range folded.ClaimsWrittenBefore(now.Add(-keepClaims).UnixNano(), mostForgotten) {
+	for _, key := range folded.ClaimKeysWrittenBefore(now.Add(-keepClaims).UnixNano(), mostForgotten) {
 		rec := changelog.NewRecord(now)
 		rec.Body = &record.Record_ClaimForget{ClaimForget: &record.ClaimForget{Key: key}}
 		records = append(records, rec)
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -180,7 +180,7 @@
 	entry.log.View(func(folded *state.State) {
 		board := entry.placer.board(folded, now)
 		for _, task := range folded.Tasks() {
-			if task.Phase().Ended() {
+			if task.Phase().IsTerminal() {
 				continue
 			}
 			asked := entry.placer.taskOf(settings, task, now)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -151,7 +151,7 @@
 		return nil
 	}
 	for service := range settings.Services() {
-		if !entry.table.Usable(service) {
+		if !entry.table.HasReadyServer(service) {
 			return errors.Errorf("no guard of service %s has been heard since the start", service)
 		}
 	}
@@ -255,7 +255,7 @@
 
 // logUp reports whether the log has been read to its end lately.
 func (entry *Entry) logUp(now time.Time) bool {
-	return entry.log.Ready() == nil && now.Sub(entry.log.FreshAt()) < staleLog
+	return entry.log.Ready() == nil && now.Sub(entry.log.SyncedAt()) < staleLog
 }
 
 // Queued returns how many requests of a service wait for a slot.
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -16,7 +16,7 @@
 )
 
 // send makes one try at the picked target.
-func (entry *Entry) send(ctx context.Context, writer http.ResponseWriter, made *call, picked *route.Picked) try {
+func (entry *Entry) send(ctx context.Context, writer http.ResponseWriter, made *call, picked *route.PickResult) try {
 	conn, err := entry.options.Pool.Borrow(ctx, picked.Address())
 	if err != nil {
 		return callFailed(err)
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -45,7 +45,7 @@
 }
 
 func settledSummary(task *state.Task) string {
-	if !task.Phase().Placed() {
+	if !task.Phase().IsPlaced() {
 		return fmt.Sprintf("the task is %s: %s", task.Phase(), task.Reason())
 	}
 	return fmt.Sprintf("attempt %d is %s on %s, where policy %s placed it: %s", task.Attempt(), task.Phase(), task.Worker(), task.PolicyVersion(), task.Reason())
--- a/entry/judge.go
+++ b/entry/judge.go
@@ -22,14 +22,14 @@
 // judge compares the attempts that a guard reports with the state.
 func (entry *Entry) judge(guard *membership.Guard, now time.Time) *verdicts {
 	made := &verdicts{}
-	fresh := entry.log.FreshAt()
+	fresh := entry.log.SyncedAt()
 	entry.log.View(func(folded *state.State) {
 		reported := map[string]bool{}
 		for _, task := range guard.Tasks() {
 			reported[task.GetTask()] = true
 			entry.judgeReported(made, folded, guard, task, fresh, now)
 		}
-		for _, task := range folded.OnWorker(guard.Name()) {
+		for _, task := range folded.TasksOnWorker(guard.Name()) {
 			if !reported[task.ID()] && entry.owns(task.ID(), now) {
 				entry.judgeMissing(made, task, guard, now)
 			}
@@ -50,7 +50,7 @@
 		grant.Stop = grant.Recorded
 	case reported.GetAttempt() > task.Attempt():
 		// This entry's state is behind; another entry knows better.
-	case reported.GetAttempt() < task.Attempt() || !task.Phase().Placed():
+	case reported.GetAttempt() < task.Attempt() || !task.Phase().IsPlaced():
 		grant.Recorded, grant.Stop = true, true
 	default:
 		entry.judgeCurrent(made, folded, guard, task, reported, grant, fresh, now)
@@ -68,10 +68,10 @@
 		}
 		return
 	}
-	if folded.Suspicion(guard.Name()) == 0 {
+	if folded.ActiveSuspicion(guard.Name()) == 0 {
 		// A lease counts from the last time this entry is sure that nobody
 		// had withdrawn it, not from now.
-		grant.LeaseNanos = lease.Left(task.Lease(), fresh, now).Nanoseconds()
+		grant.LeaseNanos = lease.Remaining(task.Lease(), fresh, now).Nanoseconds()
 	}
 	switch {
 	case !owned:
@@ -79,7 +79,7 @@
 		made.records = append(made.records, runningRecord(task.ID(), task.Attempt(), now))
 	case task.Phase() == state.PhaseStopping && reported.GetPhase() == wire.TaskPhase_TASK_RUNNING:
 		made.stops = append(made.stops, stopOf(task, guard))
-	case task.Phase() == state.PhaseRunning && (folded.Draining(guard.Name()) || guard.ListedLeaving()):
+	case task.Phase() == state.PhaseRunning && (folded.IsDraining(guard.Name()) || guard.ListedLeaving()):
 		made.records = append(made.records, evictRecord(task, "its worker is drained", now))
 	}
 }
@@ -145,7 +145,7 @@
 // it does so, not only the one that acts for the worker: the case is a guard
 // that reaches some entries and not that one.
 func (entry *Entry) judgeSuspect(made *verdicts, folded *state.State, guard *membership.Guard, now time.Time) {
-	suspicion := folded.Suspicion(guard.Name())
+	suspicion := folded.ActiveSuspicion(guard.Name())
 	if suspicion == 0 {
 		return
 	}
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -47,7 +47,7 @@
 	}{
 		{"ambertiller.log.lag", "", "Entries of the log that are not folded yet.", entry.log.Lag},
 		{"ambertiller.log.age", "ms", "Time since the log was last read to its end.", func() int64 {
-			return entry.now().Sub(entry.log.FreshAt()).Milliseconds()
+			return entry.now().Sub(entry.log.SyncedAt()).Milliseconds()
 		}},
 		{"ambertiller.tasks.pending", "", "Tasks that wait for a worker.", func() (count int64) {
 			entry.log.View(func(folded *state.State) { count = int64(folded.PendingCount()) })
--- a/entry/place.go
+++ b/entry/place.go
@@ -152,7 +152,7 @@
 		Spec:      task.Spec(),
 		Class:     string(kind.Class()),
 		Attempts:  task.Attempt(),
-		Waited:    max(0, now.Sub(task.Created())),
+		Waited:    max(0, now.Sub(task.CreatedAt())),
 		RefusedBy: placing.refusedBy(task.ID(), now),
 	}
 }
@@ -314,7 +314,7 @@
 	if load.GetSlots() > 0 {
 		made.Load = float64(load.GetSlotsUsed()) / float64(load.GetSlots())
 	}
-	for _, task := range folded.OnWorker(guard.Name()) {
+	for _, task := range folded.TasksOnWorker(guard.Name()) {
 		asked := placement.ResourcesOf(task.Spec())
 		made.Committed.MilliCPU += asked.MilliCPU
 		made.Committed.MemoryBytes += asked.MemoryBytes
@@ -335,9 +335,9 @@
 // blocked returns why a worker takes no tasks at all now, empty when it does.
 func (placing *placer) blocked(folded *state.State, guard *membership.Guard, now time.Time) placement.Constraint {
 	switch {
-	case folded.Suspicion(guard.Name()) != 0 || placing.entry.view.Silent(guard, now):
+	case folded.ActiveSuspicion(guard.Name()) != 0 || placing.entry.view.Silent(guard, now):
 		return placement.Suspected
-	case folded.Draining(guard.Name()):
+	case folded.IsDraining(guard.Name()):
 		return placement.Draining
 	case !guard.Ready():
 		return placement.NotReady
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -17,7 +17,7 @@
 func teamUsage(folded *state.State) teamUse {
 	usage := teamUse{}
 	for _, worker := range folded.Workers() {
-		for _, task := range folded.OnWorker(worker) {
+		for _, task := range folded.TasksOnWorker(worker) {
 			usage.add(task.Spec())
 		}
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -57,12 +57,12 @@
 	maybe := false
 	requeued := 0
 	for {
-		picked, err := entry.table.Wait(ctx, made.service, tried, route.Bounds{
-			Most:     made.settings.Queue(),
-			Deadline: made.deadline,
-			Now:      entry.now,
-			After:    entry.options.Clock.After,
-			Again:    requeued > 0,
+		picked, err := entry.table.PickOrWait(ctx, made.service, tried, route.WaitOptions{
+			MaxQueued: made.settings.Queue(),
+			Deadline:  made.deadline,
+			Now:       entry.now,
+			After:     entry.options.Clock.After,
+			Requeued:  requeued > 0,
 		})
 		if err != nil {
 			return entry.giveUp(ctx, held, maybe, shedProblem(err))
@@ -143,7 +143,7 @@
 }
 
 // noteTry tells the routing table, the metrics and the log how a try ended.
-func (entry *Entry) noteTry(ctx context.Context, made *call, picked *route.Picked, ended try) {
+func (entry *Entry) noteTry(ctx context.Context, made *call, picked *route.PickResult, ended try) {
 	now := entry.now()
 	outcome := route.Answered
 	switch {
@@ -169,11 +169,11 @@
 		slog.String("service", made.service),
 		slog.String("worker", picked.Worker()),
 		slog.Int("status", ended.status),
-		slog.Float64("fullness", picked.Fullness()),
-		slog.Int("considered", picked.Considered()),
-		slog.Int("rejected_full", picked.Full()),
-		slog.Int("rejected_unready", picked.Unready()),
-		slog.Int("rejected_failing", picked.Ejected()),
+		slog.Float64("fullness", picked.Utilisation()),
+		slog.Int("considered", picked.ServerCount()),
+		slog.Int("rejected_full", picked.FullCount()),
+		slog.Int("rejected_unready", picked.UnreadyCount()),
+		slog.Int("rejected_failing", picked.EjectedCount()),
 		slog.Duration("took", now.Sub(made.began)))
 }
 
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -112,11 +112,11 @@
 func (streaming *watchStream) where() (address string, ended bool) {
 	streaming.entry.log.View(func(folded *state.State) {
 		task := folded.Task(streaming.task)
-		if task == nil || task.Phase().Ended() {
+		if task == nil || task.Phase().IsTerminal() {
 			ended = true
 			return
 		}
-		if !task.Phase().Placed() {
+		if !task.Phase().IsPlaced() {
 			return
 		}
 		if guard := streaming.entry.view.Guard(task.Worker()); guard != nil {
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -76,16 +76,16 @@
 		if !entry.owns(worker, now) {
 			continue
 		}
-		suspicion := folded.Suspicion(worker)
+		suspicion := folded.ActiveSuspicion(worker)
 		if suspicion == 0 {
-			if entry.silent(worker, folded.Suspicions(worker), now) {
+			if entry.silent(worker, folded.SuspicionCount(worker), now) {
 				records = append(records, suspectRecord(worker, now))
 			}
 			continue
 		}
 		since := entry.suspects.known(worker, suspicion, now)
-		for _, task := range folded.OnWorker(worker) {
-			if now.Sub(since) > lease.CountedOut(task.Lease(), offerTime) {
+		for _, task := range folded.TasksOnWorker(worker) {
+			if now.Sub(since) > lease.ExpiryWait(task.Lease(), offerTime) {
 				records = append(records, lostRecord(task, suspicion, now))
 			}
 		}
--- a/entry/tasks.go
+++ b/entry/tasks.go
@@ -180,7 +180,7 @@
 		return nil
 	}
 	var waiting int
-	entry.log.View(func(folded *state.State) { waiting = folded.PendingOfKind(spec.GetKind()) })
+	entry.log.View(func(folded *state.State) { waiting = folded.PendingCountOfKind(spec.GetKind()) })
 	if waiting < kind.MaxPending() {
 		return nil
 	}
@@ -205,8 +205,8 @@
 		Accelerators:  spec.GetResources().GetAccelerators(),
 		Priority:      spec.GetPriority(),
 		Policy:        task.PolicyVersion(),
-		Created:       task.Created().UTC(),
-		Changed:       task.Changed().UTC(),
+		Created:       task.CreatedAt().UTC(),
+		Changed:       task.ChangedAt().UTC(),
 	}
 }
 
@@ -256,7 +256,7 @@
 		switch {
 		case task == nil:
 			sent = notFound("no task has the ID " + strconv.Quote(id))
-		case !task.Phase().Ended():
+		case !task.Phase().IsTerminal():
 			sent = problem(http.StatusConflict, api.TypeConflict, "The task has not ended", "it is "+task.Phase().String()+": "+task.Reason())
 		default:
 			result = &api.Result{ID: id, Phase: task.Phase().String(), Reason: task.Reason(), Output: string(task.Result())}
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -34,7 +34,7 @@
 		Rack:          guard.Rack(),
 		Service:       guard.Service(),
 		State:         entry.workerState(folded, guard, now),
-		Draining:      folded.Draining(guard.Name()),
+		Draining:      folded.IsDraining(guard.Name()),
 		Processors:    float64(laid.Capacity.MilliCPU) / thousand,
 		FreeCPU:       float64(laid.Capacity.MilliCPU-laid.Committed.MilliCPU) / thousand,
 		MemoryBytes:   laid.Capacity.MemoryBytes,
@@ -44,7 +44,7 @@
 		Tasks:         []string{},
 		HeardAt:       guard.HeardAt().UTC(),
 	}
-	for _, task := range folded.OnWorker(guard.Name()) {
+	for _, task := range folded.TasksOnWorker(guard.Name()) {
 		shown.Tasks = append(shown.Tasks, task.ID())
 	}
 	return shown
@@ -52,7 +52,7 @@
 
 func (entry *Entry) workerState(folded *state.State, guard *membership.Guard, now time.Time) string {
 	switch {
-	case folded.Suspicion(guard.Name()) != 0:
+	case folded.ActiveSuspicion(guard.Name()) != 0:
 		return "suspected"
 	case entry.view.Silent(guard, now):
 		return "silent"
@@ -69,7 +69,7 @@
 // end the drain of a worker whose guard is silent.
 func (entry *Entry) knowsWorker(worker string) bool {
 	known := entry.view.Guard(worker) != nil
-	entry.log.View(func(folded *state.State) { known = known || folded.Knows(worker) })
+	entry.log.View(func(folded *state.State) { known = known || folded.HasWorker(worker) })
 	return known
 }
 
--- a/guard/report.go
+++ b/guard/report.go
@@ -166,7 +166,7 @@
 	report := &wire.ReportRequest{
 		Worker:        guard.options.Name,
 		Incarnation:   guard.incarnation,
-		UptimeNanos:   guard.holder.Report(guard.uptime(now)).Nanoseconds(),
+		UptimeNanos:   guard.holder.ReportUptime(guard.uptime(now)).Nanoseconds(),
 		FailureDomain: guard.options.FailureDomain,
 		Rack:          guard.capacity.Rack,
 		Service:       guard.options.Service,
--- a/guard/task.go
+++ b/guard/task.go
@@ -84,9 +84,9 @@
 }
 
 var offerReasons = map[error]wire.RefusalReason{
-	lease.ErrIncarnation: wire.RefusalReason_REFUSAL_WRONG_INCARNATION,
-	lease.ErrExpired:     wire.RefusalReason_REFUSAL_OFFER_EXPIRED,
-	lease.ErrBarred:      wire.RefusalReason_REFUSAL_STALE_ATTEMPT,
+	lease.ErrOtherIncarnation: wire.RefusalReason_REFUSAL_WRONG_INCARNATION,
+	lease.ErrExpired:          wire.RefusalReason_REFUSAL_OFFER_EXPIRED,
+	lease.ErrFenced:           wire.RefusalReason_REFUSAL_STALE_ATTEMPT,
 }
 
 // started notes the worker's answer to a start. When the answer is missing the
@@ -171,7 +171,7 @@
 func (guard *Guard) bar(request *wire.StopRequest, now time.Time) (running, again bool, refusal *wire.Refusal) {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	guard.holder.Bar(request.GetTask(), request.GetAttempt(), guard.uptime(now))
+	guard.holder.Fence(request.GetTask(), request.GetAttempt(), guard.uptime(now))
 	each := guard.attempts[request.GetTask()]
 	if each != nil && each.number == request.GetAttempt() && !each.ended() {
 		again = each.phase == wire.TaskPhase_TASK_STOPPING
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -12,7 +12,7 @@
 //   - A holder tells its uptime in its reports. Once it has told one, it takes
 //     up no offer that ends before it: the giver may have acted on the report.
 //   - A lease that is no longer renewed has ended, on the slowest clock that is
-//     allowed for, when [CountedOut] says so.
+//     allowed for, when [ExpiryWait] says so.
 //
 // # Usage
 //
@@ -23,7 +23,7 @@
 //
 // # Errors
 //
-// Check returns [ErrIncarnation], [ErrExpired] or [ErrBarred]; each proves that
+// Check returns [ErrOtherIncarnation], [ErrExpired] or [ErrFenced]; each proves that
 // the offer is not taken up, now or later.
 package lease
 
@@ -34,21 +34,21 @@
 )
 
 const (
-	// LongestOffer bounds how far ahead an offer may end. Barriers are kept
+	// MaxOfferTime bounds how far ahead an offer may end. Barriers are kept
 	// that long: after it the offer has ended by itself.
-	LongestOffer = 30 * time.Second
-	// ClockRateBound is how much faster or slower one clock may run than
+	MaxOfferTime = 30 * time.Second
+	// MaxClockDriftRate is how much faster or slower one clock may run than
 	// another one.
-	ClockRateBound = 0.02
-	// margin covers the pauses between reading a clock and acting on it.
-	margin = 2 * time.Second
+	MaxClockDriftRate = 0.02
+	// expiryMargin covers the pauses between reading a clock and acting on it.
+	expiryMargin = 2 * time.Second
 )
 
 // The reasons for not taking an offer up.
 var (
-	ErrIncarnation = errors.New("the offer was made to another incarnation")
-	ErrExpired     = errors.New("the offer has ended, or ends too far ahead")
-	ErrBarred      = errors.New("the attempt was stopped before it came")
+	ErrOtherIncarnation = errors.New("the offer was made to another incarnation")
+	ErrExpired          = errors.New("the offer has ended, or ends too far ahead")
+	ErrFenced           = errors.New("the attempt was stopped before it came")
 )
 
 // Offer is work offered to a holder.
@@ -66,20 +66,20 @@
 // Holder keeps what a holder must remember to judge offers. It is not safe for
 // concurrent use: the holder takes up work under the same lock.
 type Holder struct {
-	incarnation string
-	reported    time.Duration
-	barriers    map[string]barrier
+	incarnation    string
+	reportedUptime time.Duration
+	fences         map[string]fence
 }
 
-// barrier keeps attempts up to a token from starting.
-type barrier struct {
-	token uint64
-	until time.Duration
+// fence keeps attempts up to a token from starting.
+type fence struct {
+	token     uint64
+	expiresAt time.Duration
 }
 
 // NewHolder returns a holder of the given incarnation.
 func NewHolder(incarnation string) *Holder {
-	return &Holder{incarnation: incarnation, barriers: map[string]barrier{}}
+	return &Holder{incarnation: incarnation, fences: map[string]fence{}}
 }
 
 // Incarnation returns which start of the holder this is.
@@ -89,47 +89,47 @@
 func (holder *Holder) Check(offer Offer, uptime time.Duration) error {
 	switch {
 	case offer.Incarnation != holder.incarnation:
-		return ErrIncarnation
-	case max(uptime, holder.reported) >= offer.Deadline, offer.Deadline > uptime+LongestOffer:
+		return ErrOtherIncarnation
+	case max(uptime, holder.reportedUptime) >= offer.Deadline, offer.Deadline > uptime+MaxOfferTime:
 		return ErrExpired
-	case offer.Token <= holder.barriers[offer.Subject].token:
-		return ErrBarred
+	case offer.Token <= holder.fences[offer.Subject].token:
+		return ErrFenced
 	}
 	return nil
 }
 
-// Bar keeps attempts at the subject up to the token from being taken up.
-func (holder *Holder) Bar(subject string, token uint64, uptime time.Duration) {
-	holder.prune(uptime)
-	present := holder.barriers[subject]
-	holder.barriers[subject] = barrier{token: max(present.token, token), until: uptime + LongestOffer}
+// Fence keeps attempts at the subject up to the token from being taken up.
+func (holder *Holder) Fence(subject string, token uint64, uptime time.Duration) {
+	holder.pruneFences(uptime)
+	present := holder.fences[subject]
+	holder.fences[subject] = fence{token: max(present.token, token), expiresAt: uptime + MaxOfferTime}
 }
 
-func (holder *Holder) prune(uptime time.Duration) {
-	for subject, set := range holder.barriers {
-		if set.until < uptime {
-			delete(holder.barriers, subject)
+func (holder *Holder) pruneFences(uptime time.Duration) {
+	for subject, set := range holder.fences {
+		if set.expiresAt < uptime {
+			delete(holder.fences, subject)
 		}
 	}
 }
 
-// Report returns the uptime to tell, which never goes back, and from then on
+// ReportUptime returns the uptime to tell, which never goes back, and from then on
 // keeps every offer that ends before it from being taken up.
-func (holder *Holder) Report(uptime time.Duration) time.Duration {
-	holder.reported = max(holder.reported, uptime)
-	return holder.reported
+func (holder *Holder) ReportUptime(uptime time.Duration) time.Duration {
+	holder.reportedUptime = max(holder.reportedUptime, uptime)
+	return holder.reportedUptime
 }
 
-// CountedOut returns how long a giver waits, on its own clock, from when it
+// ExpiryWait returns how long a giver waits, on its own clock, from when it
 // knows that nobody renews a lease any more until it must have ended: the last
 // offer may still be taken up at its very end, and the lease then runs its
 // whole length on a slow clock while the giver's runs fast.
-func CountedOut(length, offerTime time.Duration) time.Duration {
-	return time.Duration(float64(length+offerTime)*(1+2*ClockRateBound)) + margin
+func ExpiryWait(length, offerTime time.Duration) time.Duration {
+	return time.Duration(float64(length+offerTime)*(1+2*MaxClockDriftRate)) + expiryMargin
 }
 
-// Left returns what a giver may grant of a lease: it counts from the last time
+// Remaining returns what a giver may grant of a lease: it counts from the last time
 // that the giver was sure that nobody had withdrawn it.
-func Left(length time.Duration, sure, now time.Time) time.Duration {
+func Remaining(length time.Duration, sure, now time.Time) time.Duration {
 	return max(0, length-now.Sub(sure))
 }
--- a/operator/knowledge.go
+++ b/operator/knowledge.go
@@ -65,7 +65,7 @@
 
 // maxClockDrift is what two clocks may differ by over a while: each runs wrong by less than
 // the bound that leases assume.
-const maxClockDrift = 2 * lease.ClockRateBound
+const maxClockDrift = 2 * lease.MaxClockDriftRate
 
 // PeerUptime translates a moment of this process's clock to the uptime of a peer, which
 // was at least uptime when it was heard. The result is never later than the moment was
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -48,7 +48,7 @@
 	// tickInterval is how often due work is done if no event arrives.
 	tickInterval = 100 * time.Millisecond
 	// maxClockDrift bounds by how much two clocks diverge over a grant, as a share of its duration.
-	maxClockDrift = 2 * lease.ClockRateBound
+	maxClockDrift = 2 * lease.MaxClockDriftRate
 	// grantMargin is how long after the expiry of a grant its runs are released: a stop takes up to half a
 	// second.
 	grantMargin = 600 * time.Millisecond
--- a/route/route.go
+++ b/route/route.go
@@ -17,7 +17,7 @@
 //
 // # Errors
 //
-// [ErrFull] says that every usable server is believed to be full, [ErrNone]
+// [ErrFull] says that every usable server is believed to be full, [ErrNoneReady]
 // that there is none.
 package route
 
@@ -36,21 +36,21 @@
 // ErrFull says that every usable backend server is believed to be full.
 var ErrFull = errors.New("every backend server of the service is full")
 
-// ErrNone says that no backend server of the service can be used.
-var ErrNone = errors.New("no backend server of the service is known to be ready")
+// ErrNoneReady says that no backend server of the service can be used.
+var ErrNoneReady = errors.New("no backend server of the service is known to be ready")
 
 const (
-	// distancePrice is how much fuller a server in another failure domain
+	// crossDomainPenalty is how much fuller a server in another failure domain
 	// counts, as a share of its slots.
-	distancePrice = 0.25
+	crossDomainPenalty = 0.25
 	// failuresToEject is how many failures in a row put a server aside.
 	failuresToEject = 3
-	ejectTime       = 5 * time.Second
-	// unknownLatency stands in for the time of a server that has answered
+	ejectionTime    = 5 * time.Second
+	// defaultLatency stands in for the time of a server that has answered
 	// nothing yet.
-	unknownLatency = 100 * time.Millisecond
-	// mostEjected bounds the part of a service that is put aside.
-	mostEjected = 0.34
+	defaultLatency = 100 * time.Millisecond
+	// maxEjectedRatio bounds the part of a service that is put aside.
+	maxEjectedRatio = 0.34
 )
 
 // Outcome says how a request to a backend server ended.
@@ -65,53 +65,53 @@
 
 // server is one backend server; the table's lock guards it.
 type server struct {
-	name        string
-	address     string
-	domain      string
-	incarnation string
-	slots       int
-	others      int
-	learnedAt   time.Time
-	inFlight    int
-	ready       bool
-	failures    int
-	ejectedTill time.Time
-	latency     time.Duration
+	name          string
+	address       string
+	domain        string
+	incarnation   string
+	slots         int
+	otherInFlight int
+	loadUpdatedAt time.Time
+	inFlight      int
+	ready         bool
+	failures      int
+	ejectedUntil  time.Time
+	latency       time.Duration
 }
 
-// Picked is a backend server that was given a request, as it was known then.
-type Picked struct {
-	target     *server
-	worker     string
-	address    string
-	service    string
-	fullness   float64
-	considered int
-	full       int
-	unready    int
-	ejected    int
+// PickResult is a backend server that was given a request, as it was known then.
+type PickResult struct {
+	server       *server
+	worker       string
+	address      string
+	service      string
+	utilisation  float64
+	serverCount  int
+	fullCount    int
+	unreadyCount int
+	ejectedCount int
 }
 
 // Worker returns the name of the picked server's worker.
-func (picked *Picked) Worker() string { return picked.worker }
+func (picked *PickResult) Worker() string { return picked.worker }
 
 // Address returns where the picked server's guard is reached.
-func (picked *Picked) Address() string { return picked.address }
+func (picked *PickResult) Address() string { return picked.address }
 
-// Fullness returns how full the target was believed to be, 0 to 1.
-func (picked *Picked) Fullness() float64 { return picked.fullness }
+// Utilisation returns how full the target was believed to be, 0 to 1.
+func (picked *PickResult) Utilisation() float64 { return picked.utilisation }
 
-// Considered returns how many targets the service has.
-func (picked *Picked) Considered() int { return picked.considered }
+// ServerCount returns how many targets the service has.
+func (picked *PickResult) ServerCount() int { return picked.serverCount }
 
-// Full returns how many targets were passed over as full.
-func (picked *Picked) Full() int { return picked.full }
+// FullCount returns how many targets were passed over as full.
+func (picked *PickResult) FullCount() int { return picked.fullCount }
 
-// Unready returns how many were passed over as not ready or already tried.
-func (picked *Picked) Unready() int { return picked.unready }
+// UnreadyCount returns how many were passed over as not ready or already tried.
+func (picked *PickResult) UnreadyCount() int { return picked.unreadyCount }
 
-// Ejected returns how many were passed over for failing.
-func (picked *Picked) Ejected() int { return picked.ejected }
+// EjectedCount returns how many were passed over for failing.
+func (picked *PickResult) EjectedCount() int { return picked.ejectedCount }
 
 // Table holds the targets of every service. It may be used by many goroutines.
 type Table struct {
@@ -121,7 +121,7 @@
 }
 
 type service struct {
-	targets []*server
+	servers []*server
 	queue   queue
 	latency time.Duration
 }
@@ -131,7 +131,7 @@
 	return &Table{domain: domain, services: map[string]*service{}}
 }
 
-func (table *Table) service(name string) *service {
+func (table *Table) ensureService(name string) *service {
 	named, found := table.services[name]
 	if !found {
 		named = &service{}
@@ -148,114 +148,114 @@
 	}
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	named := table.service(guard.Service())
-	target := named.target(guard.Name())
+	named := table.ensureService(guard.Service())
+	target := named.ensureServer(guard.Name())
 	if target.incarnation != guard.Incarnation() {
-		target.failures, target.ejectedTill = 0, time.Time{}
+		target.failures, target.ejectedUntil = 0, time.Time{}
 	}
 	target.address = guard.Address()
 	target.domain = guard.FailureDomain()
 	target.incarnation = guard.Incarnation()
 	target.ready = guard.Ready() && !silent
-	target.learn(guard.Load(), guard.HeardAt())
-	named.wakeFree(guard.HeardAt())
+	target.updateLoad(guard.Load(), guard.HeardAt())
+	named.wakeWaiters(guard.HeardAt())
 }
 
-func (named *service) target(name string) *server {
-	for _, target := range named.targets {
+func (named *service) ensureServer(name string) *server {
+	for _, target := range named.servers {
 		if target.name == name {
 			return target
 		}
 	}
 	target := &server{name: name}
-	named.targets = append(named.targets, target)
+	named.servers = append(named.servers, target)
 	return target
 }
 
-// learn takes in a load that the guard stated. What it counts beyond this
+// updateLoad takes in a load that the guard stated. What it counts beyond this
 // entry's own requests is the work of others.
-func (target *server) learn(load *wire.Load, now time.Time) {
+func (target *server) updateLoad(load *wire.Load, now time.Time) {
 	if load == nil {
 		return
 	}
-	target.learnedAt = now
+	target.loadUpdatedAt = now
 	target.slots = int(load.GetSlots())
-	target.others = max(0, int(load.GetSlotsUsed())-target.inFlight)
+	target.otherInFlight = max(0, int(load.GetSlotsUsed())-target.inFlight)
 	if load.GetLatencyNanos() > 0 {
 		target.latency = time.Duration(load.GetLatencyNanos())
 	}
 }
 
-// used is how many slots are believed to be taken. The requests of others are
+// usedSlots is how many slots are believed to be taken. The requests of others are
 // taken to end, one after the other, within the server's usual time: without
 // that an entry none of whose own requests is there would believe a server
 // full until its guard's next report.
-func (target *server) used(now time.Time) int {
+func (target *server) usedSlots(now time.Time) int {
 	usual := target.latency
 	if usual == 0 {
-		usual = unknownLatency
+		usual = defaultLatency
 	}
-	age := max(0, now.Sub(target.learnedAt))
+	age := max(0, now.Sub(target.loadUpdatedAt))
 	left := max(0, 1-float64(age)/float64(usual))
-	return int(math.Ceil(float64(target.others)*left)) + target.inFlight
+	return int(math.Ceil(float64(target.otherInFlight)*left)) + target.inFlight
 }
 
-func (target *server) fullness(now time.Time) float64 {
+func (target *server) utilisation(now time.Time) float64 {
 	if target.slots == 0 {
 		return 1
 	}
-	return float64(target.used(now)) / float64(target.slots)
+	return float64(target.usedSlots(now)) / float64(target.slots)
 }
 
 // Pick takes the cheapest target that is not in tried and counts a request on
 // it. Call Done once for each Picked.
-func (table *Table) Pick(name string, tried []string, now time.Time) (*Picked, error) {
+func (table *Table) Pick(name string, tried []string, now time.Time) (*PickResult, error) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	return table.pick(name, tried, now)
 }
 
-func (table *Table) pick(name string, tried []string, now time.Time) (*Picked, error) {
+func (table *Table) pick(name string, tried []string, now time.Time) (*PickResult, error) {
 	named, found := table.services[name]
 	if !found {
-		return nil, ErrNone
+		return nil, ErrNoneReady
 	}
-	picked := &Picked{service: name, considered: len(named.targets)}
-	ejectable := int(mostEjected * float64(len(named.targets)))
+	picked := &PickResult{service: name, serverCount: len(named.servers)}
+	ejectable := int(maxEjectedRatio * float64(len(named.servers)))
 	lowest := math.Inf(1)
-	for _, target := range named.targets {
+	for _, target := range named.servers {
 		switch {
-		case !target.ready || contains(tried, target.name):
-			picked.unready++
+		case !target.ready || containsName(tried, target.name):
+			picked.unreadyCount++
 			continue
-		case now.Before(target.ejectedTill) && picked.ejected < ejectable:
-			picked.ejected++
+		case now.Before(target.ejectedUntil) && picked.ejectedCount < ejectable:
+			picked.ejectedCount++
 			continue
-		case target.used(now) >= target.slots:
-			picked.full++
+		case target.usedSlots(now) >= target.slots:
+			picked.fullCount++
 			continue
 		}
-		price := target.fullness(now)
+		price := target.utilisation(now)
 		if target.domain != table.domain {
-			price += distancePrice
+			price += crossDomainPenalty
 		}
 		if price < lowest {
-			lowest, picked.target = price, target
+			lowest, picked.server = price, target
 		}
 	}
-	if picked.target == nil {
-		if picked.full > 0 {
+	if picked.server == nil {
+		if picked.fullCount > 0 {
 			return nil, ErrFull
 		}
-		return nil, ErrNone
+		return nil, ErrNoneReady
 	}
-	picked.fullness = picked.target.fullness(now)
-	picked.worker, picked.address = picked.target.name, picked.target.address
-	picked.target.inFlight++
+	picked.utilisation = picked.server.utilisation(now)
+	picked.worker, picked.address = picked.server.name, picked.server.address
+	picked.server.inFlight++
 	return picked, nil
 }
 
-func contains(names []string, name string) bool {
+func containsName(names []string, name string) bool {
 	for _, each := range names {
 		if each == name {
 			return true
@@ -266,43 +266,43 @@
 
 // Done counts the end of a request, with the load that came with its answer,
 // if any, and the time it took.
-func (table *Table) Done(picked *Picked, outcome Outcome, load *wire.Load, took time.Duration, now time.Time) {
+func (table *Table) Done(picked *PickResult, outcome Outcome, load *wire.Load, took time.Duration, now time.Time) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	named := table.services[picked.service]
-	target := picked.target
+	target := picked.server
 	target.inFlight--
-	target.learn(load, now)
+	target.updateLoad(load, now)
 	switch outcome {
 	case Answered:
 		target.failures = 0
-		named.latency = smooth(named.latency, took)
+		named.latency = movingAverage(named.latency, took)
 	case Failed:
 		target.failures++
 		if target.failures >= failuresToEject {
 			target.failures = 0
-			target.ejectedTill = now.Add(ejectTime)
+			target.ejectedUntil = now.Add(ejectionTime)
 		}
 	}
-	named.wakeFree(now)
+	named.wakeWaiters(now)
 }
 
-const smoothWeight = 0.05
+const latencySmoothing = 0.05
 
-func smooth(before, reading time.Duration) time.Duration {
+func movingAverage(before, reading time.Duration) time.Duration {
 	if before == 0 {
 		return reading
 	}
-	return before + time.Duration(smoothWeight*float64(reading-before))
+	return before + time.Duration(latencySmoothing*float64(reading-before))
 }
 
-// Usable reports whether some backend server of the service is ready.
-func (table *Table) Usable(name string) bool {
+// HasReadyServer reports whether some backend server of the service is ready.
+func (table *Table) HasReadyServer(name string) bool {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	named, found := table.services[name]
 	if !found {
 		return false
 	}
-	return slices.ContainsFunc(named.targets, func(target *server) bool { return target.ready })
+	return slices.ContainsFunc(named.servers, func(target *server) bool { return target.ready })
 }
--- a/session/harness_test.go
+++ b/session/harness_test.go
@@ -256,8 +256,8 @@
 				made.tick(time.Millisecond)
 			}
 			var next int64
-			seated.journal.View(func(folded *state.State) { next = folded.Next() })
-			return !seated.journal.FreshAt().Before(now) && next == made.log.End(changelog.RecordStream)
+			seated.journal.View(func(folded *state.State) { next = folded.NextOffset() })
+			return !seated.journal.SyncedAt().Before(now) && next == made.log.End(changelog.RecordStream)
 		})
 		seated.role.SyncDocuments(made.ctx)
 	}
--- a/session/soak_test.go
+++ b/session/soak_test.go
@@ -167,7 +167,7 @@
 }
 
 func (made *soak) draining(name string) (draining bool) {
-	made.entries["entry-1"].journal.View(func(folded *state.State) { draining = folded.Draining(name) })
+	made.entries["entry-1"].journal.View(func(folded *state.State) { draining = folded.IsDraining(name) })
 	return draining
 }
 
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -8,12 +8,12 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// lifeOf returns the records of a task's life, as batches of one record.
-func lifeOf(number int) []*record.Batch {
+// taskLifecycle returns the records of a task's life, as batches of one record.
+func taskLifecycle(number int) []*record.Batch {
 	id := fmt.Sprintf("8f0b8b4e-6f0e-4c55-9a3e-%012d", number)
 	worker := fmt.Sprintf("worker-%03d", number%550)
 	records := []*record.Record{
-		createOf(id, 1),
+		newCreateRecord(id, 1),
 		{Id: id + "2", Format: 1, Body: &record.Record_TaskAssign{TaskAssign: &record.TaskAssign{Task: id, BasedOn: 1, Worker: worker, Incarnation: "i", LeaseNanos: 1}}},
 		{Id: id + "3", Format: 1, Body: &record.Record_TaskRunning{TaskRunning: &record.TaskRunning{Task: id, Attempt: 1}}},
 		{Id: id + "4", Format: 1, Body: &record.Record_TaskFinish{TaskFinish: &record.TaskFinish{Task: id, Attempt: 1, Result: []byte("done")}}},
@@ -21,18 +21,18 @@
 	}
 	batches := make([]*record.Batch, 0, len(records))
 	for _, rec := range records {
-		batches = append(batches, batchOf(rec.GetId(), rec))
+		batches = append(batches, newBatch(rec.GetId(), rec))
 	}
 	return batches
 }
 
-// liveState holds tasks that run.
-func liveState(tb testing.TB, tasks int) *state.State {
+// newRunningState holds tasks that run.
+func newRunningState(tb testing.TB, tasks int) *state.State {
 	tb.Helper()
 	folded := state.New()
 	for number := range tasks {
-		for _, batch := range lifeOf(number)[:3] {
-			if _, err := folded.Apply(folded.Next(), batch); err != nil {
+		for _, batch := range taskLifecycle(number)[:3] {
+			if _, err := folded.Apply(folded.NextOffset(), batch); err != nil {
 				tb.Fatal(err)
 			}
 		}
@@ -42,7 +42,7 @@
 
 // BenchmarkFold folds one record, among tasks at the two-year size.
 func BenchmarkFold(b *testing.B) {
-	folded := liveState(b, 5000)
+	folded := newRunningState(b, 5000)
 	number := 1_000_000
 	var batches []*record.Batch
 	b.ReportAllocs()
@@ -50,12 +50,12 @@
 		if len(batches) == 0 {
 			b.StopTimer()
 			for range 1000 {
-				batches = append(batches, lifeOf(number)...)
+				batches = append(batches, taskLifecycle(number)...)
 				number++
 			}
 			b.StartTimer()
 		}
-		if _, err := folded.Apply(folded.Next(), batches[0]); err != nil {
+		if _, err := folded.Apply(folded.NextOffset(), batches[0]); err != nil {
 			b.Fatal(err)
 		}
 		batches = batches[1:]
@@ -65,7 +65,7 @@
 
 // BenchmarkSnapshot and BenchmarkRestore are per 1,000 tasks.
 func BenchmarkSnapshot(b *testing.B) {
-	folded := liveState(b, 1000)
+	folded := newRunningState(b, 1000)
 	b.ReportAllocs()
 	for b.Loop() {
 		data, err := folded.Snapshot()
@@ -77,14 +77,14 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	data, err := liveState(b, 1000).Snapshot()
+	data, err := newRunningState(b, 1000).Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.SetBytes(int64(len(data)))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := state.Restore(data, state.Format); err != nil {
+		if _, err := state.Restore(data, state.LatestFormat); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/state/claim.go
+++ b/state/claim.go
@@ -15,9 +15,9 @@
 // Claim returns the claim on a key, nil when nobody holds or held it.
 func (folded *State) Claim(key string) *record.ClaimState { return folded.claims[key] }
 
-// ClaimsWrittenBefore returns up to limit keys of ended claims that were
+// ClaimKeysWrittenBefore returns up to limit keys of ended claims that were
 // written before the time, in Unix nanoseconds.
-func (folded *State) ClaimsWrittenBefore(unixNano int64, limit int) []string {
+func (folded *State) ClaimKeysWrittenBefore(unixNano int64, limit int) []string {
 	var keys []string
 	for key, claim := range folded.claims {
 		if len(keys) == limit {
@@ -30,8 +30,8 @@
 	return keys
 }
 
-func (folded *State) claim(claim *record.Claim, written int64) Reason {
-	if !validName(claim.GetKey()) || !validName(claim.GetHolder()) {
+func (folded *State) acquireClaim(claim *record.Claim, written int64) Reason {
+	if !isValidName(claim.GetKey()) || !isValidName(claim.GetHolder()) {
 		return ReasonInvalid
 	}
 	if _, taken := folded.claims[claim.GetKey()]; taken {
@@ -47,8 +47,8 @@
 	return ""
 }
 
-// held finds the claim that the holder holds and has not ended.
-func (folded *State) held(key, holder string) (*record.ClaimState, Reason) {
+// heldClaim finds the claim that the holder holds and has not ended.
+func (folded *State) heldClaim(key, holder string) (*record.ClaimState, Reason) {
 	claim, found := folded.claims[key]
 	if !found {
 		return nil, ReasonUnknown
@@ -63,7 +63,7 @@
 }
 
 func (folded *State) releaseClaim(release *record.ClaimRelease) Reason {
-	if _, reason := folded.held(release.GetKey(), release.GetHolder()); reason != "" {
+	if _, reason := folded.heldClaim(release.GetKey(), release.GetHolder()); reason != "" {
 		return reason
 	}
 	delete(folded.claims, release.GetKey())
@@ -71,7 +71,7 @@
 }
 
 func (folded *State) finishClaim(finish *record.ClaimFinish) Reason {
-	claim, reason := folded.held(finish.GetKey(), finish.GetHolder())
+	claim, reason := folded.heldClaim(finish.GetKey(), finish.GetHolder())
 	if reason != "" {
 		return reason
 	}
--- a/state/document.go
+++ b/state/document.go
@@ -31,11 +31,11 @@
 	return newest
 }
 
-// publish accepts a version that is based on the newest one. The content is
+// publishDocument accepts a version that is based on the newest one. The content is
 // not looked at: two builds could judge it differently and so diverge.
-func (folded *State) publish(publish *record.Publish, written int64) Reason {
+func (folded *State) publishDocument(publish *record.Publish, written int64) Reason {
 	name := publish.GetDocument()
-	if !validName(name) || len(publish.GetContent()) > MaxDocumentBytes ||
+	if !isValidName(name) || len(publish.GetContent()) > MaxDocumentBytes ||
 		len(publish.GetAuthor()) > maxNameBytes || len(publish.GetComment()) > maxNameBytes {
 		return ReasonInvalid
 	}
@@ -52,7 +52,7 @@
 		Comment:         publish.GetComment(),
 		WrittenUnixNano: written,
 	})
-	if len(history) > documentHistory {
+	if len(history) > maxDocumentVersions {
 		history = slices.Delete(history, 0, 1)
 	}
 	folded.documents[name] = history
--- a/state/property_test.go
+++ b/state/property_test.go
@@ -18,7 +18,7 @@
 	rec := &record.Record{Id: fmt.Sprint(number), Format: 1}
 	switch rapid.IntRange(0, 9).Draw(t, "body") {
 	case 0:
-		rec = createOf(task, 1)
+		rec = newCreateRecord(task, 1)
 	case 1:
 		rec.Body = &record.Record_TaskAssign{TaskAssign: &record.TaskAssign{Task: task, BasedOn: rapid.Uint64Range(0, 8).Draw(t, "based on"), Worker: worker, Incarnation: "i", LeaseNanos: 1}}
 	case 2:
@@ -42,72 +42,72 @@
 	return rec
 }
 
-// TestFoldKeepsItsPromises draws histories: whatever comes, a task is held by
+// TestStateInvariants draws histories: whatever comes, a task is held by
 // at most one worker, attempts and versions only grow, an ended task stays
 // ended, nothing is lost into a suspicion that is over, and a state that goes
 // through a snapshot at any point ends up the same.
-func TestFoldKeepsItsPromises(t *testing.T) {
+func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folded, other := state.New(), state.New()
 		count := rapid.IntRange(1, 60).Draw(t, "count")
 		snapshotAt := rapid.IntRange(0, count).Draw(t, "snapshot at")
 		for number := range count {
 			if number == snapshotAt {
-				other = throughSnapshot(t, other)
+				other = restoreFromSnapshot(t, other)
 			}
 			rec := drawRecord(t, number)
-			before := look(folded)
-			batch := batchOf(fmt.Sprint("batch-", number), rec)
-			if _, err := folded.Apply(folded.Next(), batch); err != nil {
+			before := summarise(folded)
+			batch := newBatch(fmt.Sprint("batch-", number), rec)
+			if _, err := folded.Apply(folded.NextOffset(), batch); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := other.Apply(other.Next(), batch); err != nil {
+			if _, err := other.Apply(other.NextOffset(), batch); err != nil {
 				t.Fatal(err)
 			}
-			checkStep(t, before, folded, rec)
+			checkInvariants(t, before, folded, rec)
 		}
-		checkSame(t, folded, other)
+		requireEqualStates(t, folded, other)
 	})
 }
 
-func throughSnapshot(t *rapid.T, folded *state.State) *state.State {
+func restoreFromSnapshot(t *rapid.T, folded *state.State) *state.State {
 	data, err := folded.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored, err := state.Restore(data, state.Format)
+	restored, err := state.Restore(data, state.LatestFormat)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return restored
 }
 
-type seen struct {
+type taskSummary struct {
 	version, attempt uint64
 	phase            state.Phase
 }
 
-func look(folded *state.State) map[string]seen {
-	all := map[string]seen{}
+func summarise(folded *state.State) map[string]taskSummary {
+	all := map[string]taskSummary{}
 	for _, task := range folded.Tasks() {
-		all[task.ID()] = seen{task.Version(), task.Attempt(), task.Phase()}
+		all[task.ID()] = taskSummary{task.Version(), task.Attempt(), task.Phase()}
 	}
 	return all
 }
 
-func checkStep(t *rapid.T, before map[string]seen, folded *state.State, rec *record.Record) {
+func checkInvariants(t *rapid.T, before map[string]taskSummary, folded *state.State, rec *record.Record) {
 	holders := map[string]int{}
 	for _, worker := range folded.Workers() {
-		for _, task := range folded.OnWorker(worker) {
+		for _, task := range folded.TasksOnWorker(worker) {
 			holders[task.ID()]++
-			if !task.Phase().Placed() || task.Worker() != worker {
+			if !task.Phase().IsPlaced() || task.Worker() != worker {
 				t.Fatalf("%s is listed on %s but is %s on %s", task.ID(), worker, task.Phase(), task.Worker())
 			}
 		}
 	}
 	for _, task := range folded.Tasks() {
 		was, known := before[task.ID()]
-		if want := 0; task.Phase().Placed() {
+		if want := 0; task.Phase().IsPlaced() {
 			want = 1
 			if holders[task.ID()] != want {
 				t.Fatalf("%s is held %d times", task.ID(), holders[task.ID()])
@@ -116,16 +116,16 @@
 		if known && (task.Version() < was.version || task.Attempt() < was.attempt) {
 			t.Fatalf("%s went back after %v", task.ID(), rec)
 		}
-		if known && was.phase.Ended() && task.Version() != was.version {
+		if known && was.phase.IsTerminal() && task.Version() != was.version {
 			t.Fatalf("%s changed after its end by %v", task.ID(), rec)
 		}
-		if known && was.phase.Placed() && task.Attempt() != was.attempt {
+		if known && was.phase.IsPlaced() && task.Attempt() != was.attempt {
 			t.Fatalf("%s got a new attempt while one was placed, by %v", task.ID(), rec)
 		}
 	}
 }
 
-func checkSame(t *rapid.T, one, other *state.State) {
+func requireEqualStates(t *rapid.T, one, other *state.State) {
 	a, err := one.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -14,12 +14,12 @@
 // at, so that a restored state goes on as the original would.
 func (folded *State) Snapshot() ([]byte, error) {
 	snapshot := &record.Snapshot{
-		NextOffset:    folded.next,
+		NextOffset:    folded.nextOffset,
 		Format:        folded.format,
-		RecentBatches: folded.recent,
+		RecentBatches: folded.recentBatchIDs,
 	}
 	for _, id := range slices.Sorted(maps.Keys(folded.tasks)) {
-		snapshot.Tasks = append(snapshot.Tasks, folded.tasks[id].kept)
+		snapshot.Tasks = append(snapshot.Tasks, folded.tasks[id].stored)
 	}
 	for _, key := range slices.Sorted(maps.Keys(folded.claims)) {
 		snapshot.Claims = append(snapshot.Claims, folded.claims[key])
@@ -44,19 +44,19 @@
 		return nil, errors.Wrap(err, "decode snapshot")
 	}
 	if snapshot.GetFormat() > known {
-		return nil, &FormatError{needed: snapshot.GetFormat(), known: known}
+		return nil, &FormatError{required: snapshot.GetFormat(), supported: known}
 	}
-	folded := NewKnowing(known)
-	folded.next = snapshot.GetNextOffset()
+	folded := NewForFormat(known)
+	folded.nextOffset = snapshot.GetNextOffset()
 	folded.format = snapshot.GetFormat()
-	folded.recent = snapshot.GetRecentBatches()
-	for _, id := range folded.recent {
-		folded.recentSet[id] = struct{}{}
+	folded.recentBatchIDs = snapshot.GetRecentBatches()
+	for _, id := range folded.recentBatchIDs {
+		folded.recentBatchSet[id] = struct{}{}
 	}
 	for _, kept := range snapshot.GetTasks() {
-		task := &Task{kept: kept}
+		task := &Task{stored: kept}
 		folded.tasks[task.ID()] = task
-		folded.index(task)
+		folded.updateIndexes(task)
 	}
 	for _, claim := range snapshot.GetClaims() {
 		folded.claims[claim.GetKey()] = claim
--- a/state/state.go
+++ b/state/state.go
@@ -32,19 +32,19 @@
 	"ambertiller.example/ambertiller/record"
 )
 
-// Format is the newest record format that this build knows.
-const Format uint32 = 1
+// LatestFormat is the newest record format that this build knows.
+const LatestFormat uint32 = 1
 
 // FirstFormat is the format of an empty log.
 const FirstFormat uint32 = 1
 
 const (
-	// recentBatches bounds how many batch IDs are remembered to pass over a
+	// maxRecentBatches bounds how many batch IDs are remembered to pass over a
 	// second copy of an append. A copy can only follow closely: its writer
 	// gives up after seconds, in which the log takes some hundred batches.
-	recentBatches = 4096
-	// documentHistory bounds the versions of each document that are kept.
-	documentHistory = 20
+	maxRecentBatches = 4096
+	// maxDocumentVersions bounds the versions of each document that are kept.
+	maxDocumentVersions = 20
 	// maxNameBytes bounds every name and key.
 	maxNameBytes = 256
 	// MaxResultBytes bounds the result of a task that the log keeps.
@@ -91,64 +91,64 @@
 
 // FormatError says that the log needs a newer build.
 type FormatError struct {
-	needed uint32
-	known  uint32
+	required  uint32
+	supported uint32
 }
 
 // Error implements error.
 func (format *FormatError) Error() string {
-	return fmt.Sprintf("the log holds records of format %d and this build knows %d; replace it by a newer build", format.needed, format.known)
+	return fmt.Sprintf("the log holds records of format %d and this build knows %d; replace it by a newer build", format.required, format.supported)
 }
 
 // State is the fold of the log up to an offset.
 type State struct {
-	next      int64
-	format    uint32
-	known     uint32
-	tasks     map[string]*Task
-	claims    map[string]*record.ClaimState
-	documents map[string][]*record.Document
-	workers   map[string]*record.WorkerState
-	recent    []string
-	recentSet map[string]struct{}
-	pending   map[string]*Task
-	// pendingKinds counts the pending tasks of each kind.
-	pendingKinds map[string]int
-	ended        map[string]*Task
-	byWorker     map[string]map[string]*Task
+	nextOffset     int64
+	format         uint32
+	maxFormat      uint32
+	tasks          map[string]*Task
+	claims         map[string]*record.ClaimState
+	documents      map[string][]*record.Document
+	workers        map[string]*record.WorkerState
+	recentBatchIDs []string
+	recentBatchSet map[string]struct{}
+	pendingTasks   map[string]*Task
+	// pendingByKind counts the pending tasks of each kind.
+	pendingByKind map[string]int
+	endedTasks    map[string]*Task
+	tasksByWorker map[string]map[string]*Task
 }
 
 // New returns the state of an empty log.
-func New() *State { return NewKnowing(Format) }
+func New() *State { return NewForFormat(LatestFormat) }
 
-// NewKnowing returns the state of an empty log for a reader that knows formats
+// NewForFormat returns the state of an empty log for a reader that knows formats
 // up to known. Tests use it to stand an old build beside a new one.
-func NewKnowing(known uint32) *State {
+func NewForFormat(known uint32) *State {
 	return &State{
-		format:       FirstFormat,
-		known:        known,
-		tasks:        map[string]*Task{},
-		claims:       map[string]*record.ClaimState{},
-		documents:    map[string][]*record.Document{},
-		workers:      map[string]*record.WorkerState{},
-		recentSet:    map[string]struct{}{},
-		pending:      map[string]*Task{},
-		pendingKinds: map[string]int{},
-		ended:        map[string]*Task{},
-		byWorker:     map[string]map[string]*Task{},
+		format:         FirstFormat,
+		maxFormat:      known,
+		tasks:          map[string]*Task{},
+		claims:         map[string]*record.ClaimState{},
+		documents:      map[string][]*record.Document{},
+		workers:        map[string]*record.WorkerState{},
+		recentBatchSet: map[string]struct{}{},
+		pendingTasks:   map[string]*Task{},
+		pendingByKind:  map[string]int{},
+		endedTasks:     map[string]*Task{},
+		tasksByWorker:  map[string]map[string]*Task{},
 	}
 }
 
-// Next returns the first offset that is not folded in.
-func (folded *State) Next() int64 { return folded.next }
+// NextOffset returns the first offset that is not folded in.
+func (folded *State) NextOffset() int64 { return folded.nextOffset }
 
 // RecordFormat returns the format that records may need.
 func (folded *State) RecordFormat() uint32 { return folded.format }
 
 // Skip moves past an entry of the log that holds no readable batch.
 func (folded *State) Skip(offset int64) {
-	if offset >= folded.next {
-		folded.next = offset + 1
+	if offset >= folded.nextOffset {
+		folded.nextOffset = offset + 1
 	}
 }
 
@@ -156,15 +156,15 @@
 // A batch below Next has been folded before and is passed over. After a
 // FormatError the state stays before the batch.
 func (folded *State) Apply(offset int64, batch *record.Batch) ([]Outcome, error) {
-	if offset < folded.next {
+	if offset < folded.nextOffset {
 		return nil, nil
 	}
 	if err := folded.checkFormats(batch); err != nil {
 		return nil, err
 	}
-	folded.next = offset + 1
-	if folded.isDuplicate(batch.GetId()) {
-		return duplicates(batch), nil
+	folded.nextOffset = offset + 1
+	if folded.recordBatchID(batch.GetId()) {
+		return duplicateOutcomes(batch), nil
 	}
 	outcomes := make([]Outcome, 0, len(batch.GetRecords()))
 	for _, rec := range batch.GetRecords() {
@@ -178,30 +178,30 @@
 func (folded *State) checkFormats(batch *record.Batch) error {
 	for _, rec := range batch.GetRecords() {
 		raised := rec.GetFormatRaise().GetFormat()
-		if raised > folded.known && raised > folded.format && rec.GetFormat() <= folded.format {
-			return &FormatError{needed: raised, known: folded.known}
+		if raised > folded.maxFormat && raised > folded.format && rec.GetFormat() <= folded.format {
+			return &FormatError{required: raised, supported: folded.maxFormat}
 		}
 	}
 	return nil
 }
 
-func (folded *State) isDuplicate(batchID string) bool {
+func (folded *State) recordBatchID(batchID string) bool {
 	if batchID == "" {
 		return false
 	}
-	if _, seen := folded.recentSet[batchID]; seen {
+	if _, seen := folded.recentBatchSet[batchID]; seen {
 		return true
 	}
-	folded.recentSet[batchID] = struct{}{}
-	folded.recent = append(folded.recent, batchID)
-	if len(folded.recent) > recentBatches {
-		delete(folded.recentSet, folded.recent[0])
-		folded.recent = folded.recent[1:]
+	folded.recentBatchSet[batchID] = struct{}{}
+	folded.recentBatchIDs = append(folded.recentBatchIDs, batchID)
+	if len(folded.recentBatchIDs) > maxRecentBatches {
+		delete(folded.recentBatchSet, folded.recentBatchIDs[0])
+		folded.recentBatchIDs = folded.recentBatchIDs[1:]
 	}
 	return false
 }
 
-func duplicates(batch *record.Batch) []Outcome {
+func duplicateOutcomes(batch *record.Batch) []Outcome {
 	outcomes := make([]Outcome, 0, len(batch.GetRecords()))
 	for _, rec := range batch.GetRecords() {
 		outcomes = append(outcomes, Outcome{recordID: rec.GetId(), reason: ReasonDuplicate})
@@ -220,7 +220,7 @@
 	case *record.Record_TaskAssign:
 		return folded.assignTask(body.TaskAssign, written)
 	case *record.Record_TaskRunning:
-		return folded.runTask(body.TaskRunning, written)
+		return folded.markRunning(body.TaskRunning, written)
 	case *record.Record_TaskFinish:
 		return folded.finishTask(body.TaskFinish, written)
 	case *record.Record_TaskRelease:
@@ -232,7 +232,7 @@
 	case *record.Record_TaskForget:
 		return folded.forgetTask(body.TaskForget)
 	case *record.Record_Claim:
-		return folded.claim(body.Claim, written)
+		return folded.acquireClaim(body.Claim, written)
 	case *record.Record_ClaimRelease:
 		return folded.releaseClaim(body.ClaimRelease)
 	case *record.Record_ClaimFinish:
@@ -240,7 +240,7 @@
 	case *record.Record_ClaimForget:
 		return folded.forgetClaim(body.ClaimForget)
 	case *record.Record_Publish:
-		return folded.publish(body.Publish, written)
+		return folded.publishDocument(body.Publish, written)
 	case *record.Record_WorkerDrain:
 		return folded.drainWorker(body.WorkerDrain)
 	case *record.Record_WorkerSuspect:
@@ -259,6 +259,6 @@
 	return ""
 }
 
-func validName(name string) bool {
+func isValidName(name string) bool {
 	return name != "" && len(name) <= maxNameBytes
 }
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -17,9 +17,9 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// TestFold folds each testdata/*.records, one record to a line, and compares
+// TestApplyGolden folds each testdata/*.records, one record to a line, and compares
 // what became of each and the tasks at the end with its golden file.
-func TestFold(t *testing.T) {
+func TestApplyGolden(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.records")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no cases: %v", err)
@@ -31,12 +31,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			goldie.New(t).Assert(t, name, []byte(foldLines(t, string(content))))
+			goldie.New(t).Assert(t, name, []byte(applyLines(t, string(content))))
 		})
 	}
 }
 
-func foldLines(t *testing.T, content string) string {
+func applyLines(t *testing.T, content string) string {
 	folded := state.New()
 	var out strings.Builder
 	for number, line := range strings.Split(strings.TrimSpace(content), "\n") {
@@ -48,7 +48,7 @@
 		if err := prototext.Unmarshal([]byte(line), rec); err != nil {
 			t.Fatalf("line %d: %v", number+1, err)
 		}
-		outcomes, err := folded.Apply(folded.Next(), &record.Batch{Records: []*record.Record{rec}})
+		outcomes, err := folded.Apply(folded.NextOffset(), &record.Batch{Records: []*record.Record{rec}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,43 +65,43 @@
 	return out.String()
 }
 
-func batchOf(id string, records ...*record.Record) *record.Batch {
+func newBatch(id string, records ...*record.Record) *record.Batch {
 	return &record.Batch{Id: id, Records: records}
 }
 
-func createOf(task string, format uint32) *record.Record {
+func newCreateRecord(task string, format uint32) *record.Record {
 	return &record.Record{Id: "create-" + task, Format: format, Body: &record.Record_TaskCreate{TaskCreate: &record.TaskCreate{
 		Task: task, Spec: &record.TaskSpec{Team: "councils", Kind: "transcription", Resources: &record.Resources{MilliCpu: 1000}},
 	}}}
 }
 
-func apply(t *testing.T, folded *state.State, batch *record.Batch) []state.Outcome {
+func mustApply(t *testing.T, folded *state.State, batch *record.Batch) []state.Outcome {
 	t.Helper()
-	outcomes, err := folded.Apply(folded.Next(), batch)
+	outcomes, err := folded.Apply(folded.NextOffset(), batch)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return outcomes
 }
 
-// TestSecondCopyIsPassedOver: an append whose answer was lost is sent again;
+// TestDuplicateBatchIgnored: an append whose answer was lost is sent again;
 // its second copy changes nothing, also after a snapshot in between.
-func TestSecondCopyIsPassedOver(t *testing.T) {
+func TestDuplicateBatchIgnored(t *testing.T) {
 	folded := state.New()
 	forget := &record.Record{Id: "f", Format: 1, Body: &record.Record_TaskCancel{TaskCancel: &record.TaskCancel{Task: "a"}}}
-	apply(t, folded, batchOf("b-1", createOf("a", 1)))
-	apply(t, folded, batchOf("b-2", forget))
-	apply(t, folded, batchOf("b-3", &record.Record{Id: "g", Format: 1, Body: &record.Record_TaskForget{TaskForget: &record.TaskForget{Task: "a"}}}))
+	mustApply(t, folded, newBatch("b-1", newCreateRecord("a", 1)))
+	mustApply(t, folded, newBatch("b-2", forget))
+	mustApply(t, folded, newBatch("b-3", &record.Record{Id: "g", Format: 1, Body: &record.Record_TaskForget{TaskForget: &record.TaskForget{Task: "a"}}}))
 	data, err := folded.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored, err := state.Restore(data, state.Format)
+	restored, err := state.Restore(data, state.LatestFormat)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, each := range map[string]*state.State{"folded": folded, "restored": restored} {
-		outcomes := apply(t, each, batchOf("b-1", createOf("a", 1)))
+		outcomes := mustApply(t, each, newBatch("b-1", newCreateRecord("a", 1)))
 		if outcomes[0].Reason() != state.ReasonDuplicate || each.Task("a") != nil {
 			t.Errorf("%s: the second copy was %q", name, outcomes[0].Reason())
 		}
@@ -113,50 +113,50 @@
 func TestMixedFormats(t *testing.T) {
 	raise := &record.Record{Id: "raise", Format: 1, Body: &record.Record_FormatRaise{FormatRaise: &record.FormatRaise{Format: 2}}}
 	t.Run("a newer record before the raise is passed over by both", func(t *testing.T) {
-		older, newer := state.NewKnowing(1), state.NewKnowing(2)
+		older, newer := state.NewForFormat(1), state.NewForFormat(2)
 		for _, folded := range []*state.State{older, newer} {
-			apply(t, folded, batchOf("b-1", createOf("a", 2), createOf("b", 1)))
+			mustApply(t, folded, newBatch("b-1", newCreateRecord("a", 2), newCreateRecord("b", 1)))
 		}
 		if older.Task("a") != nil || newer.Task("a") != nil || older.Task("b") == nil {
 			t.Error("they differ, or one took the record")
 		}
-		assertSame(t, older, newer)
+		assertEqualStates(t, older, newer)
 	})
 	t.Run("the older one stops at the raise and keeps what it had", func(t *testing.T) {
-		older, newer := state.NewKnowing(1), state.NewKnowing(2)
+		older, newer := state.NewForFormat(1), state.NewForFormat(2)
 		for _, folded := range []*state.State{older, newer} {
-			apply(t, folded, batchOf("b-1", createOf("b", 1)))
+			mustApply(t, folded, newBatch("b-1", newCreateRecord("b", 1)))
 		}
 		before, err := older.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		raising := batchOf("b-2", createOf("c", 1), raise)
+		raising := newBatch("b-2", newCreateRecord("c", 1), raise)
 		var tooNew *state.FormatError
-		if _, err := older.Apply(older.Next(), raising); !errors.As(err, &tooNew) {
+		if _, err := older.Apply(older.NextOffset(), raising); !errors.As(err, &tooNew) {
 			t.Fatalf("got %v", err)
 		}
 		after, err := older.Snapshot()
 		if err != nil || !bytes.Equal(before, after) {
 			t.Errorf("the older reader's state changed (%v)", err)
 		}
-		apply(t, newer, raising)
-		if outcomes := apply(t, newer, batchOf("b-3", createOf("a", 2))); !outcomes[0].Accepted() {
+		mustApply(t, newer, raising)
+		if outcomes := mustApply(t, newer, newBatch("b-3", newCreateRecord("a", 2))); !outcomes[0].Accepted() {
 			t.Errorf("the newer reader lost the record: %s", outcomes[0].Reason())
 		}
 	})
 	t.Run("the newer one reads what an older one wrote, raised or not", func(t *testing.T) {
-		newer := state.NewKnowing(2)
-		apply(t, newer, batchOf("b-1", createOf("a", 1)))
-		apply(t, newer, batchOf("b-2", raise))
-		apply(t, newer, batchOf("b-3", createOf("b", 1)))
+		newer := state.NewForFormat(2)
+		mustApply(t, newer, newBatch("b-1", newCreateRecord("a", 1)))
+		mustApply(t, newer, newBatch("b-2", raise))
+		mustApply(t, newer, newBatch("b-3", newCreateRecord("b", 1)))
 		if newer.Task("a") == nil || newer.Task("b") == nil {
 			t.Error("a record of the older format was not taken")
 		}
 	})
 	t.Run("the older one does not restore the newer one's snapshot", func(t *testing.T) {
-		newer := state.NewKnowing(2)
-		apply(t, newer, batchOf("b-2", raise))
+		newer := state.NewForFormat(2)
+		mustApply(t, newer, newBatch("b-2", raise))
 		data, err := newer.Snapshot()
 		if err != nil {
 			t.Fatal(err)
@@ -168,7 +168,7 @@
 	})
 }
 
-func assertSame(t *testing.T, one, other *state.State) {
+func assertEqualStates(t *testing.T, one, other *state.State) {
 	t.Helper()
 	a, err := one.Snapshot()
 	if err != nil {
@@ -187,10 +187,10 @@
 // which goes through a snapshot first; they must stay the same.
 func FuzzApply(f *testing.F) {
 	for _, batch := range []*record.Batch{
-		batchOf("b", createOf("a", 1)),
-		batchOf("", &record.Record{Format: 1, Body: &record.Record_Claim{Claim: &record.Claim{Key: "k", Holder: "h"}}}),
-		batchOf("c", &record.Record{Format: 1, Body: &record.Record_Publish{Publish: &record.Publish{Document: "config", Content: []byte("x")}}}),
-		batchOf("d", &record.Record{Format: 1}),
+		newBatch("b", newCreateRecord("a", 1)),
+		newBatch("", &record.Record{Format: 1, Body: &record.Record_Claim{Claim: &record.Claim{Key: "k", Holder: "h"}}}),
+		newBatch("c", &record.Record{Format: 1, Body: &record.Record_Publish{Publish: &record.Publish{Document: "config", Content: []byte("x")}}}),
+		newBatch("d", &record.Record{Format: 1}),
 	} {
 		data, err := proto.Marshal(batch)
 		if err != nil {
@@ -204,20 +204,20 @@
 			return
 		}
 		folded := state.New()
-		apply(t, folded, batchOf("first", createOf("a", 1)))
+		mustApply(t, folded, newBatch("first", newCreateRecord("a", 1)))
 		snapshot, err := folded.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		restored, err := state.Restore(snapshot, state.Format)
+		restored, err := state.Restore(snapshot, state.LatestFormat)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, one := folded.Apply(folded.Next(), proto.Clone(batch).(*record.Batch))
-		_, other := restored.Apply(restored.Next(), proto.Clone(batch).(*record.Batch))
+		_, one := folded.Apply(folded.NextOffset(), proto.Clone(batch).(*record.Batch))
+		_, other := restored.Apply(restored.NextOffset(), proto.Clone(batch).(*record.Batch))
 		if (one == nil) != (other == nil) {
 			t.Fatalf("one failed: %v, %v", one, other)
 		}
-		assertSame(t, folded, restored)
+		assertEqualStates(t, folded, restored)
 	})
 }
--- a/state/worker.go
+++ b/state/worker.go
@@ -4,31 +4,31 @@
 	"ambertiller.example/ambertiller/record"
 )
 
-// Draining reports whether an operator is emptying the worker.
-func (folded *State) Draining(worker string) bool { return folded.workers[worker].GetDraining() }
+// IsDraining reports whether an operator is emptying the worker.
+func (folded *State) IsDraining(worker string) bool { return folded.workers[worker].GetDraining() }
 
-// Suspicion returns the number of the suspicion that the worker is under, zero
+// ActiveSuspicion returns the number of the suspicion that the worker is under, zero
 // when it is under none. While it is, nobody renews leases on the worker.
-func (folded *State) Suspicion(worker string) uint64 {
+func (folded *State) ActiveSuspicion(worker string) uint64 {
 	if !folded.workers[worker].GetSuspected() {
 		return 0
 	}
 	return folded.workers[worker].GetSuspicions()
 }
 
-// Suspicions returns how many suspicions the worker has been under.
-func (folded *State) Suspicions(worker string) uint64 {
+// SuspicionCount returns how many suspicions the worker has been under.
+func (folded *State) SuspicionCount(worker string) uint64 {
 	return folded.workers[worker].GetSuspicions()
 }
 
-// Knows reports whether any record spoke of the worker.
-func (folded *State) Knows(worker string) bool {
+// HasWorker reports whether any record spoke of the worker.
+func (folded *State) HasWorker(worker string) bool {
 	_, marked := folded.workers[worker]
-	_, held := folded.byWorker[worker]
+	_, held := folded.tasksByWorker[worker]
 	return marked || held
 }
 
-func (folded *State) worker(name string) *record.WorkerState {
+func (folded *State) ensureWorker(name string) *record.WorkerState {
 	worker, found := folded.workers[name]
 	if !found {
 		worker = &record.WorkerState{Worker: name}
@@ -38,32 +38,32 @@
 }
 
 func (folded *State) drainWorker(drain *record.WorkerDrain) Reason {
-	if !validName(drain.GetWorker()) {
+	if !isValidName(drain.GetWorker()) {
 		return ReasonInvalid
 	}
-	if folded.Draining(drain.GetWorker()) == drain.GetDraining() {
+	if folded.IsDraining(drain.GetWorker()) == drain.GetDraining() {
 		return ReasonPhase
 	}
-	folded.worker(drain.GetWorker()).Draining = drain.GetDraining()
+	folded.ensureWorker(drain.GetWorker()).Draining = drain.GetDraining()
 	return ""
 }
 
 func (folded *State) suspectWorker(suspect *record.WorkerSuspect) Reason {
-	if !validName(suspect.GetWorker()) {
+	if !isValidName(suspect.GetWorker()) {
 		return ReasonInvalid
 	}
-	present := folded.Suspicion(suspect.GetWorker())
+	present := folded.ActiveSuspicion(suspect.GetWorker())
 	if suspect.GetCleared() {
 		if present == 0 || present != suspect.GetSuspicion() {
 			return ReasonStale
 		}
-		folded.worker(suspect.GetWorker()).Suspected = false
+		folded.ensureWorker(suspect.GetWorker()).Suspected = false
 		return ""
 	}
 	if present != 0 {
 		return ReasonExists
 	}
-	worker := folded.worker(suspect.GetWorker())
+	worker := folded.ensureWorker(suspect.GetWorker())
 	worker.Suspected = true
 	worker.Suspicions++
 	return ""
