--- a/command/platform.go
+++ b/command/platform.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// reloadOnSignal reloads the settings file on each SIGHUP.
+// reloadOnSignal has the role read its settings file again on each SIGHUP.
 func reloadOnSignal(ctx context.Context, role reloadableRole, path string) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
