--- a/agent/order.go
+++ b/agent/order.go
@@ -112,7 +112,7 @@
 		agent.queueResult(state, run, wire.StartOutcome_START_STARTED)
 		return
 	}
-	var refused *platform.StartError
+	var refused *platform.WorkerRefusedError
 	var failed *platform.RefusedError
 	switch {
 	case errors.As(err, &refused):
@@ -151,7 +151,7 @@
 }
 
 // refusalOutcome returns the outcome that owners are told when the worker refuses a start.
-func refusalOutcome(reason platform.StartRefusal) wire.StartOutcome {
+func refusalOutcome(reason platform.WorkerRefusal) wire.StartOutcome {
 	switch reason {
 	case platform.RefusedNoRoom:
 		return wire.StartOutcome_START_NO_ROOM
--- a/agent/poll.go
+++ b/agent/poll.go
@@ -114,7 +114,7 @@
 		agent.endIncarnation(state.incarnation, causeReplaced, now)
 		return
 	}
-	var refused *platform.StartError
+	var refused *platform.WorkerRefusedError
 	if errors.As(err, &refused) && refused.Reason() == platform.RefusedFenced {
 		state.token += tokenStep
 		return
--- a/agent/successor.go
+++ b/agent/successor.go
@@ -112,7 +112,7 @@
 // because it has seen that of an agent whose clock was ahead. A poll would find that out too, but the
 // previous incarnation is no longer polled.
 func (state *workerState) raiseProbeToken(next *successor, err error) {
-	var refused *platform.StartError
+	var refused *platform.WorkerRefusedError
 	if !state.isSuperseded || !errors.As(err, &refused) || refused.Reason() != platform.RefusedFenced {
 		return
 	}
