--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -122,7 +122,7 @@
 		Name:  ServiceSettle,
 		Needs: []string{ServiceRole, ServiceRPC},
 		Stop: func(ctx context.Context) error {
-			return errors.Wrap(role.Settle(ctx), "record the ends of requests")
+			return errors.Wrap(role.WaitClaims(ctx), "record the ends of requests")
 		},
 	}
 }
@@ -135,7 +135,7 @@
 		Name:  ServiceDrain,
 		Needs: []string{ServiceHTTP},
 		Stop: func(ctx context.Context) error {
-			role.Leave()
+			role.BeginShutdown()
 			pause(ctx, delay)
 			return nil
 		},
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -14,21 +14,21 @@
 
 // takeClaim claims a request that must not be repeated. The problem says why
 // it must not be run by this entry.
-func (entry *Entry) takeClaim(ctx context.Context, made *call) (*claim.Held, *api.Problem) {
-	held, err := entry.claims.Take(ctx, made.key, made.service, entry.now())
+func (entry *Entry) takeClaim(ctx context.Context, made *serviceCall) (*claim.Held, *api.Problem) {
+	held, err := entry.claims.Take(ctx, made.idempotencyKey, made.service, entry.now())
 	var taken *claim.TakenError
 	switch {
 	case err == nil:
 		return held, nil
 	case errors.As(err, &taken):
-		return nil, takenProblem(taken)
+		return nil, claimedProblem(taken)
 	}
-	return nil, notRun("the request must not be repeated and "+err.Error(), retryLog)
+	return nil, notRunProblem("the request must not be repeated and "+err.Error(), defaultRetryAfter)
 }
 
-// takenProblem says what became of the request that holds the key.
-func takenProblem(taken *claim.TakenError) *api.Problem {
-	made := problem(http.StatusConflict, api.TypeClaimed, "A request with this key was claimed before", "")
+// claimedProblem says what became of the request that holds the key.
+func claimedProblem(taken *claim.TakenError) *api.Problem {
+	made := newProblem(http.StatusConflict, api.TypeClaimed, "A request with this key was claimed before", "")
 	made.Outcome = api.OutcomeUnknown
 	switch taken.Phase() {
 	case state.ClaimFinished:
@@ -37,7 +37,7 @@
 		made.Detail = "it may have run; ask the backend server before sending it under another key"
 	default:
 		made.Detail = "it is being run, or the entry that ran it has gone; it will not be run again under this key"
-		made.RetryAfter = retryLog.String()
+		made.RetryAfter = defaultRetryAfter.String()
 	}
 	return made
 }
@@ -54,5 +54,5 @@
 	}
 }
 
-// RecordEnds makes one round of recording the ends of claims.
-func (entry *Entry) RecordEnds(ctx context.Context) { entry.claims.Record(ctx, entry.now()) }
+// RecordClaims makes one round of recording the ends of claims.
+func (entry *Entry) RecordClaims(ctx context.Context) { entry.claims.Record(ctx, entry.now()) }
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -24,7 +24,7 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-func showDocument(kept *record.Document, content bool) api.Document {
+func apiDocument(kept *record.Document, content bool) api.Document {
 	shown := api.Document{
 		Name:    kept.GetName(),
 		Version: kept.GetVersion(),
@@ -40,9 +40,9 @@
 
 func (entry *Entry) serveDocuments(writer http.ResponseWriter) {
 	listed := []api.Document{}
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		for _, kept := range folded.Documents() {
-			listed = append(listed, showDocument(kept, false))
+			listed = append(listed, apiDocument(kept, false))
 		}
 	})
 	writeJSON(writer, http.StatusOK, listed)
@@ -52,16 +52,16 @@
 func (entry *Entry) serveDocument(writer http.ResponseWriter, request *http.Request, name string) {
 	var shown *api.Document
 	wanted := request.URL.Query().Get("version")
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		for _, kept := range folded.DocumentHistory(name) {
 			if wanted == "" || wanted == strconv.FormatUint(kept.GetVersion(), 10) {
-				found := showDocument(kept, true)
+				found := apiDocument(kept, true)
 				shown = &found
 			}
 		}
 	})
 	if shown == nil {
-		writeProblem(writer, notFound("no such version of "+strconv.Quote(name)+" is kept"))
+		writeProblem(writer, notFoundProblem("no such version of "+strconv.Quote(name)+" is kept"))
 		return
 	}
 	writeJSON(writer, http.StatusOK, shown)
@@ -69,9 +69,9 @@
 
 func (entry *Entry) serveHistory(writer http.ResponseWriter, name string) {
 	listed := []api.Document{}
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		for _, kept := range folded.DocumentHistory(name) {
-			listed = append(listed, showDocument(kept, false))
+			listed = append(listed, apiDocument(kept, false))
 		}
 	})
 	slices.Reverse(listed)
@@ -82,7 +82,7 @@
 // and based on the newest version.
 func (entry *Entry) servePublish(writer http.ResponseWriter, request *http.Request, name string) {
 	var asked api.PublishRequest
-	if sent := readBody(writer, request, &asked); sent != nil {
+	if sent := decodeBody(writer, request, &asked); sent != nil {
 		writeProblem(writer, sent)
 		return
 	}
@@ -95,8 +95,8 @@
 }
 
 func (entry *Entry) publish(ctx context.Context, name string, asked *api.PublishRequest) (*api.Document, *api.Problem) {
-	if faults := faultsOf(document.Check(name, []byte(asked.Content))); len(faults) > 0 {
-		sent := badRequest("the document has faults; correct them and publish it again")
+	if faults := apiFaults(document.Check(name, []byte(asked.Content))); len(faults) > 0 {
+		sent := badRequestProblem("the document has faults; correct them and publish it again")
 		sent.Faults = faults
 		return nil, sent
 	}
@@ -109,13 +109,13 @@
 		Comment:  asked.Comment,
 		Content:  []byte(asked.Content),
 	}}
-	outcome, sent := entry.change(ctx, rec)
+	outcome, sent := entry.appendChange(ctx, rec)
 	if sent != nil {
 		return nil, sent
 	}
 	if !outcome.Accepted() {
 		entry.options.Events.Log(ctx, event.DocumentConflict, slog.String("document", name), slog.Uint64("based_on", asked.BasedOn), slog.String("author", asked.Author))
-		return nil, problem(http.StatusConflict, api.TypeConflict, "The publication was not accepted",
+		return nil, newProblem(http.StatusConflict, api.TypeConflict, "The publication was not accepted",
 			fmt.Sprintf("%s: it was based on version %d and the newest is %d; look at that one and publish again", outcome.Reason(), asked.BasedOn, entry.newestVersion(name)))
 	}
 	entry.options.Events.Log(ctx, event.DocumentPublished, slog.String("document", name), slog.Uint64("version", asked.BasedOn+1), slog.String("author", asked.Author))
@@ -123,12 +123,12 @@
 }
 
 func (entry *Entry) newestVersion(name string) (version uint64) {
-	entry.log.View(func(folded *state.State) { version = folded.Document(name).GetVersion() })
+	entry.journal.View(func(folded *state.State) { version = folded.Document(name).GetVersion() })
 	return version
 }
 
-// faultsOf lists what is wrong in a document.
-func faultsOf(err error) []api.Fault {
+// apiFaults lists what is wrong in a document.
+func apiFaults(err error) []api.Fault {
 	if err == nil {
 		return nil
 	}
@@ -151,11 +151,11 @@
 // would change on the present state.
 func (entry *Entry) serveCheck(writer http.ResponseWriter, request *http.Request, name string) {
 	var asked api.PublishRequest
-	if sent := readBody(writer, request, &asked); sent != nil {
+	if sent := decodeBody(writer, request, &asked); sent != nil {
 		writeProblem(writer, sent)
 		return
 	}
-	report := &api.CheckReport{Faults: faultsOf(document.Check(name, []byte(asked.Content)))}
+	report := &api.CheckReport{Faults: apiFaults(document.Check(name, []byte(asked.Content)))}
 	report.Valid = len(report.Faults) == 0
 	if report.Valid && name == config.PolicyDocumentName(policy.Placement) {
 		entry.dryRun(report, asked.Content)
@@ -168,22 +168,22 @@
 func (entry *Entry) dryRun(report *api.CheckReport, source string) {
 	trial := document.NewShelf()
 	if _, err := trial.Offer(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
-		report.Faults = faultsOf(err)
+		report.Faults = apiFaults(err)
 		return
 	}
-	settings := entry.shelf.Config()
+	settings := entry.documents.Config()
 	if settings == nil {
 		return
 	}
 	now := entry.now()
 	runner := policy.NewRunner()
-	entry.log.View(func(folded *state.State) {
-		board := entry.placer.board(folded, now)
+	entry.journal.View(func(folded *state.State) {
+		board := entry.placer.workerSet(folded, now)
 		for _, task := range folded.Tasks() {
 			if task.Phase().IsTerminal() {
 				continue
 			}
-			asked := entry.placer.taskOf(settings, task, now)
+			asked := entry.placer.newPlacementTask(settings, task, now)
 			before := board.Decide(runner, entry.policies(), asked)
 			after := board.Decide(runner, placement.Policies{InForce: trial.Placement(), BuiltIn: trial.BuiltIn()}, asked)
 			report.Checked++
@@ -203,20 +203,20 @@
 // has heard: its own at once, guards once a second.
 func (entry *Entry) serveInForce(writer http.ResponseWriter) {
 	accepted := map[string]uint64{}
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		for _, kept := range folded.Documents() {
 			accepted[kept.GetName()] = kept.GetVersion()
 		}
 	})
 	listed := []api.InForce{}
-	for _, each := range entry.shelf.Versions() {
+	for _, each := range entry.documents.Versions() {
 		listed = append(listed, api.InForce{Instance: entry.options.Name, Role: "entry", Document: each.Name, Version: each.Version, Accepted: accepted[each.Name]})
 	}
 	for _, peer := range entry.view.Peers() {
-		listed = append(listed, inForceOf(peer.Name, "entry", peer.Documents, accepted)...)
+		listed = append(listed, inForceVersions(peer.Name, "entry", peer.Documents, accepted)...)
 	}
 	for _, guard := range entry.view.Guards() {
-		listed = append(listed, inForceOf(guard.Name(), "guard", versionsOf(guard), accepted)...)
+		listed = append(listed, inForceVersions(guard.Name(), "guard", documentVersions(guard), accepted)...)
 	}
 	slices.SortStableFunc(listed, func(a, b api.InForce) int {
 		return cmp.Or(cmp.Compare(a.Document, b.Document), cmp.Compare(a.Role, b.Role), cmp.Compare(a.Instance, b.Instance))
@@ -224,7 +224,7 @@
 	writeJSON(writer, http.StatusOK, listed)
 }
 
-func versionsOf(guard *membership.Guard) []document.Version {
+func documentVersions(guard *membership.Guard) []document.Version {
 	versions := make([]document.Version, 0, len(guard.Documents()))
 	for _, each := range guard.Documents() {
 		versions = append(versions, document.Version{Name: each.GetName(), Version: each.GetVersion()})
@@ -232,7 +232,7 @@
 	return versions
 }
 
-func inForceOf(name, role string, versions []document.Version, accepted map[string]uint64) []api.InForce {
+func inForceVersions(name, role string, versions []document.Version, accepted map[string]uint64) []api.InForce {
 	listed := make([]api.InForce, 0, len(versions))
 	for _, each := range versions {
 		listed = append(listed, api.InForce{Instance: name, Role: role, Document: each.Name, Version: each.Version, Accepted: accepted[each.Name]})
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -42,23 +42,23 @@
 )
 
 const (
-	defaultSilent   = 10 * time.Second
-	listInterval    = time.Second
-	peerInterval    = time.Second
-	placeInterval   = 100 * time.Millisecond
-	janitorInterval = 5 * time.Second
-	callTimeout     = 2 * time.Second
-	appendWait      = 2 * time.Second
-	retryBurst      = 20
-	defaultRatio    = 0.1
-	mostInFlight    = 4096
-	// hearTime is how long a new entry waits to hear of a backend server for
+	defaultGuardTimeout = 10 * time.Second
+	instancesInterval   = time.Second
+	peerSyncInterval    = time.Second
+	placeInterval       = 100 * time.Millisecond
+	maintenanceInterval = 5 * time.Second
+	rpcTimeout          = 2 * time.Second
+	appendTimeout       = 2 * time.Second
+	retryBurst          = 20
+	defaultRetryRatio   = 0.1
+	maxInFlight         = 4096
+	// startupGracePeriod is how long a new entry waits to hear of a backend server for
 	// each service before it takes requests all the same: by then every guard
 	// that can reach it has read the platform's list and reported.
-	hearTime = 5 * time.Second
-	// staleLog is how old the newest whole read of the log may be before the
+	startupGracePeriod = 5 * time.Second
+	// maxLogAge is how old the newest whole read of the log may be before the
 	// log counts as down.
-	staleLog = 3 * time.Second
+	maxLogAge = 3 * time.Second
 )
 
 // Options sets up an Entry.
@@ -78,21 +78,21 @@
 
 // Entry is the process that callers and operators reach.
 type Entry struct {
-	options  Options
-	began    time.Time
-	log      *changelog.Journal
-	view     *membership.View
-	table    *route.Table
-	shelf    *document.Shelf
-	retries  *budget.Budget
-	claims   *claim.Claims
-	placer   *placer
-	metrics  *metrics
-	inFlight atomic.Int64
-	leaving  atomic.Bool
-	suspects suspects
-	moved    chan struct{}
-	leave    sync.Once
+	options         Options
+	startedAt       time.Time
+	journal         *changelog.Journal
+	view            *membership.View
+	routes          *route.Table
+	documents       *document.Shelf
+	retryBudget     *budget.Budget
+	claims          *claim.Claims
+	placer          *placer
+	metrics         *metrics
+	inFlight        atomic.Int64
+	shuttingDown    atomic.Bool
+	suspicions      suspicionTracker
+	shutdownStarted chan struct{}
+	shutdownOnce    sync.Once
 	// background counts the actions that follow a decision.
 	background sync.WaitGroup
 }
@@ -109,29 +109,29 @@
 		options.Meters = otel.GetMeterProvider()
 	}
 	entry := &Entry{
-		options:  options,
-		began:    options.Clock.Now(),
-		log:      options.Journal,
-		view:     membership.NewView(defaultSilent),
-		table:    route.NewTable(options.FailureDomain),
-		shelf:    document.NewShelf(),
-		retries:  budget.New(defaultRatio, retryBurst),
-		moved:    make(chan struct{}),
-		suspects: suspects{since: map[string]knownSuspicion{}, missing: map[string]time.Time{}, elsewhere: map[string]endedSuspicion{}},
+		options:         options,
+		startedAt:       options.Clock.Now(),
+		journal:         options.Journal,
+		view:            membership.NewView(defaultGuardTimeout),
+		routes:          route.NewTable(options.FailureDomain),
+		documents:       document.NewShelf(),
+		retryBudget:     budget.New(defaultRetryRatio, retryBurst),
+		shutdownStarted: make(chan struct{}),
+		suspicions:      suspicionTracker{active: map[string]activeSuspicion{}, missing: map[string]time.Time{}, ended: map[string]endedSuspicion{}},
 	}
 	entry.claims = claim.New(claim.Options{
-		Journal: options.Journal, Instance: options.Name, StaleLog: staleLog, Clock: options.Clock, Events: options.Events,
+		Journal: options.Journal, Instance: options.Name, StaleLog: maxLogAge, Clock: options.Clock, Events: options.Events,
 	})
-	entry.placer = &placer{entry: entry, runner: policy.NewRunner(), refusals: map[string][]refusal{}}
+	entry.placer = &placer{entry: entry, policyRunner: policy.NewRunner(), refusals: map[string][]refusal{}}
 	entry.metrics = newMetrics(entry)
 	return entry
 }
 
-// Shelf returns the documents in force.
-func (entry *Entry) Shelf() *document.Shelf { return entry.shelf }
+// ActiveDocuments returns the documents in force.
+func (entry *Entry) ActiveDocuments() *document.Shelf { return entry.documents }
 
 // Journal returns the entry's copy of the state.
-func (entry *Entry) Journal() *changelog.Journal { return entry.log }
+func (entry *Entry) Journal() *changelog.Journal { return entry.journal }
 
 // View returns what the entry knows of other instances.
 func (entry *Entry) View() *membership.View { return entry.view }
@@ -140,18 +140,18 @@
 
 // Ready returns nil when the entry may take requests, and otherwise why not.
 func (entry *Entry) Ready() error {
-	if entry.leaving.Load() {
-		return errLeaving
+	if entry.shuttingDown.Load() {
+		return errShuttingDown
 	}
-	settings := entry.shelf.Config()
+	settings := entry.documents.Config()
 	if settings == nil {
 		return errNoConfig
 	}
-	if entry.now().Sub(entry.began) > hearTime {
+	if entry.now().Sub(entry.startedAt) > startupGracePeriod {
 		return nil
 	}
 	for service := range settings.Services() {
-		if !entry.table.HasReadyServer(service) {
+		if !entry.routes.HasReadyServer(service) {
 			return errors.Errorf("no guard of service %s has been heard since the start", service)
 		}
 	}
@@ -162,16 +162,16 @@
 func (entry *Entry) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { entry.followDocuments(ctx) })
-	loops.Go(func() { entry.every(ctx, listInterval, entry.ReadList) })
-	loops.Go(func() { entry.every(ctx, peerInterval, entry.AskPeers) })
-	loops.Go(func() { entry.every(ctx, janitorInterval, entry.Clean) })
+	loops.Go(func() { entry.runPeriodically(ctx, instancesInterval, entry.RefreshInstances) })
+	loops.Go(func() { entry.runPeriodically(ctx, peerSyncInterval, entry.SyncPeers) })
+	loops.Go(func() { entry.runPeriodically(ctx, maintenanceInterval, entry.RunMaintenance) })
 	loops.Go(func() { entry.claims.Run(ctx) })
-	loops.Go(func() { entry.placeLoop(ctx) })
+	loops.Go(func() { entry.runPlacement(ctx) })
 	loops.Wait()
 	entry.background.Wait()
 }
 
-func (entry *Entry) every(ctx context.Context, interval time.Duration, work func(ctx context.Context)) {
+func (entry *Entry) runPeriodically(ctx context.Context, interval time.Duration, work func(ctx context.Context)) {
 	ticker := entry.options.Clock.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -184,21 +184,21 @@
 	}
 }
 
-// Leave makes the entry unready, so that the balancer sends it nothing more,
+// BeginShutdown makes the entry unready, so that the balancer sends it nothing more,
 // and ends open streams with the place from which to go on elsewhere.
-func (entry *Entry) Leave() {
-	entry.leave.Do(func() {
-		entry.leaving.Store(true)
-		close(entry.moved)
+func (entry *Entry) BeginShutdown() {
+	entry.shutdownOnce.Do(func() {
+		entry.shuttingDown.Store(true)
+		close(entry.shutdownStarted)
 	})
 }
 
-// Finish waits until the actions that followed earlier decisions have ended.
-func (entry *Entry) Finish() { entry.background.Wait() }
+// WaitBackground waits until the actions that followed earlier decisions have ended.
+func (entry *Entry) WaitBackground() { entry.background.Wait() }
 
-// Settle waits until the ends of all claims are recorded, or ctx ends. The
+// WaitClaims waits until the ends of all claims are recorded, or ctx ends. The
 // listener must have finished its requests before.
-func (entry *Entry) Settle(ctx context.Context) error {
+func (entry *Entry) WaitClaims(ctx context.Context) error {
 	ended := make(chan struct{})
 	go func() {
 		entry.claims.Settle()
@@ -215,7 +215,7 @@
 // followDocuments puts what the log accepts in force.
 func (entry *Entry) followDocuments(ctx context.Context) {
 	for {
-		changed := entry.log.Changed()
+		changed := entry.journal.Changed()
 		entry.SyncDocuments(ctx)
 		select {
 		case <-ctx.Done():
@@ -227,36 +227,36 @@
 
 // SyncDocuments puts the newest documents of the state in force.
 func (entry *Entry) SyncDocuments(ctx context.Context) {
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		for _, accepted := range folded.Documents() {
-			entry.offer(ctx, document.Copy{Name: accepted.GetName(), Version: accepted.GetVersion(), Content: accepted.GetContent()})
+			entry.applyDocument(ctx, document.Copy{Name: accepted.GetName(), Version: accepted.GetVersion(), Content: accepted.GetContent()})
 		}
 	})
 }
 
-// ReadList reads the platform's list and notes which guards have gone silent.
-func (entry *Entry) ReadList(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// RefreshInstances reads the platform's list and notes which guards have gone silent.
+func (entry *Entry) RefreshInstances(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
 	if list, err := entry.options.Instances.List(ctx, instances.All); err == nil {
 		entry.view.ListRead(list)
 	}
 	now := entry.now()
 	for _, guard := range entry.view.Guards() {
-		entry.table.Update(guard, entry.view.Silent(guard, now))
+		entry.routes.Update(guard, entry.view.Silent(guard, now))
 	}
 }
 
-// owns reports whether this entry acts for the subject.
-func (entry *Entry) owns(subject string, now time.Time) bool {
+// isResponsibleFor reports whether this entry acts for the subject.
+func (entry *Entry) isResponsibleFor(subject string, now time.Time) bool {
 	names := append(entry.view.LivePeers(now), entry.options.Name)
 	return membership.Owner(subject, names) == entry.options.Name
 }
 
-// logUp reports whether the log has been read to its end lately.
-func (entry *Entry) logUp(now time.Time) bool {
-	return entry.log.Ready() == nil && now.Sub(entry.log.SyncedAt()) < staleLog
+// isLogFresh reports whether the log has been read to its end lately.
+func (entry *Entry) isLogFresh(now time.Time) bool {
+	return entry.journal.Ready() == nil && now.Sub(entry.journal.SyncedAt()) < maxLogAge
 }
 
 // Queued returns how many requests of a service wait for a slot.
-func (entry *Entry) Queued(service string) int { return entry.table.Queued(service) }
+func (entry *Entry) Queued(service string) int { return entry.routes.Queued(service) }
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -15,101 +15,101 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// send makes one try at the picked target.
-func (entry *Entry) send(ctx context.Context, writer http.ResponseWriter, made *call, picked *route.PickResult) try {
+// trySend makes one try at the picked target.
+func (entry *Entry) trySend(ctx context.Context, writer http.ResponseWriter, made *serviceCall, picked *route.PickResult) tryResult {
 	conn, err := entry.options.Pool.Borrow(ctx, picked.Address())
 	if err != nil {
-		return callFailed(err)
+		return failedTry(err)
 	}
 	defer conn.Return()
 	stream, err := wire.NewDRPCGuardClient(conn).Serve(ctx)
 	if err != nil {
-		return callFailed(err)
+		return failedTry(err)
 	}
-	ended := exchange(stream, writer, made, entry.now())
-	endCall(stream, ended)
+	ended := sendAndRelay(stream, writer, made, entry.now())
+	closeStream(stream, ended)
 	return ended
 }
 
-// exchange sends the request on an open call and passes its answer on.
-func exchange(stream wire.DRPCGuard_ServeClient, writer http.ResponseWriter, made *call, now time.Time) try {
-	sendErr := sendBody(stream, made, now)
+// sendAndRelay sends the request on an open call and passes its answer on.
+func sendAndRelay(stream wire.DRPCGuard_ServeClient, writer http.ResponseWriter, made *serviceCall, now time.Time) tryResult {
+	sendErr := sendRequest(stream, made, now)
 	var broke *callerBodyError
 	if errors.As(sendErr, &broke) {
-		return try{fate: fateUnknown, detail: sendErr.Error()}
+		return tryResult{outcome: tryUnknown, detail: sendErr.Error()}
 	}
 	// A guard that refuses stops reading, so a failed send can still have an
 	// answer waiting behind it.
 	first, err := stream.Recv()
 	if err != nil {
-		return try{fate: fateUnknown, detail: "no answer came: " + err.Error()}
+		return tryResult{outcome: tryUnknown, detail: "no answer came: " + err.Error()}
 	}
 	if first.GetRefusal() != nil {
 		return refusedTry(first)
 	}
-	if first.GetHead().GetRequestId() != made.id {
-		return try{fate: fateUnknown, detail: "an answer to another request came"}
+	if first.GetHead().GetRequestId() != made.requestID {
+		return tryResult{outcome: tryUnknown, detail: "an answer to another request came"}
 	}
-	return relayAnswer(writer, made, first, stream)
+	return relayResponse(writer, made, first, stream)
 }
 
-// endCall ends the call before its connection is returned. A call that came to
+// closeStream ends the call before its connection is returned. A call that came to
 // its last message is read to its end, which follows at once and leaves the
 // connection free for the next one; any other is broken off.
-func endCall(stream wire.DRPCGuard_ServeClient, ended try) {
-	if ended.fate == fateAnswered || ended.fate == fateNotRun {
+func closeStream(stream wire.DRPCGuard_ServeClient, ended tryResult) {
+	if ended.outcome == tryAnswered || ended.outcome == tryNotRun {
 		_ = stream.CloseSend()
 		_, _ = stream.Recv()
 	}
 	_ = stream.Close()
 }
 
-// callFailed judges a call that could not be opened.
-func callFailed(err error) try {
+// failedTry judges a call that could not be opened.
+func failedTry(err error) tryResult {
 	var dial *rpc.DialError
 	if errors.As(err, &dial) {
-		return try{fate: fateNotRun, detail: err.Error()}
+		return tryResult{outcome: tryNotRun, detail: err.Error()}
 	}
-	return try{fate: fateUnknown, detail: err.Error()}
+	return tryResult{outcome: tryUnknown, detail: err.Error()}
 }
 
-func refusedTry(first *wire.ServeOut) try {
+func refusedTry(first *wire.ServeOut) tryResult {
 	refusal := first.GetRefusal()
-	ended := try{fate: fateUnknown, load: first.GetLoad(), detail: refusal.GetReason().String() + ": " + refusal.GetDetail()}
+	ended := tryResult{outcome: tryUnknown, load: first.GetLoad(), detail: refusal.GetReason().String() + ": " + refusal.GetDetail()}
 	if refusal.GetNotRun() {
-		ended.fate = fateNotRun
+		ended.outcome = tryNotRun
 	}
 	switch refusal.GetReason() {
 	case wire.RefusalReason_REFUSAL_NO_SLOT, wire.RefusalReason_REFUSAL_NO_CONNECTION:
-		ended.full = true
+		ended.serverFull = true
 	case wire.RefusalReason_REFUSAL_LEAVING:
 		ended.leaving = true
 	}
 	return ended
 }
 
-func sendBody(stream wire.DRPCGuard_ServeClient, made *call, now time.Time) error {
+func sendRequest(stream wire.DRPCGuard_ServeClient, made *serviceCall, now time.Time) error {
 	first := &wire.ServeIn{
 		Head: &wire.ServeHead{
-			RequestId:     made.id,
+			RequestId:     made.requestID,
 			Service:       made.service,
 			Method:        made.request.Method,
 			Target:        made.target,
 			Headers:       made.headers,
 			TimeoutNanos:  made.deadline.Sub(now).Nanoseconds(),
 			Repeatable:    made.repeatable,
-			ContentLength: made.length,
+			ContentLength: made.contentLength,
 		},
 		Body: made.body,
-		Last: made.rest == nil,
+		Last: made.bodyRest == nil,
 	}
 	if err := stream.Send(first); err != nil {
 		return errors.Wrap(err, "send request")
 	}
-	if made.rest == nil {
+	if made.bodyRest == nil {
 		return nil
 	}
-	return sendRest(stream, made.rest)
+	return sendBodyRest(stream, made.bodyRest)
 }
 
 // callerBodyError says that the caller did not send the rest of the body.
@@ -122,7 +122,7 @@
 	return "the caller's body broke off: " + broke.cause.Error()
 }
 
-func sendRest(stream wire.DRPCGuard_ServeClient, rest io.Reader) error {
+func sendBodyRest(stream wire.DRPCGuard_ServeClient, rest io.Reader) error {
 	buffer := make([]byte, sendChunkBytes)
 	for {
 		count, err := rest.Read(buffer)
@@ -139,39 +139,39 @@
 	}
 }
 
-// relayAnswer passes an answer on. Nothing reaches the caller of an answer
+// relayResponse passes an answer on. Nothing reaches the caller of an answer
 // that came in one message until it is known to be whole.
-func relayAnswer(writer http.ResponseWriter, made *call, first *wire.ServeOut, stream wire.DRPCGuard_ServeClient) try {
+func relayResponse(writer http.ResponseWriter, made *serviceCall, first *wire.ServeOut, stream wire.DRPCGuard_ServeClient) tryResult {
 	head := first.GetHead()
-	ended := try{fate: fateAnswered, status: int(head.GetStatus()), load: first.GetLoad()}
+	ended := tryResult{outcome: tryAnswered, status: int(head.GetStatus()), load: first.GetLoad()}
 	if first.GetLast() && head.GetContentLength() >= 0 && made.request.Method != http.MethodHead && int64(len(first.GetBody())) != head.GetContentLength() {
-		return try{fate: fateUnknown, detail: "the answer is shorter than it says"}
+		return tryResult{outcome: tryUnknown, detail: "the answer is shorter than it says"}
 	}
-	writeHead(writer, made, first)
-	if err := writeBody(writer, first.GetBody()); err != nil && made.request.Method != http.MethodHead {
-		return cut(ended, err)
+	writeResponseHead(writer, made, first)
+	if err := writeNonEmpty(writer, first.GetBody()); err != nil && made.request.Method != http.MethodHead {
+		return truncatedTry(ended, err)
 	}
 	sent := int64(len(first.GetBody()))
 	for last := first.GetLast(); !last; {
 		next, err := stream.Recv()
 		if err != nil {
-			return cut(ended, err)
+			return truncatedTry(ended, err)
 		}
-		if err := writeBody(writer, next.GetBody()); err != nil {
-			return cut(ended, err)
+		if err := writeNonEmpty(writer, next.GetBody()); err != nil {
+			return truncatedTry(ended, err)
 		}
 		sent += int64(len(next.GetBody()))
 		last, ended.load = next.GetLast(), next.GetLoad()
 	}
 	if length := head.GetContentLength(); length >= 0 && sent != length && made.request.Method != http.MethodHead {
-		return cut(ended, errors.New("the answer is shorter than it says"))
+		return truncatedTry(ended, errors.New("the answer is shorter than it says"))
 	}
 	return ended
 }
 
-// writeBody writes nothing for an empty part: an answer without a body, such as
+// writeNonEmpty writes nothing for an empty part: an answer without a body, such as
 // 204, fails any write.
-func writeBody(writer http.ResponseWriter, part []byte) error {
+func writeNonEmpty(writer http.ResponseWriter, part []byte) error {
 	if len(part) == 0 {
 		return nil
 	}
@@ -179,19 +179,19 @@
 	return err
 }
 
-func cut(ended try, err error) try {
-	ended.fate = fateCut
+func truncatedTry(ended tryResult, err error) tryResult {
+	ended.outcome = tryTruncated
 	ended.detail = err.Error()
 	return ended
 }
 
-func writeHead(writer http.ResponseWriter, made *call, first *wire.ServeOut) {
+func writeResponseHead(writer http.ResponseWriter, made *serviceCall, first *wire.ServeOut) {
 	head := first.GetHead()
 	header := writer.Header()
 	for _, each := range head.GetHeaders() {
 		header.Add(each.GetName(), each.GetValue())
 	}
-	header.Set(api.HeaderRequestID, made.id)
+	header.Set(api.HeaderRequestID, made.requestID)
 	length := head.GetContentLength()
 	if first.GetLast() && made.request.Method != http.MethodHead {
 		length = int64(len(first.GetBody()))
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -13,38 +13,38 @@
 )
 
 func (entry *Entry) policies() placement.Policies {
-	return placement.Policies{InForce: entry.shelf.Placement(), BuiltIn: entry.shelf.BuiltIn()}
+	return placement.Policies{InForce: entry.documents.Placement(), BuiltIn: entry.documents.BuiltIn()}
 }
 
 // serveExplain says why a task is where it is, or what it waits for.
 func (entry *Entry) serveExplain(writer http.ResponseWriter, id string) {
 	var made *api.Explanation
-	settings := entry.shelf.Config()
+	settings := entry.documents.Config()
 	now := entry.now()
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		task := folded.Task(id)
 		if task == nil || settings == nil {
 			return
 		}
-		made = &api.Explanation{Task: *showTask(task), Policy: entry.shelf.Placement().String()}
+		made = &api.Explanation{Task: *apiTask(task), Policy: entry.documents.Placement().String()}
 		if task.Phase() != state.PhasePending {
-			made.Summary = settledSummary(task)
+			made.Summary = phaseSummary(task)
 			return
 		}
-		decision := entry.placer.decideOne(entry.placer.board(folded, now), teamUsage(folded), settings, entry.policies(), task, now)
+		decision := entry.placer.decideTask(entry.placer.workerSet(folded, now), newTeamUsage(folded), settings, entry.policies(), task, now)
 		explainPending(made, decision)
 	})
 	if made == nil {
-		writeProblem(writer, notFound("no task has the ID "+strconv.Quote(id)))
+		writeProblem(writer, notFoundProblem("no task has the ID "+strconv.Quote(id)))
 		return
 	}
-	if !entry.logUp(now) {
+	if !entry.isLogFresh(now) {
 		made.Summary += "; the platform's log can't be read, so nothing is placed until it is back"
 	}
 	writeJSON(writer, http.StatusOK, made)
 }
 
-func settledSummary(task *state.Task) string {
+func phaseSummary(task *state.Task) string {
 	if !task.Phase().IsPlaced() {
 		return fmt.Sprintf("the task is %s: %s", task.Phase(), task.Reason())
 	}
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -12,8 +12,8 @@
 	"ambertiller.example/ambertiller/api"
 )
 
-// maxControlBytes is the largest body of a call that is not a service request.
-const maxControlBytes = 1 << 20
+// maxControlBodyBytes is the largest body of a call that is not a service request.
+const maxControlBodyBytes = 1 << 20
 
 // Handler returns the HTTP interface for callers, operators and the balancer.
 func (entry *Entry) Handler() (http.Handler, error) {
@@ -25,15 +25,15 @@
 	app.Any("/v1/services/{service:string}", func(ctx iris.Context) {
 		entry.serveRequest(ctx.ResponseWriter(), ctx.Request(), ctx.Params().Get("service"), "")
 	})
-	entry.taskRoutes(app)
-	entry.operatorRoutes(app)
-	app.Get("/healthz", func(ctx iris.Context) { writeJSON(ctx.ResponseWriter(), http.StatusOK, healthy{Status: "alive"}) })
+	entry.addTaskRoutes(app)
+	entry.addOperatorRoutes(app)
+	app.Get("/healthz", func(ctx iris.Context) { writeJSON(ctx.ResponseWriter(), http.StatusOK, healthStatus{Status: "alive"}) })
 	app.Get("/readyz", func(ctx iris.Context) { entry.serveReady(ctx.ResponseWriter()) })
 	app.OnErrorCode(iris.StatusNotFound, func(ctx iris.Context) {
-		writeProblem(ctx.ResponseWriter(), notFound("no such path: "+ctx.Path()))
+		writeProblem(ctx.ResponseWriter(), notFoundProblem("no such path: "+ctx.Path()))
 	})
 	app.OnErrorCode(iris.StatusMethodNotAllowed, func(ctx iris.Context) {
-		writeProblem(ctx.ResponseWriter(), problem(http.StatusMethodNotAllowed, api.TypeMethod, "The method is not allowed here", ctx.Method()+" "+ctx.Path()))
+		writeProblem(ctx.ResponseWriter(), newProblem(http.StatusMethodNotAllowed, api.TypeMethod, "The method is not allowed here", ctx.Method()+" "+ctx.Path()))
 	})
 	app.Configure(iris.WithFireMethodNotAllowed, iris.WithoutServerError(iris.ErrServerClosed))
 	if err := app.Build(); err != nil {
@@ -42,16 +42,16 @@
 	return app, nil
 }
 
-// healthy is the body of the health and readiness checks.
-type healthy struct {
+// healthStatus is the body of the health and readiness checks.
+type healthStatus struct {
 	Status string `json:"status"`
 	Reason string `json:"reason,omitempty"`
 	Log    string `json:"log,omitempty"`
 }
 
 func (entry *Entry) serveReady(writer http.ResponseWriter) {
-	state := healthy{Status: "ready", Log: "up"}
-	if !entry.logUp(entry.now()) {
+	state := healthStatus{Status: "ready", Log: "up"}
+	if !entry.isLogFresh(entry.now()) {
 		// An entry without the log still serves repeatable requests.
 		state.Log = "down"
 	}
@@ -63,7 +63,7 @@
 	writeJSON(writer, http.StatusOK, state)
 }
 
-func (entry *Entry) taskRoutes(app *iris.Application) {
+func (entry *Entry) addTaskRoutes(app *iris.Application) {
 	app.Post("/v1/tasks", func(ctx iris.Context) { entry.serveSubmit(ctx.ResponseWriter(), ctx.Request()) })
 	app.Get("/v1/tasks", func(ctx iris.Context) { entry.serveTasks(ctx.ResponseWriter(), ctx.Request()) })
 	app.Get("/v1/tasks/{task:string}", func(ctx iris.Context) { entry.serveTask(ctx.ResponseWriter(), ctx.Params().Get("task")) })
@@ -80,7 +80,7 @@
 	})
 }
 
-func (entry *Entry) operatorRoutes(app *iris.Application) {
+func (entry *Entry) addOperatorRoutes(app *iris.Application) {
 	app.Get("/v1/workers", func(ctx iris.Context) { entry.serveWorkers(ctx.ResponseWriter()) })
 	app.Put("/v1/workers/{worker:string}/drain", func(ctx iris.Context) {
 		entry.serveDrain(ctx.ResponseWriter(), ctx.Request(), ctx.Params().Get("worker"))
@@ -101,16 +101,16 @@
 	app.Get("/v1/in-force", func(ctx iris.Context) { entry.serveInForce(ctx.ResponseWriter()) })
 }
 
-// readBody decodes a JSON body strictly: unknown fields and anything after the
+// decodeBody decodes a JSON body strictly: unknown fields and anything after the
 // value are faults.
-func readBody(writer http.ResponseWriter, request *http.Request, into any) *api.Problem {
-	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxControlBytes))
+func decodeBody(writer http.ResponseWriter, request *http.Request, into any) *api.Problem {
+	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxControlBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
 		return decodeProblem(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return badRequest("the body goes on after its JSON value")
+		return badRequestProblem("the body goes on after its JSON value")
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 func decodeProblem(err error) *api.Problem {
 	var most *http.MaxBytesError
 	if errors.As(err, &most) {
-		return problem(http.StatusRequestEntityTooLarge, api.TypeTooLarge, "The body is too large", "give at most 1 MiB")
+		return newProblem(http.StatusRequestEntityTooLarge, api.TypeTooLarge, "The body is too large", "give at most 1 MiB")
 	}
-	return badRequest("the body is not the JSON expected here: " + strings.TrimPrefix(err.Error(), "json: "))
+	return badRequestProblem("the body is not the JSON expected here: " + strings.TrimPrefix(err.Error(), "json: "))
 }
--- a/entry/judge.go
+++ b/entry/judge.go
@@ -11,36 +11,36 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// verdicts is what one report leads to.
-type verdicts struct {
+// reportActions is what one report leads to.
+type reportActions struct {
 	grants  []*wire.TaskGrant
 	records []*record.Record
 	stops   []*wire.StopRequest
 	starts  []*state.Task
 }
 
-// judge compares the attempts that a guard reports with the state.
-func (entry *Entry) judge(guard *membership.Guard, now time.Time) *verdicts {
-	made := &verdicts{}
-	fresh := entry.log.SyncedAt()
-	entry.log.View(func(folded *state.State) {
+// reconcile compares the attempts that a guard reports with the state.
+func (entry *Entry) reconcile(guard *membership.Guard, now time.Time) *reportActions {
+	made := &reportActions{}
+	fresh := entry.journal.SyncedAt()
+	entry.journal.View(func(folded *state.State) {
 		reported := map[string]bool{}
 		for _, task := range guard.Tasks() {
 			reported[task.GetTask()] = true
-			entry.judgeReported(made, folded, guard, task, fresh, now)
+			entry.reconcileReported(made, folded, guard, task, fresh, now)
 		}
 		for _, task := range folded.TasksOnWorker(guard.Name()) {
-			if !reported[task.ID()] && entry.owns(task.ID(), now) {
-				entry.judgeMissing(made, task, guard, now)
+			if !reported[task.ID()] && entry.isResponsibleFor(task.ID(), now) {
+				entry.reconcileMissing(made, task, guard, now)
 			}
 		}
-		entry.judgeSuspect(made, folded, guard, now)
+		entry.clearSuspicion(made, folded, guard, now)
 	})
 	return made
 }
 
-// judgeReported judges one attempt that the guard answers for.
-func (entry *Entry) judgeReported(made *verdicts, folded *state.State, guard *membership.Guard, reported *wire.TaskReport, fresh, now time.Time) {
+// reconcileReported judges one attempt that the guard answers for.
+func (entry *Entry) reconcileReported(made *reportActions, folded *state.State, guard *membership.Guard, reported *wire.TaskReport, fresh, now time.Time) {
 	grant := &wire.TaskGrant{Task: reported.GetTask(), Attempt: reported.GetAttempt()}
 	task := folded.Task(reported.GetTask())
 	switch {
@@ -53,16 +53,16 @@
 	case reported.GetAttempt() < task.Attempt() || !task.Phase().IsPlaced():
 		grant.Recorded, grant.Stop = true, true
 	default:
-		entry.judgeCurrent(made, folded, guard, task, reported, grant, fresh, now)
+		entry.reconcileCurrent(made, folded, guard, task, reported, grant, fresh, now)
 	}
 	if grant.GetLeaseNanos() > 0 || grant.GetStop() || grant.GetRecorded() {
 		made.grants = append(made.grants, grant)
 	}
 }
 
-func (entry *Entry) judgeCurrent(made *verdicts, folded *state.State, guard *membership.Guard, task *state.Task, reported *wire.TaskReport, grant *wire.TaskGrant, fresh, now time.Time) {
-	owned := entry.owns(task.ID(), now)
-	if rec := endOf(reported, now); rec != nil {
+func (entry *Entry) reconcileCurrent(made *reportActions, folded *state.State, guard *membership.Guard, task *state.Task, reported *wire.TaskReport, grant *wire.TaskGrant, fresh, now time.Time) {
+	owned := entry.isResponsibleFor(task.ID(), now)
+	if rec := newEndRecord(reported, now); rec != nil {
 		if owned {
 			made.records = append(made.records, rec)
 		}
@@ -76,26 +76,26 @@
 	switch {
 	case !owned:
 	case task.Phase() == state.PhaseAssigned:
-		made.records = append(made.records, runningRecord(task.ID(), task.Attempt(), now))
+		made.records = append(made.records, newRunningRecord(task.ID(), task.Attempt(), now))
 	case task.Phase() == state.PhaseStopping && reported.GetPhase() == wire.TaskPhase_TASK_RUNNING:
-		made.stops = append(made.stops, stopOf(task, guard))
+		made.stops = append(made.stops, newStopRequest(task, guard))
 	case task.Phase() == state.PhaseRunning && (folded.IsDraining(guard.Name()) || guard.ListedLeaving()):
-		made.records = append(made.records, evictRecord(task, "its worker is drained", now))
+		made.records = append(made.records, newEvictRecord(task, "its worker is drained", now))
 	}
 }
 
-func stopOf(task *state.Task, guard *membership.Guard) *wire.StopRequest {
+func newStopRequest(task *state.Task, guard *membership.Guard) *wire.StopRequest {
 	return &wire.StopRequest{Task: task.ID(), Attempt: task.Attempt(), Incarnation: guard.Incarnation(), Reason: task.Reason()}
 }
 
-func evictRecord(task *state.Task, reason string, now time.Time) *record.Record {
+func newEvictRecord(task *state.Task, reason string, now time.Time) *record.Record {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_TaskEvict{TaskEvict: &record.TaskEvict{Task: task.ID(), Attempt: task.Attempt(), Reason: reason}}
 	return rec
 }
 
-// endOf returns the record of an attempt's end, nil while it runs.
-func endOf(reported *wire.TaskReport, now time.Time) *record.Record {
+// newEndRecord returns the record of an attempt's end, nil while it runs.
+func newEndRecord(reported *wire.TaskReport, now time.Time) *record.Record {
 	id, attempt := reported.GetTask(), reported.GetAttempt()
 	switch reported.GetPhase() {
 	case wire.TaskPhase_TASK_FINISHED, wire.TaskPhase_TASK_FAILED:
@@ -109,42 +109,42 @@
 		}}
 		return rec
 	case wire.TaskPhase_TASK_STOPPED, wire.TaskPhase_TASK_LAPSED:
-		return releaseOf(id, attempt, record.ReleaseReason_RELEASE_STOPPED, reported.GetReason(), reported.GetCheckpoint(), now)
+		return newReleaseRecord(id, attempt, record.ReleaseReason_RELEASE_STOPPED, reported.GetReason(), reported.GetCheckpoint(), now)
 	}
 	return nil
 }
 
-// judgeMissing judges an attempt that the state gives to the worker and that
+// reconcileMissing judges an attempt that the state gives to the worker and that
 // its guard, by its own report, does not have.
-func (entry *Entry) judgeMissing(made *verdicts, task *state.Task, guard *membership.Guard, now time.Time) {
+func (entry *Entry) reconcileMissing(made *reportActions, task *state.Task, guard *membership.Guard, now time.Time) {
 	offered := task.Incarnation() == guard.Incarnation()
 	switch {
 	case !offered:
 		// The offer was to an earlier incarnation, which has been replaced:
 		// nobody takes it up any more, and this one has looked at what its
 		// worker runs.
-		// The case behind adoptSettle: a start that the earlier one had sent to
+		// The case behind minAdoptionUptime: a start that the earlier one had sent to
 		// the worker when it died may reach the worker a moment later.
-		if guard.Uptime() > adoptSettle {
-			made.records = append(made.records, releaseOf(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_NOT_STARTED, "a new guard does not find it on the worker", nil, now))
+		if guard.Uptime() > minAdoptionUptime {
+			made.records = append(made.records, newReleaseRecord(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_NOT_STARTED, "a new guard does not find it on the worker", nil, now))
 		}
 	case guard.Uptime() > task.OfferDeadline():
-		made.records = append(made.records, releaseOf(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_NOT_STARTED, "the offer ended without being taken up", nil, now))
+		made.records = append(made.records, newReleaseRecord(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_NOT_STARTED, "the offer ended without being taken up", nil, now))
 	case task.Phase() == state.PhaseAssigned:
 		made.starts = append(made.starts, task)
 	case task.Phase() == state.PhaseStopping:
-		made.stops = append(made.stops, stopOf(task, guard))
+		made.stops = append(made.stops, newStopRequest(task, guard))
 	}
 }
 
-// adoptSettle is how old a guard must be before what it does not find on its
+// minAdoptionUptime is how old a guard must be before what it does not find on its
 // worker counts as not there.
-const adoptSettle = 3 * time.Second
+const minAdoptionUptime = 3 * time.Second
 
-// judgeSuspect ends the suspicion of a guard that speaks. Any entry that hears
+// clearSuspicion ends the suspicion of a guard that speaks. Any entry that hears
 // it does so, not only the one that acts for the worker: the case is a guard
 // that reaches some entries and not that one.
-func (entry *Entry) judgeSuspect(made *verdicts, folded *state.State, guard *membership.Guard, now time.Time) {
+func (entry *Entry) clearSuspicion(made *reportActions, folded *state.State, guard *membership.Guard, now time.Time) {
 	suspicion := folded.ActiveSuspicion(guard.Name())
 	if suspicion == 0 {
 		return
--- a/entry/offer.go
+++ b/entry/offer.go
@@ -9,9 +9,9 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// offer puts a newer copy of a document in force.
-func (entry *Entry) offer(ctx context.Context, offered document.Copy) {
-	changed, err := entry.shelf.Offer(offered)
+// applyDocument puts a newer copy of a document in force.
+func (entry *Entry) applyDocument(ctx context.Context, offered document.Copy) {
+	changed, err := entry.documents.Offer(offered)
 	attributes := []slog.Attr{slog.String("document", offered.Name), slog.Uint64("version", offered.Version)}
 	if err != nil {
 		entry.options.Events.Log(ctx, event.DocumentRejected, append(attributes, slog.String("error", err.Error()))...)
@@ -22,8 +22,8 @@
 	}
 	entry.options.Events.Log(ctx, event.DocumentInForce, attributes...)
 	if offered.Name == config.DocumentName {
-		limits := entry.shelf.Config().Limits()
-		entry.retries.SetRatio(limits.RetryRatio())
+		limits := entry.documents.Config().Limits()
+		entry.retryBudget.SetRatio(limits.RetryRatio())
 		entry.view.SetSilent(limits.WorkerSilent())
 	}
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -14,62 +14,62 @@
 	have := wire.FromVersions(request.GetHave())
 	return &wire.DocumentsReply{
 		Entry:     entry.options.Name,
-		Documents: wire.Copies(entry.shelf.NewerThan(have)),
-		InForce:   wire.Versions(entry.shelf.Versions()),
+		Documents: wire.Copies(entry.documents.NewerThan(have)),
+		InForce:   wire.Versions(entry.documents.Versions()),
 	}, nil
 }
 
-// AskPeers learns which other entries are there, and takes over documents that
+// SyncPeers learns which other entries are there, and takes over documents that
 // they have and the log has not brought here.
-func (entry *Entry) AskPeers(ctx context.Context) {
+func (entry *Entry) SyncPeers(ctx context.Context) {
 	var calls sync.WaitGroup
 	for _, peer := range entry.view.Entries() {
 		if peer.Name == entry.options.Name {
 			continue
 		}
-		calls.Go(func() { entry.askPeer(ctx, peer.Address) })
+		calls.Go(func() { entry.syncPeer(ctx, peer.Address) })
 	}
 	calls.Wait()
 }
 
-func (entry *Entry) askPeer(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (entry *Entry) syncPeer(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
-	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.Versions(entry.shelf.Versions())}
+	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.Versions(entry.documents.Versions())}
 	reply, err := wire.NewDRPCEntryClient(entry.options.Pool.Conn(address)).Documents(ctx, request)
 	if err != nil {
 		return
 	}
 	entry.view.PeerHeard(membership.Peer{Name: reply.GetEntry(), HeardAt: entry.now(), Documents: wire.FromVersions(reply.GetInForce())})
 	for _, copied := range reply.GetDocuments() {
-		entry.offer(ctx, wire.FromCopy(copied))
+		entry.applyDocument(ctx, wire.FromCopy(copied))
 	}
 }
 
-// learnDocuments notices that a guard holds a newer document than this entry,
+// fetchIfNewer notices that a guard holds a newer document than this entry,
 // as after a cold start with the log down, and fetches it.
-func (entry *Entry) learnDocuments(ctx context.Context, held []*wire.DocumentVersion, address string) {
+func (entry *Entry) fetchIfNewer(ctx context.Context, held []*wire.DocumentVersion, address string) {
 	mine := map[string]uint64{}
-	for _, each := range entry.shelf.Versions() {
+	for _, each := range entry.documents.Versions() {
 		mine[each.Name] = each.Version
 	}
 	for _, each := range held {
 		if each.GetVersion() > mine[each.GetName()] {
-			entry.background.Go(func() { entry.fetchFromGuard(context.WithoutCancel(ctx), address) })
+			entry.background.Go(func() { entry.fetchDocuments(context.WithoutCancel(ctx), address) })
 			return
 		}
 	}
 }
 
-func (entry *Entry) fetchFromGuard(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (entry *Entry) fetchDocuments(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
-	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.Versions(entry.shelf.Versions())}
+	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.Versions(entry.documents.Versions())}
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(address)).Documents(ctx, request)
 	if err != nil {
 		return
 	}
 	for _, copied := range reply.GetDocuments() {
-		entry.offer(ctx, wire.FromCopy(copied))
+		entry.applyDocument(ctx, wire.FromCopy(copied))
 	}
 }
--- a/entry/place.go
+++ b/entry/place.go
@@ -22,16 +22,16 @@
 const (
 	// offerTime is how long a guard has to take an offer up, on its own clock.
 	offerTime = 10 * time.Second
-	// refusalTime is how long a worker that refused a task is not asked again
+	// refusalBackoff is how long a worker that refused a task is not asked again
 	// for the same task.
-	refusalTime = 5 * time.Second
-	// mostPerRound bounds the assignments that share one append.
-	mostPerRound = 64
-	// recoverTime and mostStartFailures keep a worker that fails what it
+	refusalBackoff = 5 * time.Second
+	// maxAssignmentsPerRound bounds the assignments that share one append.
+	maxAssignmentsPerRound = 64
+	// startFailureWindow and maxStartFailures keep a worker that fails what it
 	// starts from looking empty and so attracting more.
-	recoverTime       = 30 * time.Second
-	mostStartFailures = 3
-	waitingLogEvery   = 10 * time.Second
+	startFailureWindow = 30 * time.Second
+	maxStartFailures   = 3
+	waitingLogInterval = 10 * time.Second
 )
 
 // refusal is a worker's refusal of a task.
@@ -42,20 +42,20 @@
 
 // placer assigns pending tasks to workers.
 type placer struct {
-	entry  *Entry
-	runner *policy.Runner
+	entry        *Entry
+	policyRunner *policy.Runner
 
-	mu            sync.Mutex
-	refusals      map[string][]refusal // by task
-	startFailures map[string][]time.Time
-	waitingLogged map[string]time.Time
+	mu              sync.Mutex
+	refusals        map[string][]refusal // by task
+	startFailures   map[string][]time.Time
+	waitingLoggedAt map[string]time.Time
 }
 
-func (entry *Entry) placeLoop(ctx context.Context) {
+func (entry *Entry) runPlacement(ctx context.Context) {
 	ticker := entry.options.Clock.NewTicker(placeInterval)
 	defer ticker.Stop()
 	for {
-		entry.Place(ctx, entry.now())
+		entry.PlacePending(ctx, entry.now())
 		select {
 		case <-ctx.Done():
 			return
@@ -64,22 +64,22 @@
 	}
 }
 
-// Place makes one round of placements.
-func (entry *Entry) Place(ctx context.Context, now time.Time) { entry.placer.round(ctx, now) }
+// PlacePending makes one round of placements.
+func (entry *Entry) PlacePending(ctx context.Context, now time.Time) { entry.placer.runRound(ctx, now) }
 
 // assignment is one proposed placement.
 type assignment struct {
-	task     *record.TaskAssign
+	assign   *record.TaskAssign
 	spec     *record.TaskSpec
 	attempt  uint64
 	address  string
 	decision *placement.Decision
 }
 
-// round places as many pending tasks as there is room for.
-func (placing *placer) round(ctx context.Context, now time.Time) {
+// runRound places as many pending tasks as there is room for.
+func (placing *placer) runRound(ctx context.Context, now time.Time) {
 	entry := placing.entry
-	if !entry.logUp(now) || entry.shelf.Config() == nil || entry.leaving.Load() {
+	if !entry.isLogFresh(now) || entry.documents.Config() == nil || entry.shuttingDown.Load() {
 		return
 	}
 	assignments := placing.decide(ctx, now)
@@ -89,42 +89,42 @@
 	records := make([]*record.Record, 0, len(assignments))
 	for _, each := range assignments {
 		rec := changelog.NewRecord(now)
-		rec.Body = &record.Record_TaskAssign{TaskAssign: each.task}
+		rec.Body = &record.Record_TaskAssign{TaskAssign: each.assign}
 		records = append(records, rec)
 	}
-	appendCtx, cancel := context.WithTimeout(ctx, appendWait)
+	appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	outcomes, err := entry.log.Append(appendCtx, records...)
+	outcomes, err := entry.journal.Append(appendCtx, records...)
 	if err != nil {
 		// An assignment that takes effect late is found in the state and
 		// released there once its offer has ended unused.
 		return
 	}
 	for index, each := range assignments {
-		placing.settle(ctx, each, outcomes[index])
+		placing.handleOutcome(ctx, each, outcomes[index])
 	}
 }
 
 // decide makes the decisions of one round from the present state.
 func (placing *placer) decide(ctx context.Context, now time.Time) []*assignment {
 	entry := placing.entry
-	settings := entry.shelf.Config()
+	settings := entry.documents.Config()
 	policies := entry.policies()
 	var assignments []*assignment
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		if folded.PendingCount() == 0 {
 			return
 		}
-		board := placing.board(folded, now)
-		usage := teamUsage(folded)
-		for _, task := range byShare(folded.Pending(), usage, settings) {
-			if len(assignments) == mostPerRound {
+		board := placing.workerSet(folded, now)
+		usage := newTeamUsage(folded)
+		for _, task := range sortByShare(folded.Pending(), usage, settings) {
+			if len(assignments) == maxAssignmentsPerRound {
 				return
 			}
-			if !entry.owns(task.ID(), now) {
+			if !entry.isResponsibleFor(task.ID(), now) {
 				continue
 			}
-			decision := placing.decideOne(board, usage, settings, policies, task, now)
+			decision := placing.decideTask(board, usage, settings, policies, task, now)
 			if !decision.IsPlaced() {
 				placing.logWaiting(ctx, task, decision, now)
 				continue
@@ -132,20 +132,20 @@
 			chosen := board.Worker(decision.Worker())
 			board.Reserve(decision.Worker(), task.Spec())
 			usage.add(task.Spec())
-			assignments = append(assignments, assignmentOf(entry.view.Guard(chosen.Name), task, decision, entry.leaseOf(task.Spec().GetKind()), now))
+			assignments = append(assignments, newAssignment(entry.view.Guard(chosen.Name), task, decision, entry.leaseForKind(task.Spec().GetKind()), now))
 		}
 	})
 	return assignments
 }
 
-func (placing *placer) decideOne(board *placement.WorkerSet, usage teamUse, settings *config.Config, policies placement.Policies, task *state.Task, now time.Time) *placement.Decision {
-	if usage.over(settings, task.Spec()) {
+func (placing *placer) decideTask(board *placement.WorkerSet, usage usageByTeam, settings *config.Config, policies placement.Policies, task *state.Task, now time.Time) *placement.Decision {
+	if usage.exceedsQuota(settings, task.Spec()) {
 		return board.RejectAll(policies, placement.OverQuota)
 	}
-	return board.Decide(placing.runner, policies, placing.taskOf(settings, task, now))
+	return board.Decide(placing.policyRunner, policies, placing.newPlacementTask(settings, task, now))
 }
 
-func (placing *placer) taskOf(settings *config.Config, task *state.Task, now time.Time) *placement.Task {
+func (placing *placer) newPlacementTask(settings *config.Config, task *state.Task, now time.Time) *placement.Task {
 	kind, _ := settings.Kind(task.Spec().GetKind())
 	return &placement.Task{
 		ID:        task.ID(),
@@ -157,12 +157,12 @@
 	}
 }
 
-func assignmentOf(guard *membership.Guard, task *state.Task, decision *placement.Decision, lease time.Duration, now time.Time) *assignment {
+func newAssignment(guard *membership.Guard, task *state.Task, decision *placement.Decision, lease time.Duration, now time.Time) *assignment {
 	// The guard's clock has moved on since it was heard; counting that in
 	// keeps an offer from ending early, and never lets it end late.
 	uptime := guard.Uptime() + now.Sub(guard.HeardAt())
 	return &assignment{
-		task: &record.TaskAssign{
+		assign: &record.TaskAssign{
 			Task:               task.ID(),
 			BasedOn:            task.Version(),
 			Worker:             guard.Name(),
@@ -178,25 +178,25 @@
 	}
 }
 
-// settle acts on the log's verdict on one assignment.
-func (placing *placer) settle(ctx context.Context, each *assignment, outcome state.Outcome) {
+// handleOutcome acts on the log's verdict on one assignment.
+func (placing *placer) handleOutcome(ctx context.Context, each *assignment, outcome state.Outcome) {
 	entry := placing.entry
 	if !outcome.Accepted() {
-		entry.metrics.decided(ctx, "lost")
-		entry.options.Events.Log(ctx, event.PlacementLost, slog.String("task", each.task.GetTask()), slog.String("reason", string(outcome.Reason())))
+		entry.metrics.countDecision(ctx, "lost")
+		entry.options.Events.Log(ctx, event.PlacementLost, slog.String("task", each.assign.GetTask()), slog.String("reason", string(outcome.Reason())))
 		return
 	}
-	entry.metrics.decided(ctx, "placed")
-	logPlaced(ctx, entry.options.Events, each)
-	entry.background.Go(func() { entry.start(ctx, each.task.GetTask(), each.attempt) })
+	entry.metrics.countDecision(ctx, "placed")
+	logPlacement(ctx, entry.options.Events, each)
+	entry.background.Go(func() { entry.offerAttempt(ctx, each.assign.GetTask(), each.attempt) })
 }
 
-func logPlaced(ctx context.Context, events *event.Logger, each *assignment) {
+func logPlacement(ctx context.Context, events *event.Logger, each *assignment) {
 	second, secondScore := each.decision.RunnerUp()
 	attributes := []slog.Attr{
-		slog.String("task", each.task.GetTask()),
+		slog.String("task", each.assign.GetTask()),
 		slog.Uint64("attempt", each.attempt),
-		slog.String("worker", each.task.GetWorker()),
+		slog.String("worker", each.assign.GetWorker()),
 		slog.Float64("score", each.decision.Score()),
 		slog.String("second", second),
 		slog.Float64("second_score", secondScore),
@@ -205,7 +205,7 @@
 		rejectedAttr(each.decision),
 	}
 	if failure := each.decision.PolicyError(); failure != nil {
-		events.Log(ctx, event.PolicyFellBack, slog.String("task", each.task.GetTask()), slog.String("error", failure.Error()))
+		events.Log(ctx, event.PolicyFellBack, slog.String("task", each.assign.GetTask()), slog.String("error", failure.Error()))
 	}
 	events.Log(ctx, event.TaskPlaced, attributes...)
 }
@@ -221,12 +221,12 @@
 // logWaiting says why a task waits, now and then.
 func (placing *placer) logWaiting(ctx context.Context, task *state.Task, decision *placement.Decision, now time.Time) {
 	placing.mu.Lock()
-	if placing.waitingLogged == nil {
-		placing.waitingLogged = map[string]time.Time{}
+	if placing.waitingLoggedAt == nil {
+		placing.waitingLoggedAt = map[string]time.Time{}
 	}
-	due := now.Sub(placing.waitingLogged[task.ID()]) >= waitingLogEvery
+	due := now.Sub(placing.waitingLoggedAt[task.ID()]) >= waitingLogInterval
 	if due {
-		placing.waitingLogged[task.ID()] = now
+		placing.waitingLoggedAt[task.ID()] = now
 	}
 	placing.mu.Unlock()
 	if due {
@@ -234,25 +234,25 @@
 	}
 }
 
-// forget drops what was kept about tasks that are no longer pending.
-func (placing *placer) forget(folded *state.State, now time.Time) {
+// prune drops what was kept about tasks that are no longer pending.
+func (placing *placer) prune(folded *state.State, now time.Time) {
 	placing.mu.Lock()
 	defer placing.mu.Unlock()
 	gone := func(id string) bool {
 		task := folded.Task(id)
 		return task == nil || task.Phase() != state.PhasePending
 	}
-	maps.DeleteFunc(placing.waitingLogged, func(id string, _ time.Time) bool { return gone(id) })
+	maps.DeleteFunc(placing.waitingLoggedAt, func(id string, _ time.Time) bool { return gone(id) })
 	maps.DeleteFunc(placing.refusals, func(id string, _ []refusal) bool { return gone(id) })
 	maps.DeleteFunc(placing.startFailures, func(_ string, times []time.Time) bool {
-		return now.Sub(times[len(times)-1]) > recoverTime
+		return now.Sub(times[len(times)-1]) > startFailureWindow
 	})
 }
 
-func (placing *placer) refused(task, worker string, now time.Time) {
+func (placing *placer) addRefusal(task, worker string, now time.Time) {
 	placing.mu.Lock()
 	defer placing.mu.Unlock()
-	placing.refusals[task] = append(placing.refusals[task], refusal{worker: worker, until: now.Add(refusalTime)})
+	placing.refusals[task] = append(placing.refusals[task], refusal{worker: worker, until: now.Add(refusalBackoff)})
 }
 
 func (placing *placer) refusedBy(task string, now time.Time) []string {
@@ -267,7 +267,7 @@
 	return workers
 }
 
-func (placing *placer) startFailed(worker string, now time.Time) {
+func (placing *placer) addStartFailure(worker string, now time.Time) {
 	placing.mu.Lock()
 	defer placing.mu.Unlock()
 	if placing.startFailures == nil {
@@ -281,35 +281,35 @@
 	defer placing.mu.Unlock()
 	count := 0
 	for _, failedAt := range placing.startFailures[worker] {
-		if now.Sub(failedAt) < recoverTime {
+		if now.Sub(failedAt) < startFailureWindow {
 			count++
 		}
 	}
 	return count
 }
 
-// board lays out what is known of every worker.
-func (placing *placer) board(folded *state.State, now time.Time) *placement.WorkerSet {
+// workerSet lays out what is known of every worker.
+func (placing *placer) workerSet(folded *state.State, now time.Time) *placement.WorkerSet {
 	guards := placing.entry.view.Guards()
 	workers := make([]*placement.Worker, 0, len(guards))
 	for _, guard := range guards {
-		workers = append(workers, placing.workerOf(folded, guard, now))
+		workers = append(workers, placing.newPlacementWorker(folded, guard, now))
 	}
 	return placement.NewWorkerSet(workers)
 }
 
-func (placing *placer) workerOf(folded *state.State, guard *membership.Guard, now time.Time) *placement.Worker {
+func (placing *placer) newPlacementWorker(folded *state.State, guard *membership.Guard, now time.Time) *placement.Worker {
 	load := guard.Load()
 	made := &placement.Worker{
 		Name:          guard.Name(),
 		Incarnation:   guard.Incarnation(),
 		FailureDomain: guard.FailureDomain(),
 		Rack:          guard.Rack(),
-		Capacity:      amountOf(guard.Capacity()),
+		Capacity:      resourcesOf(guard.Capacity()),
 		UsedMilliCPU:  guard.Used().GetMilliCpu(),
 		Latency:       time.Duration(load.GetLatencyNanos()),
 		StartFailures: placing.recentStartFailures(guard.Name(), now),
-		BlockedBy:     placing.blocked(folded, guard, now),
+		BlockedBy:     placing.blockedBy(folded, guard, now),
 	}
 	if load.GetSlots() > 0 {
 		made.Load = float64(load.GetSlotsUsed()) / float64(load.GetSlots())
@@ -324,7 +324,7 @@
 	return made
 }
 
-func amountOf(resources *wire.Resources) placement.Resources {
+func resourcesOf(resources *wire.Resources) placement.Resources {
 	return placement.Resources{
 		MilliCPU:     resources.GetMilliCpu(),
 		MemoryBytes:  resources.GetMemoryBytes(),
@@ -332,8 +332,8 @@
 	}
 }
 
-// blocked returns why a worker takes no tasks at all now, empty when it does.
-func (placing *placer) blocked(folded *state.State, guard *membership.Guard, now time.Time) placement.Constraint {
+// blockedBy returns why a worker takes no tasks at all now, empty when it does.
+func (placing *placer) blockedBy(folded *state.State, guard *membership.Guard, now time.Time) placement.Constraint {
 	switch {
 	case folded.ActiveSuspicion(guard.Name()) != 0 || placing.entry.view.Silent(guard, now):
 		return placement.Suspected
@@ -341,7 +341,7 @@
 		return placement.Draining
 	case !guard.Ready():
 		return placement.NotReady
-	case placing.recentStartFailures(guard.Name(), now) >= mostStartFailures:
+	case placing.recentStartFailures(guard.Name(), now) >= maxStartFailures:
 		return placement.Recovering
 	}
 	return ""
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -14,36 +14,36 @@
 )
 
 var (
-	errLeaving  = errors.New("this entry is leaving")
-	errNoConfig = errors.New("no configuration is in force yet; publish one with `ambertiller config publish`")
+	errShuttingDown = errors.New("this entry is leaving")
+	errNoConfig     = errors.New("no configuration is in force yet; publish one with `ambertiller config publish`")
 )
 
-const retryLog = time.Second
+const defaultRetryAfter = time.Second
 
-// problem makes a problem document.
-func problem(status int, kind, title, detail string) *api.Problem {
+// newProblem makes a problem document.
+func newProblem(status int, kind, title, detail string) *api.Problem {
 	return &api.Problem{Type: kind, Title: title, Status: status, Detail: detail}
 }
 
-func badRequest(detail string) *api.Problem {
-	return problem(http.StatusBadRequest, api.TypeBadRequest, "The request can't be understood", detail)
+func badRequestProblem(detail string) *api.Problem {
+	return newProblem(http.StatusBadRequest, api.TypeBadRequest, "The request can't be understood", detail)
 }
 
-func notFound(detail string) *api.Problem {
-	return problem(http.StatusNotFound, api.TypeNotFound, "There is no such thing", detail)
+func notFoundProblem(detail string) *api.Problem {
+	return newProblem(http.StatusNotFound, api.TypeNotFound, "There is no such thing", detail)
 }
 
-// notRun says that a request has proved not to have run, and when to come back.
-func notRun(detail string, retryAfter time.Duration) *api.Problem {
-	made := problem(http.StatusServiceUnavailable, api.TypeNotRun, "The request was not run", detail)
+// notRunProblem says that a request has proved not to have run, and when to come back.
+func notRunProblem(detail string, retryAfter time.Duration) *api.Problem {
+	made := newProblem(http.StatusServiceUnavailable, api.TypeNotRun, "The request was not run", detail)
 	made.Outcome = api.OutcomeNotRun
 	made.RetryAfter = retryAfter.Round(time.Millisecond).String()
 	return made
 }
 
-// unknown says that a request may have run.
-func unknown(status int, detail string) *api.Problem {
-	made := problem(status, api.TypeUnknown, "The request may have run", detail)
+// unknownOutcomeProblem says that a request may have run.
+func unknownOutcomeProblem(status int, detail string) *api.Problem {
+	made := newProblem(status, api.TypeUnknown, "The request may have run", detail)
 	made.Outcome = api.OutcomeUnknown
 	return made
 }
@@ -51,9 +51,9 @@
 // logProblem says that the log did not take a record, or may have.
 func logProblem(err error) *api.Problem {
 	var unsettled *changelog.UnsettledError
-	made := problem(http.StatusServiceUnavailable, api.TypeLog, "The platform's log does not answer", err.Error())
+	made := newProblem(http.StatusServiceUnavailable, api.TypeLog, "The platform's log does not answer", err.Error())
 	made.Outcome = api.OutcomeNotRun
-	made.RetryAfter = retryLog.String()
+	made.RetryAfter = defaultRetryAfter.String()
 	if errors.As(err, &unsettled) {
 		made.Outcome = api.OutcomeUnknown
 	}
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -10,7 +10,7 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-func settingsOf(t *testing.T, teams string) *config.Config {
+func parseConfig(t *testing.T, teams string) *config.Config {
 	t.Helper()
 	parsed, err := config.Parse([]byte("kinds:\n  minutes: {class: batch}\nteams:\n" + teams))
 	if err != nil {
@@ -20,7 +20,7 @@
 }
 
 func TestQuota(t *testing.T) {
-	settings := settingsOf(t, "  a: {processors: 4, memory: 1GiB, accelerators: 1}\n  free: {}\n")
+	settings := parseConfig(t, "  a: {processors: 4, memory: 1GiB, accelerators: 1}\n  free: {}\n")
 	tests := map[string]struct {
 		team  string
 		used  placement.Resources
@@ -36,18 +36,18 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			usage := teamUse{test.team: test.used}
-			if over := usage.over(settings, &record.TaskSpec{Team: test.team, Resources: test.asked}); over != test.over {
+			usage := usageByTeam{test.team: test.used}
+			if over := usage.exceedsQuota(settings, &record.TaskSpec{Team: test.team, Resources: test.asked}); over != test.over {
 				t.Errorf("over: %t", over)
 			}
 		})
 	}
 }
 
-// TestByShare: with equal priorities the team that uses least for its share
+// TestSortByShare: with equal priorities the team that uses least for its share
 // goes first; a higher priority goes before that.
-func TestByShare(t *testing.T) {
-	settings := settingsOf(t, "  small: {share: 1}\n  large: {share: 4}\n")
+func TestSortByShare(t *testing.T) {
+	settings := parseConfig(t, "  small: {share: 1}\n  large: {share: 4}\n")
 	folded := state.New()
 	for index, each := range []struct {
 		team     string
@@ -61,9 +61,9 @@
 			t.Fatal(err)
 		}
 	}
-	usage := teamUse{"small": {MilliCPU: 1000}, "large": {MilliCPU: 2000}}
+	usage := usageByTeam{"small": {MilliCPU: 1000}, "large": {MilliCPU: 2000}}
 	var order []string
-	for _, task := range byShare(folded.Pending(), usage, settings) {
+	for _, task := range sortByShare(folded.Pending(), usage, settings) {
 		order = append(order, task.ID())
 	}
 	if fmt.Sprint(order) != "[small-5 large-0 small-0]" {
--- a/entry/report.go
+++ b/entry/report.go
@@ -15,42 +15,42 @@
 // implements the drpc service.
 func (entry *Entry) Report(ctx context.Context, report *wire.ReportRequest) (*wire.ReportReply, error) {
 	now := entry.now()
-	entry.learnDocuments(ctx, report.GetDocuments(), report.GetAddress())
+	entry.fetchIfNewer(ctx, report.GetDocuments(), report.GetAddress())
 	reply := &wire.ReportReply{
 		Entry:     entry.options.Name,
-		Documents: wire.Copies(entry.shelf.NewerThan(wire.FromVersions(report.GetDocuments()))),
+		Documents: wire.Copies(entry.documents.NewerThan(wire.FromVersions(report.GetDocuments()))),
 	}
 	guard := entry.view.Heard(report, now)
 	if guard == nil {
 		return reply, nil
 	}
-	entry.table.Update(guard, false)
-	verdicts := entry.judge(guard, now)
+	entry.routes.Update(guard, false)
+	verdicts := entry.reconcile(guard, now)
 	reply.Grants = verdicts.grants
 	if len(verdicts.records) > 0 || len(verdicts.stops) > 0 || len(verdicts.starts) > 0 {
 		// The guard is answered first; it hears of the outcome next time.
-		entry.background.Go(func() { entry.act(context.WithoutCancel(ctx), guard, verdicts) })
+		entry.background.Go(func() { entry.runActions(context.WithoutCancel(ctx), guard, verdicts) })
 	}
 	return reply, nil
 }
 
-// act records the ends of attempts and sends stops and offers.
-func (entry *Entry) act(ctx context.Context, guard *membership.Guard, made *verdicts) {
-	if len(made.records) > 0 && entry.logUp(entry.now()) {
+// runActions records the ends of attempts and sends stops and offers.
+func (entry *Entry) runActions(ctx context.Context, guard *membership.Guard, made *reportActions) {
+	if len(made.records) > 0 && entry.isLogFresh(entry.now()) {
 		outcomes := entry.propose(ctx, made.records...)
-		entry.noteRecorded(ctx, made.records, outcomes)
-		made.stops = append(made.stops, evicted(guard, made.records, outcomes)...)
+		entry.logAcceptedRecords(ctx, made.records, outcomes)
+		made.stops = append(made.stops, evictionStops(guard, made.records, outcomes)...)
 	}
 	for _, task := range made.starts {
-		entry.start(ctx, task.ID(), task.Attempt())
+		entry.offerAttempt(ctx, task.ID(), task.Attempt())
 	}
 	for _, stop := range made.stops {
-		entry.stop(ctx, guard, stop)
+		entry.stopAttempt(ctx, guard, stop)
 	}
 }
 
-// evicted returns the stops of the attempts whose eviction took effect.
-func evicted(guard *membership.Guard, records []*record.Record, outcomes []state.Outcome) []*wire.StopRequest {
+// evictionStops returns the stops of the attempts whose eviction took effect.
+func evictionStops(guard *membership.Guard, records []*record.Record, outcomes []state.Outcome) []*wire.StopRequest {
 	var stops []*wire.StopRequest
 	for index, outcome := range outcomes {
 		evict := records[index].GetTaskEvict()
@@ -64,36 +64,36 @@
 	return stops
 }
 
-func (entry *Entry) noteRecorded(ctx context.Context, records []*record.Record, outcomes []state.Outcome) {
+func (entry *Entry) logAcceptedRecords(ctx context.Context, records []*record.Record, outcomes []state.Outcome) {
 	for index, outcome := range outcomes {
 		if !outcome.Accepted() {
 			continue
 		}
 		switch body := records[index].GetBody().(type) {
 		case *record.Record_TaskFinish:
-			entry.metrics.attemptEnded(ctx, "finished")
+			entry.metrics.countEndedAttempt(ctx, "finished")
 			entry.options.Events.Log(ctx, event.TaskRecorded, slog.String("task", body.TaskFinish.GetTask()),
 				slog.Uint64("attempt", body.TaskFinish.GetAttempt()), slog.Bool("failed", body.TaskFinish.GetFailed()), slog.String("reason", body.TaskFinish.GetReason()))
 		case *record.Record_TaskRelease:
-			entry.metrics.attemptEnded(ctx, "released")
+			entry.metrics.countEndedAttempt(ctx, "released")
 			entry.options.Events.Log(ctx, event.TaskRecorded, slog.String("task", body.TaskRelease.GetTask()),
 				slog.Uint64("attempt", body.TaskRelease.GetAttempt()), slog.String("reason", body.TaskRelease.GetDetail()))
 		case *record.Record_TaskEvict:
-			entry.metrics.attemptEnded(ctx, "evicting")
+			entry.metrics.countEndedAttempt(ctx, "evicting")
 			entry.options.Events.Log(ctx, event.TaskRevoked, slog.String("task", body.TaskEvict.GetTask()), slog.String("reason", body.TaskEvict.GetReason()))
 		}
 	}
 }
 
-// stop asks a guard to stop an attempt. A proof that it does not run there and
+// stopAttempt asks a guard to stop an attempt. A proof that it does not run there and
 // never will ends the attempt at once.
-func (entry *Entry) stop(ctx context.Context, guard *membership.Guard, request *wire.StopRequest) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (entry *Entry) stopAttempt(ctx context.Context, guard *membership.Guard, request *wire.StopRequest) {
+	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(guard.Address())).Stop(ctx, request)
 	if err != nil || !reply.GetRefusal().GetNotRun() {
 		return
 	}
 	now := entry.now()
-	entry.propose(ctx, releaseOf(request.GetTask(), request.GetAttempt(), record.ReleaseReason_RELEASE_NOT_STARTED, reply.GetRefusal().GetDetail(), nil, now))
+	entry.propose(ctx, newReleaseRecord(request.GetTask(), request.GetAttempt(), record.ReleaseReason_RELEASE_NOT_STARTED, reply.GetRefusal().GetDetail(), nil, now))
 }
--- a/entry/run.go
+++ b/entry/run.go
@@ -16,48 +16,48 @@
 )
 
 const (
-	// mostTries bounds how often one request is sent.
-	mostTries = 3
-	// mostRequeued bounds how often a request that found its server full goes
+	// maxTries bounds how often one request is sent.
+	maxTries = 3
+	// maxRequeues bounds how often a request that found its server full goes
 	// back to wait. Such a refusal costs a message and no work.
-	mostRequeued = 4
+	maxRequeues = 4
 	// sendChunkBytes is how much of a streamed body goes into one message.
 	sendChunkBytes = 32 << 10
 )
 
-// fate says what is known of one try.
-type fate int
+// tryOutcome says what is known of one try.
+type tryOutcome int
 
 const (
-	fateAnswered fate = iota // the whole answer was passed on
-	fateCut                  // part of an answer was passed on
-	fateNotRun               // proved not to have run
-	fateUnknown              // it may have run
+	tryAnswered  tryOutcome = iota // the whole answer was passed on
+	tryTruncated                   // part of an answer was passed on
+	tryNotRun                      // proved not to have run
+	tryUnknown                     // it may have run
 )
 
-// try is the end of one try.
-type try struct {
-	fate   fate
-	status int
-	load   *wire.Load
-	// full says that the guard had no free slot, leaving that it takes no more
+// tryResult is the end of one try.
+type tryResult struct {
+	outcome tryOutcome
+	status  int
+	load    *wire.Load
+	// serverFull says that the guard had no free slot, leaving that it takes no more
 	// work; neither is a fault.
-	full    bool
-	leaving bool
-	detail  string
+	serverFull bool
+	leaving    bool
+	detail     string
 }
 
 // runCall sends a request until it is answered or given up. held is the claim
 // on a request that must not be repeated.
-func (entry *Entry) runCall(ctx context.Context, writer http.ResponseWriter, made *call, held *claim.Held) *api.Problem {
-	entry.retries.Deposit()
+func (entry *Entry) runCall(ctx context.Context, writer http.ResponseWriter, made *serviceCall, held *claim.Held) *api.Problem {
+	entry.retryBudget.Deposit()
 	var tried []string
 	// maybe is set once a backend server may have run the request. Whatever
 	// comes after, it can't be called not run any more.
 	maybe := false
 	requeued := 0
 	for {
-		picked, err := entry.table.PickOrWait(ctx, made.service, tried, route.WaitOptions{
+		picked, err := entry.routes.PickOrWait(ctx, made.service, tried, route.WaitOptions{
 			MaxQueued: made.settings.Queue(),
 			Deadline:  made.deadline,
 			Now:       entry.now,
@@ -65,107 +65,107 @@
 			Requeued:  requeued > 0,
 		})
 		if err != nil {
-			return entry.giveUp(ctx, held, maybe, shedProblem(err))
+			return entry.failCall(ctx, held, maybe, shedProblem(err))
 		}
-		ended := entry.send(ctx, writer, made, picked)
-		entry.noteTry(ctx, made, picked, ended)
-		switch ended.fate {
-		case fateAnswered:
+		ended := entry.trySend(ctx, writer, made, picked)
+		entry.recordTry(ctx, made, picked, ended)
+		switch ended.outcome {
+		case tryAnswered:
 			entry.finishClaim(held, ended.status, false)
 			return nil
-		case fateCut:
+		case tryTruncated:
 			entry.finishClaim(held, ended.status, true)
 			// Breaking the connection off is the only way to tell a caller who
 			// has part of the answer that it is not whole.
 			panic(http.ErrAbortHandler)
 		}
-		if ended.full && requeued < mostRequeued {
+		if ended.serverFull && requeued < maxRequeues {
 			// The guard knows better than this entry that it is full. The load
 			// that came with its refusal is noted; the request waits its turn.
 			requeued++
 			continue
 		}
-		maybe = maybe || ended.fate == fateUnknown
+		maybe = maybe || ended.outcome == tryUnknown
 		tried = append(tried, picked.Worker())
-		if entry.mayRetry(made, ended, len(tried)) {
-			entry.options.Events.Log(ctx, event.RequestRetried, slog.String("request", made.id),
+		if entry.canRetry(made, ended, len(tried)) {
+			entry.options.Events.Log(ctx, event.RequestRetried, slog.String("request", made.requestID),
 				slog.String("worker", picked.Worker()), slog.String("reason", ended.detail))
 			continue
 		}
-		return entry.giveUp(ctx, held, maybe, notRun(ended.detail, entry.retryAfter(made.service)))
+		return entry.failCall(ctx, held, maybe, notRunProblem(ended.detail, entry.retryAfter(made.service)))
 	}
 }
 
-// giveUp ends the claim and returns the final answer of a request that got
+// failCall ends the claim and returns the final answer of a request that got
 // none: the problem given, unless the request may have run.
-func (entry *Entry) giveUp(ctx context.Context, held *claim.Held, maybe bool, sent *api.Problem) *api.Problem {
+func (entry *Entry) failCall(ctx context.Context, held *claim.Held, maybe bool, sent *api.Problem) *api.Problem {
 	if !maybe {
 		entry.releaseClaim(ctx, held)
 		return sent
 	}
 	entry.finishClaim(held, 0, true)
-	return unknown(unknownStatus(ctx), sent.Detail)
+	return unknownOutcomeProblem(unknownOutcomeStatus(ctx), sent.Detail)
 }
 
-func unknownStatus(ctx context.Context) int {
+func unknownOutcomeStatus(ctx context.Context) int {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
 }
 
-// mayRetry decides whether a request that got no answer is sent again: only
+// canRetry decides whether a request that got no answer is sent again: only
 // when it has proved not to have run or may be repeated, its body is still
 // here, there is time, and the budget of retries has one left.
-func (entry *Entry) mayRetry(made *call, ended try, tries int) bool {
-	if tries >= mostTries || made.rest != nil || !entry.now().Before(made.deadline) {
+func (entry *Entry) canRetry(made *serviceCall, ended tryResult, tries int) bool {
+	if tries >= maxTries || made.bodyRest != nil || !entry.now().Before(made.deadline) {
 		return false
 	}
-	if ended.fate != fateNotRun && !made.repeatable {
+	if ended.outcome != tryNotRun && !made.repeatable {
 		return false
 	}
-	return entry.retries.Withdraw()
+	return entry.retryBudget.Withdraw()
 }
 
-const leastComeBack = 100 * time.Millisecond
+const minRetryAfter = 100 * time.Millisecond
 
 // retryAfter is when a slot can be expected to be free.
 func (entry *Entry) retryAfter(service string) time.Duration {
-	return max(leastComeBack, entry.table.ExpectedWait(service))
+	return max(minRetryAfter, entry.routes.ExpectedWait(service))
 }
 
 func shedProblem(err error) *api.Problem {
 	var shed *route.ShedError
 	if errors.As(err, &shed) {
-		return notRun(shed.Error(), shed.RetryAfter())
+		return notRunProblem(shed.Error(), shed.RetryAfter())
 	}
-	return notRun(err.Error(), retryLog)
+	return notRunProblem(err.Error(), defaultRetryAfter)
 }
 
-// noteTry tells the routing table, the metrics and the log how a try ended.
-func (entry *Entry) noteTry(ctx context.Context, made *call, picked *route.PickResult, ended try) {
+// recordTry tells the routing table, the metrics and the log how a try ended.
+func (entry *Entry) recordTry(ctx context.Context, made *serviceCall, picked *route.PickResult, ended tryResult) {
 	now := entry.now()
 	outcome := route.Answered
 	switch {
-	case ended.full || ended.leaving:
+	case ended.serverFull || ended.leaving:
 		outcome = route.Refused
-	case ended.fate != fateAnswered:
+	case ended.outcome != tryAnswered:
 		outcome = route.Failed
 	}
-	entry.table.Done(picked, outcome, ended.load, now.Sub(made.began), now)
-	if ended.fate == fateCut {
-		entry.options.Events.Log(ctx, event.AnswerCut, slog.String("request", made.id), slog.String("worker", picked.Worker()), slog.String("error", ended.detail))
+	entry.routes.Done(picked, outcome, ended.load, now.Sub(made.startedAt), now)
+	if ended.outcome == tryTruncated {
+		entry.options.Events.Log(ctx, event.AnswerCut, slog.String("request", made.requestID), slog.String("worker", picked.Worker()), slog.String("error", ended.detail))
 		return
 	}
-	if ended.fate != fateAnswered {
+	if ended.outcome != tryAnswered {
 		return
 	}
-	entry.metrics.answered(ctx, made.service, now.Sub(made.began), made.settings.TargetP99())
+	entry.metrics.recordAnswer(ctx, made.service, now.Sub(made.startedAt), made.settings.TargetP99())
 	if !entry.options.Events.Enabled(ctx, event.RequestRouted) {
 		return
 	}
 	entry.options.Events.Log(ctx, event.RequestRouted,
-		slog.String("request", made.id),
+		slog.String("request", made.requestID),
 		slog.String("service", made.service),
 		slog.String("worker", picked.Worker()),
 		slog.Int("status", ended.status),
@@ -174,16 +174,16 @@
 		slog.Int("rejected_full", picked.FullCount()),
 		slog.Int("rejected_unready", picked.UnreadyCount()),
 		slog.Int("rejected_failing", picked.EjectedCount()),
-		slog.Duration("took", now.Sub(made.began)))
+		slog.Duration("took", now.Sub(made.startedAt)))
 }
 
-// gaveUp logs and counts a request that ended in a problem.
-func (entry *Entry) gaveUp(ctx context.Context, made *call, sent *api.Problem) {
+// recordProblem logs and counts a request that ended in a problem.
+func (entry *Entry) recordProblem(ctx context.Context, made *serviceCall, sent *api.Problem) {
 	service, id := "", ""
 	if made != nil {
-		service, id = made.service, made.id
+		service, id = made.service, made.requestID
 	}
-	entry.metrics.gaveUp(ctx, service, sent.Type)
+	entry.metrics.countProblem(ctx, service, sent.Type)
 	code := event.RequestNotRun
 	if sent.Outcome == api.OutcomeUnknown {
 		code = event.RequestUnknown
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	headerLastEvent = "Last-Event-ID"
-	followRetry     = 200 * time.Millisecond
+	headerLastEventID = "Last-Event-ID"
+	followRetryDelay  = 200 * time.Millisecond
 	// eventMoved tells a client to go on at another entry, eventEnd that the
 	// watch is over.
 	eventMoved  = "moved"
@@ -27,7 +27,7 @@
 // goes on when the watch is moved to another worker; each event's ID is the
 // sequence number to go on from.
 func (entry *Entry) serveStream(writer http.ResponseWriter, request *http.Request, id string) {
-	after, sent := entry.streamStart(request, id)
+	after, sent := entry.parseStreamStart(request, id)
 	if sent != nil {
 		writeProblem(writer, sent)
 		return
@@ -35,20 +35,20 @@
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.Header().Set("Cache-Control", "no-store")
 	writer.WriteHeader(http.StatusOK)
-	streaming := &watchStream{entry: entry, task: id, after: after, writer: writer, control: http.NewResponseController(writer)}
+	streaming := &watchStream{entry: entry, taskID: id, lastSequence: after, writer: writer, controller: http.NewResponseController(writer)}
 	streaming.run(request.Context())
 }
 
-func (entry *Entry) streamStart(request *http.Request, id string) (uint64, *api.Problem) {
-	if entry.leaving.Load() {
-		return 0, notRun(errLeaving.Error(), leastComeBack)
+func (entry *Entry) parseStreamStart(request *http.Request, id string) (uint64, *api.Problem) {
+	if entry.shuttingDown.Load() {
+		return 0, notRunProblem(errShuttingDown.Error(), minRetryAfter)
 	}
 	var known bool
-	entry.log.View(func(folded *state.State) { known = folded.Task(id) != nil })
+	entry.journal.View(func(folded *state.State) { known = folded.Task(id) != nil })
 	if !known {
-		return 0, notFound("no task has the ID " + strconv.Quote(id))
+		return 0, notFoundProblem("no task has the ID " + strconv.Quote(id))
 	}
-	from := request.Header.Get(headerLastEvent)
+	from := request.Header.Get(headerLastEventID)
 	if from == "" {
 		from = request.URL.Query().Get("after")
 	}
@@ -57,18 +57,18 @@
 	}
 	after, err := strconv.ParseUint(from, 10, 64)
 	if err != nil {
-		return 0, badRequest(headerLastEvent + " must be a sequence number")
+		return 0, badRequestProblem(headerLastEventID + " must be a sequence number")
 	}
 	return after, nil
 }
 
 // watchStream is one caller's stream of a watch.
 type watchStream struct {
-	entry   *Entry
-	task    string
-	after   uint64
-	writer  http.ResponseWriter
-	control *http.ResponseController
+	entry        *Entry
+	taskID       string
+	lastSequence uint64
+	writer       http.ResponseWriter
+	controller   *http.ResponseController
 }
 
 func (streaming *watchStream) run(ctx context.Context) {
@@ -76,42 +76,42 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-streaming.entry.moved:
+		case <-streaming.entry.shutdownStarted:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	for ctx.Err() == nil {
-		changed := streaming.entry.log.Changed()
-		address, ended := streaming.where()
+		changed := streaming.entry.journal.Changed()
+		address, ended := streaming.currentGuard()
 		if ended {
-			_ = streaming.send(eventEnd, nil)
+			_ = streaming.sendEvent(eventEnd, nil)
 			return
 		}
 		if address != "" {
 			// A stream that breaks off is taken up again from where it got to.
 			_ = streaming.follow(ctx, address)
 		}
-		streaming.wait(ctx, changed)
+		streaming.waitForChange(ctx, changed)
 	}
-	if streaming.entry.leaving.Load() {
-		_ = streaming.send(eventMoved, nil)
+	if streaming.entry.shuttingDown.Load() {
+		_ = streaming.sendEvent(eventMoved, nil)
 	}
 }
 
-// wait pauses until the state changes, or a moment has passed.
-func (streaming *watchStream) wait(ctx context.Context, changed <-chan struct{}) {
+// waitForChange pauses until the state changes, or a moment has passed.
+func (streaming *watchStream) waitForChange(ctx context.Context, changed <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-changed:
-	case <-streaming.entry.options.Clock.After(followRetry):
+	case <-streaming.entry.options.Clock.After(followRetryDelay):
 	}
 }
 
-// where returns the guard that runs the watch now, and whether it has ended.
-func (streaming *watchStream) where() (address string, ended bool) {
-	streaming.entry.log.View(func(folded *state.State) {
-		task := folded.Task(streaming.task)
+// currentGuard returns the guard that runs the watch now, and whether it has ended.
+func (streaming *watchStream) currentGuard() (address string, ended bool) {
+	streaming.entry.journal.View(func(folded *state.State) {
+		task := folded.Task(streaming.taskID)
 		if task == nil || task.Phase().IsTerminal() {
 			ended = true
 			return
@@ -128,7 +128,7 @@
 
 func (streaming *watchStream) follow(ctx context.Context, address string) error {
 	client := wire.NewDRPCGuardClient(streaming.entry.options.Pool.Conn(address))
-	stream, err := client.Follow(ctx, &wire.FollowRequest{Task: streaming.task, AfterSequence: streaming.after})
+	stream, err := client.Follow(ctx, &wire.FollowRequest{Task: streaming.taskID, AfterSequence: streaming.lastSequence})
 	if err != nil {
 		return err
 	}
@@ -141,21 +141,21 @@
 		if output.GetLast() {
 			return nil
 		}
-		if output.GetSequence() <= streaming.after {
+		if output.GetSequence() <= streaming.lastSequence {
 			continue
 		}
-		streaming.after = output.GetSequence()
-		if err := streaming.send(eventOutput, output.GetData()); err != nil {
+		streaming.lastSequence = output.GetSequence()
+		if err := streaming.sendEvent(eventOutput, output.GetData()); err != nil {
 			return err
 		}
 	}
 }
 
-// send writes one event and flushes it.
-func (streaming *watchStream) send(name string, data []byte) error {
+// sendEvent writes one event and flushes it.
+func (streaming *watchStream) sendEvent(name string, data []byte) error {
 	text := strings.ReplaceAll(string(data), "\n", "\ndata: ")
-	if _, err := fmt.Fprintf(streaming.writer, "id: %d\nevent: %s\ndata: %s\n\n", streaming.after, name, text); err != nil {
+	if _, err := fmt.Fprintf(streaming.writer, "id: %d\nevent: %s\ndata: %s\n\n", streaming.lastSequence, name, text); err != nil {
 		return err
 	}
-	return streaming.control.Flush()
+	return streaming.controller.Flush()
 }
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -13,52 +13,52 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// suspects notes since when this entry has known of a suspicion. It counts
+// suspicionTracker notes since when this entry has known of a suspicion. It counts
 // anew after a restart, so it can only wait too long.
-type suspects struct {
+type suspicionTracker struct {
 	mu      sync.Mutex
-	since   map[string]knownSuspicion
+	active  map[string]activeSuspicion
 	missing map[string]time.Time
-	// elsewhere is when the newest suspicion of a worker was seen to have ended:
+	// ended is when the newest suspicion of a worker was seen to have ended:
 	// another entry had heard its guard.
-	elsewhere map[string]endedSuspicion
+	ended map[string]endedSuspicion
 }
 
-type knownSuspicion struct {
+type activeSuspicion struct {
 	number uint64
 	since  time.Time
 }
 
-// known returns since when this entry has known of the worker's suspicion.
-func (noted *suspects) known(worker string, number uint64, now time.Time) time.Time {
+// activeSince returns since when this entry has known of the worker's suspicion.
+func (noted *suspicionTracker) activeSince(worker string, number uint64, now time.Time) time.Time {
 	noted.mu.Lock()
 	defer noted.mu.Unlock()
-	present, found := noted.since[worker]
+	present, found := noted.active[worker]
 	if !found || present.number != number {
-		present = knownSuspicion{number: number, since: now}
-		noted.since[worker] = present
+		present = activeSuspicion{number: number, since: now}
+		noted.active[worker] = present
 	}
 	return present.since
 }
 
 type endedSuspicion struct {
-	number uint64
-	at     time.Time
+	number  uint64
+	endedAt time.Time
 }
 
-// ended notes that a worker is under no suspicion after a number of them, and
+// lastEndedAt notes that a worker is under no suspicion after a number of them, and
 // returns when the newest was seen to have ended, zero if there was none.
-func (noted *suspects) ended(worker string, number uint64, now time.Time) time.Time {
+func (noted *suspicionTracker) lastEndedAt(worker string, number uint64, now time.Time) time.Time {
 	noted.mu.Lock()
 	defer noted.mu.Unlock()
-	if number > noted.elsewhere[worker].number {
-		noted.elsewhere[worker] = endedSuspicion{number: number, at: now}
+	if number > noted.ended[worker].number {
+		noted.ended[worker] = endedSuspicion{number: number, endedAt: now}
 	}
-	return noted.elsewhere[worker].at
+	return noted.ended[worker].endedAt
 }
 
 // missingSince returns since when a worker that holds tasks has been missing.
-func (noted *suspects) missingSince(worker string, now time.Time) time.Time {
+func (noted *suspicionTracker) missingSince(worker string, now time.Time) time.Time {
 	noted.mu.Lock()
 	defer noted.mu.Unlock()
 	if _, found := noted.missing[worker]; !found {
@@ -67,66 +67,66 @@
 	return noted.missing[worker]
 }
 
-// judgeSilence suspects workers whose guards are silent and releases the
+// checkSilence suspects workers whose guards are silent and releases the
 // attempts on those whose leases must have ended. It returns the records to
 // propose.
-func (entry *Entry) judgeSilence(folded *state.State, now time.Time) []*record.Record {
+func (entry *Entry) checkSilence(folded *state.State, now time.Time) []*record.Record {
 	var records []*record.Record
 	for _, worker := range folded.Workers() {
-		if !entry.owns(worker, now) {
+		if !entry.isResponsibleFor(worker, now) {
 			continue
 		}
 		suspicion := folded.ActiveSuspicion(worker)
 		if suspicion == 0 {
-			if entry.silent(worker, folded.SuspicionCount(worker), now) {
-				records = append(records, suspectRecord(worker, now))
+			if entry.isSilent(worker, folded.SuspicionCount(worker), now) {
+				records = append(records, newSuspectRecord(worker, now))
 			}
 			continue
 		}
-		since := entry.suspects.known(worker, suspicion, now)
+		since := entry.suspicions.activeSince(worker, suspicion, now)
 		for _, task := range folded.TasksOnWorker(worker) {
 			if now.Sub(since) > lease.ExpiryWait(task.Lease(), offerTime) {
-				records = append(records, lostRecord(task, suspicion, now))
+				records = append(records, newLostRecord(task, suspicion, now))
 			}
 		}
 	}
 	return records
 }
 
-// silent reports whether nobody has heard the worker's guard for too long, as
+// isSilent reports whether nobody has heard the worker's guard for too long, as
 // far as this entry knows.
-func (entry *Entry) silent(worker string, suspicions uint64, now time.Time) bool {
-	settings := entry.shelf.Config()
-	if settings == nil || now.Sub(entry.suspects.ended(worker, suspicions, now)) <= settings.Limits().WorkerSilent() {
+func (entry *Entry) isSilent(worker string, suspicions uint64, now time.Time) bool {
+	settings := entry.documents.Config()
+	if settings == nil || now.Sub(entry.suspicions.lastEndedAt(worker, suspicions, now)) <= settings.Limits().WorkerSilent() {
 		return false
 	}
 	guard := entry.view.Guard(worker)
 	if guard != nil {
 		return entry.view.Silent(guard, now)
 	}
-	return now.Sub(entry.suspects.missingSince(worker, now)) > settings.Limits().WorkerSilent()
+	return now.Sub(entry.suspicions.missingSince(worker, now)) > settings.Limits().WorkerSilent()
 }
 
-func suspectRecord(worker string, now time.Time) *record.Record {
+func newSuspectRecord(worker string, now time.Time) *record.Record {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_WorkerSuspect{WorkerSuspect: &record.WorkerSuspect{Worker: worker}}
 	return rec
 }
 
-func lostRecord(task *state.Task, suspicion uint64, now time.Time) *record.Record {
-	rec := releaseOf(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_LOST, "its worker was silent until its lease had ended", nil, now)
+func newLostRecord(task *state.Task, suspicion uint64, now time.Time) *record.Record {
+	rec := newReleaseRecord(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_LOST, "its worker was silent until its lease had ended", nil, now)
 	rec.GetTaskRelease().Suspicion = suspicion
 	return rec
 }
 
-// watchSilence is the regular look for silent workers.
-func (entry *Entry) watchSilence(ctx context.Context) {
+// updateSuspicions is the regular look for silent workers.
+func (entry *Entry) updateSuspicions(ctx context.Context) {
 	now := entry.now()
-	if !entry.logUp(now) {
+	if !entry.isLogFresh(now) {
 		return
 	}
 	var records []*record.Record
-	entry.log.View(func(folded *state.State) { records = entry.judgeSilence(folded, now) })
+	entry.journal.View(func(folded *state.State) { records = entry.checkSilence(folded, now) })
 	if len(records) == 0 {
 		return
 	}
--- a/entry/tasks.go
+++ b/entry/tasks.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	thousand        = 1000
+	millisPerCore   = 1000
 	maxProcessors   = 1 << 20
 	maxAccelerators = 1 << 16
 	maxPriority     = 1000
 	maxRunTime      = 30 * 24 * time.Hour
-	// keyNamespace makes a task's ID out of its team and key, so that the same
+	// taskIDNamespace makes a task's ID out of its team and key, so that the same
 	// submission is the same task whichever entry takes it.
-	keyNamespace = "8f0b8b4e-6f0e-4c55-9a3e-5d7f2b1c9a10"
+	taskIDNamespace = "8f0b8b4e-6f0e-4c55-9a3e-5d7f2b1c9a10"
 )
 
 // serveSubmit accepts a batch job or a watch.
 func (entry *Entry) serveSubmit(writer http.ResponseWriter, request *http.Request) {
 	var asked api.TaskRequest
-	if sent := readBody(writer, request, &asked); sent != nil {
+	if sent := decodeBody(writer, request, &asked); sent != nil {
 		writeProblem(writer, sent)
 		return
 	}
@@ -54,35 +54,35 @@
 // submit accepts a task into the log. A second submission with the same team
 // and key returns the first one's task.
 func (entry *Entry) submit(ctx context.Context, asked *api.TaskRequest, key string) (bool, *api.Task, *api.Problem) {
-	spec, sent := entry.specOf(asked)
+	spec, sent := entry.parseSpec(asked)
 	if sent != nil {
 		return false, nil, sent
 	}
 	if len(key) > maxNameBytes {
-		return false, nil, badRequest(api.HeaderKey + " has at most " + strconv.Itoa(maxNameBytes) + " bytes")
+		return false, nil, badRequestProblem(api.HeaderKey + " has at most " + strconv.Itoa(maxNameBytes) + " bytes")
 	}
 	if key == "" {
 		key = uuid.NewString()
 	}
 	id := taskID(spec.GetTeam(), key)
-	if task, sent := entry.existing(id, spec); task != nil || sent != nil {
+	if task, sent := entry.existingTask(id, spec); task != nil || sent != nil {
 		return false, task, sent
 	}
-	if sent := entry.possible(spec); sent != nil {
+	if sent := entry.checkFeasible(spec); sent != nil {
 		return false, nil, sent
 	}
-	if sent := entry.room(spec); sent != nil {
+	if sent := entry.checkPendingLimit(spec); sent != nil {
 		return false, nil, sent
 	}
 	rec := changelog.NewRecord(entry.now())
 	rec.Body = &record.Record_TaskCreate{TaskCreate: &record.TaskCreate{Task: id, Spec: spec, IdempotencyKey: key}}
-	outcome, sent := entry.change(ctx, rec)
+	outcome, sent := entry.appendChange(ctx, rec)
 	if sent != nil {
 		return false, nil, sent
 	}
-	task, sent := entry.existing(id, spec)
+	task, sent := entry.existingTask(id, spec)
 	if sent == nil && task == nil {
-		return false, nil, badRequest("the log did not accept the task: " + string(outcome.Reason()))
+		return false, nil, badRequestProblem("the log did not accept the task: " + string(outcome.Reason()))
 	}
 	if outcome.Accepted() {
 		entry.options.Events.Log(ctx, event.TaskSubmitted, slog.String("task", id), slog.String("team", spec.GetTeam()), slog.String("kind", spec.GetKind()))
@@ -91,103 +91,103 @@
 }
 
 func taskID(team, key string) string {
-	return uuid.NewSHA1(uuid.MustParse(keyNamespace), []byte(team+"\x00"+key)).String()
+	return uuid.NewSHA1(uuid.MustParse(taskIDNamespace), []byte(team+"\x00"+key)).String()
 }
 
-// existing returns the task of an ID, and a conflict when it was submitted
+// existingTask returns the task of an ID, and a conflict when it was submitted
 // with another specification.
-func (entry *Entry) existing(id string, spec *record.TaskSpec) (*api.Task, *api.Problem) {
+func (entry *Entry) existingTask(id string, spec *record.TaskSpec) (*api.Task, *api.Problem) {
 	var found *api.Task
 	var sent *api.Problem
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		task := folded.Task(id)
 		if task == nil {
 			return
 		}
 		if !proto.Equal(task.Spec(), spec) {
-			sent = problem(http.StatusConflict, api.TypeConflict, "The key was used for another task", "task "+id+" has another specification; use another "+api.HeaderKey)
+			sent = newProblem(http.StatusConflict, api.TypeConflict, "The key was used for another task", "task "+id+" has another specification; use another "+api.HeaderKey)
 			return
 		}
-		found = showTask(task)
+		found = apiTask(task)
 	})
 	return found, sent
 }
 
-// specOf checks what was asked for, all of it at once.
-func (entry *Entry) specOf(asked *api.TaskRequest) (*record.TaskSpec, *api.Problem) {
-	settings := entry.shelf.Config()
+// parseSpec checks what was asked for, all of it at once.
+func (entry *Entry) parseSpec(asked *api.TaskRequest) (*record.TaskSpec, *api.Problem) {
+	settings := entry.documents.Config()
 	if settings == nil {
-		return nil, notRun(errNoConfig.Error(), retryLog)
+		return nil, notRunProblem(errNoConfig.Error(), defaultRetryAfter)
 	}
-	check := &taskCheck{}
-	kind := check.kind(settings, asked.Kind)
-	check.team(settings, asked.Team)
-	runTime := check.duration("run_time", asked.RunTime)
+	check := &taskChecker{}
+	kind := check.checkKind(settings, asked.Kind)
+	check.checkTeam(settings, asked.Team)
+	runTime := check.checkDuration("run_time", asked.RunTime)
 	if most := kind.MaxRunTime(); most > 0 && runTime > most {
-		check.fault("run_time", "%s is longer than %s, which tasks of this kind may take", runTime, most)
+		check.addFault("run_time", "%s is longer than %s, which tasks of this kind may take", runTime, most)
 	}
 	spec := &record.TaskSpec{
 		Team:          asked.Team,
 		Kind:          asked.Kind,
-		Name:          check.text("name", asked.Name, maxNameBytes),
-		FailureDomain: check.text("failure_domain", asked.FailureDomain, maxNameBytes),
-		Input:         []byte(check.text("input", asked.Input, state.MaxInputBytes)),
+		Name:          check.checkLength("name", asked.Name, maxNameBytes),
+		FailureDomain: check.checkLength("failure_domain", asked.FailureDomain, maxNameBytes),
+		Input:         []byte(check.checkLength("input", asked.Input, state.MaxInputBytes)),
 		Priority:      int32(kind.Priority()),
 		RunTimeNanos:  runTime.Nanoseconds(),
 		Resources: &record.Resources{
-			MilliCpu:     check.processors(asked.Processors),
-			MemoryBytes:  check.size("memory", asked.Memory),
-			Accelerators: check.count("accelerators", asked.Accelerators, maxAccelerators),
+			MilliCpu:     check.checkProcessors(asked.Processors),
+			MemoryBytes:  check.checkSize("memory", asked.Memory),
+			Accelerators: check.checkCount("accelerators", asked.Accelerators, maxAccelerators),
 		},
 	}
 	if asked.Priority != nil {
-		spec.Priority = int32(check.count("priority", int64(*asked.Priority), maxPriority))
+		spec.Priority = int32(check.checkCount("priority", int64(*asked.Priority), maxPriority))
 	}
 	if len(check.faults) > 0 {
-		sent := badRequest("the task has faults; correct them and submit it again")
+		sent := badRequestProblem("the task has faults; correct them and submit it again")
 		sent.Faults = check.faults
 		return nil, sent
 	}
 	return spec, nil
 }
 
-// possible refuses work that no known worker could run even when empty, and
+// checkFeasible refuses work that no known worker could run even when empty, and
 // work that its team's quota never lets run.
-func (entry *Entry) possible(spec *record.TaskSpec) *api.Problem {
-	if (teamUse{}).over(entry.shelf.Config(), spec) {
-		return problem(http.StatusUnprocessableEntity, api.TypeImpossible, "The task can never run", "it asks for more than the quota of team "+spec.GetTeam())
+func (entry *Entry) checkFeasible(spec *record.TaskSpec) *api.Problem {
+	if (usageByTeam{}).exceedsQuota(entry.documents.Config(), spec) {
+		return newProblem(http.StatusUnprocessableEntity, api.TypeImpossible, "The task can never run", "it asks for more than the quota of team "+spec.GetTeam())
 	}
 	var decision *placement.Decision
-	entry.log.View(func(folded *state.State) {
-		board := entry.placer.board(folded, entry.now())
+	entry.journal.View(func(folded *state.State) {
+		board := entry.placer.workerSet(folded, entry.now())
 		decision = board.Decide(policy.NewRunner(), entry.policies(), &placement.Task{Spec: spec})
 	})
 	if !decision.IsImpossible() {
 		return nil
 	}
-	return problem(http.StatusUnprocessableEntity, api.TypeImpossible, "The task can never run",
+	return newProblem(http.StatusUnprocessableEntity, api.TypeImpossible, "The task can never run",
 		fmt.Sprintf("of %d workers %d are too small and %d are in another failure domain", decision.WorkerCount(),
 			decision.Rejected()[placement.TooSmall], decision.Rejected()[placement.OtherDomain]))
 }
 
-// retryPending is when a submission that found too many waiting may come back.
-const retryPending = 10 * time.Second
+// pendingRetryAfter is when a submission that found too many waiting may come back.
+const pendingRetryAfter = 10 * time.Second
 
-// room refuses a task of a kind of which as many wait as may.
-func (entry *Entry) room(spec *record.TaskSpec) *api.Problem {
-	kind, _ := entry.shelf.Config().Kind(spec.GetKind())
+// checkPendingLimit refuses a task of a kind of which as many wait as may.
+func (entry *Entry) checkPendingLimit(spec *record.TaskSpec) *api.Problem {
+	kind, _ := entry.documents.Config().Kind(spec.GetKind())
 	if kind.MaxPending() == 0 {
 		return nil
 	}
 	var waiting int
-	entry.log.View(func(folded *state.State) { waiting = folded.PendingCountOfKind(spec.GetKind()) })
+	entry.journal.View(func(folded *state.State) { waiting = folded.PendingCountOfKind(spec.GetKind()) })
 	if waiting < kind.MaxPending() {
 		return nil
 	}
-	return notRun(fmt.Sprintf("%d tasks of kind %s wait already, which is as many as may", waiting, spec.GetKind()), retryPending)
+	return notRunProblem(fmt.Sprintf("%d tasks of kind %s wait already, which is as many as may", waiting, spec.GetKind()), pendingRetryAfter)
 }
 
-func showTask(task *state.Task) *api.Task {
+func apiTask(task *state.Task) *api.Task {
 	spec := task.Spec()
 	return &api.Task{
 		ID:            task.ID(),
@@ -200,7 +200,7 @@
 		Attempt:       task.Attempt(),
 		Evictions:     task.Evictions(),
 		StartFailures: task.StartFailures(),
-		Processors:    float64(spec.GetResources().GetMilliCpu()) / thousand,
+		Processors:    float64(spec.GetResources().GetMilliCpu()) / millisPerCore,
 		MemoryBytes:   spec.GetResources().GetMemoryBytes(),
 		Accelerators:  spec.GetResources().GetAccelerators(),
 		Priority:      spec.GetPriority(),
@@ -212,33 +212,33 @@
 
 func (entry *Entry) serveTask(writer http.ResponseWriter, id string) {
 	var found *api.Task
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		if task := folded.Task(id); task != nil {
-			found = showTask(task)
+			found = apiTask(task)
 		}
 	})
 	if found == nil {
-		writeProblem(writer, notFound("no task has the ID "+strconv.Quote(id)))
+		writeProblem(writer, notFoundProblem("no task has the ID "+strconv.Quote(id)))
 		return
 	}
 	writeJSON(writer, http.StatusOK, found)
 }
 
-// mostListed bounds one listing.
-const mostListed = 10_000
+// maxListed bounds one listing.
+const maxListed = 10_000
 
 // serveTasks lists tasks, oldest first, of one team, kind, phase or worker if
 // the query says so.
 func (entry *Entry) serveTasks(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	wanted := func(task *api.Task) bool {
-		return matches(query.Get("team"), task.Team) && matches(query.Get("kind"), task.Kind) &&
-			matches(query.Get("phase"), task.Phase) && matches(query.Get("worker"), task.Worker)
+		return matchesFilter(query.Get("team"), task.Team) && matchesFilter(query.Get("kind"), task.Kind) &&
+			matchesFilter(query.Get("phase"), task.Phase) && matchesFilter(query.Get("worker"), task.Worker)
 	}
 	listed := []*api.Task{}
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		for _, task := range folded.Tasks() {
-			if shown := showTask(task); wanted(shown) && len(listed) < mostListed {
+			if shown := apiTask(task); wanted(shown) && len(listed) < maxListed {
 				listed = append(listed, shown)
 			}
 		}
@@ -246,18 +246,18 @@
 	writeJSON(writer, http.StatusOK, listed)
 }
 
-func matches(asked, is string) bool { return asked == "" || asked == is }
+func matchesFilter(asked, is string) bool { return asked == "" || asked == is }
 
 func (entry *Entry) serveResult(writer http.ResponseWriter, id string) {
 	var result *api.Result
 	var sent *api.Problem
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		task := folded.Task(id)
 		switch {
 		case task == nil:
-			sent = notFound("no task has the ID " + strconv.Quote(id))
+			sent = notFoundProblem("no task has the ID " + strconv.Quote(id))
 		case !task.Phase().IsTerminal():
-			sent = problem(http.StatusConflict, api.TypeConflict, "The task has not ended", "it is "+task.Phase().String()+": "+task.Reason())
+			sent = newProblem(http.StatusConflict, api.TypeConflict, "The task has not ended", "it is "+task.Phase().String()+": "+task.Reason())
 		default:
 			result = &api.Result{ID: id, Phase: task.Phase().String(), Reason: task.Reason(), Output: string(task.Result())}
 		}
@@ -273,7 +273,7 @@
 func (entry *Entry) serveCancel(writer http.ResponseWriter, request *http.Request, id string) {
 	rec := changelog.NewRecord(entry.now())
 	rec.Body = &record.Record_TaskCancel{TaskCancel: &record.TaskCancel{Task: id}}
-	outcome, done := entry.changeFor(writer, request, rec)
+	outcome, done := entry.appendOrRespond(writer, request, rec)
 	if !done {
 		return
 	}
@@ -287,16 +287,16 @@
 
 // stopCancelled tells the guard at once; if that fails, its next report will.
 func (entry *Entry) stopCancelled(ctx context.Context, id string) {
-	var made *verdicts
-	entry.log.View(func(folded *state.State) {
+	var made *reportActions
+	entry.journal.View(func(folded *state.State) {
 		task := folded.Task(id)
 		if task == nil || task.Phase() != state.PhaseStopping {
 			return
 		}
 		if guard := entry.view.Guard(task.Worker()); guard != nil {
-			made = &verdicts{}
-			made.stops = append(made.stops, stopOf(task, guard))
-			entry.background.Go(func() { entry.act(ctx, guard, made) })
+			made = &reportActions{}
+			made.stops = append(made.stops, newStopRequest(task, guard))
+			entry.background.Go(func() { entry.runActions(ctx, guard, made) })
 		}
 	})
 }
--- a/entry/throttle.go
+++ b/entry/throttle.go
@@ -15,25 +15,25 @@
 // for the present attempt and is not kept in the log.
 func (entry *Entry) serveThrottle(writer http.ResponseWriter, request *http.Request, id string) {
 	var asked api.ThrottleRequest
-	if sent := readBody(writer, request, &asked); sent != nil {
+	if sent := decodeBody(writer, request, &asked); sent != nil {
 		writeProblem(writer, sent)
 		return
 	}
-	guard, attempt := entry.holderOf(id)
+	guard, attempt := entry.runningAttempt(id)
 	if guard == nil {
-		writeProblem(writer, notFound("no worker runs a task of ID "+strconv.Quote(id)))
+		writeProblem(writer, notFoundProblem("no worker runs a task of ID "+strconv.Quote(id)))
 		return
 	}
-	if sent := entry.throttle(request.Context(), guard, &wire.ThrottleRequest{Task: id, Attempt: attempt, Share: asked.Share}); sent != nil {
+	if sent := entry.throttleAttempt(request.Context(), guard, &wire.ThrottleRequest{Task: id, Attempt: attempt, Share: asked.Share}); sent != nil {
 		writeProblem(writer, sent)
 		return
 	}
 	writeJSON(writer, http.StatusOK, asked)
 }
 
-// holderOf returns the guard that runs a task, and the attempt.
-func (entry *Entry) holderOf(id string) (guard *membership.Guard, attempt uint64) {
-	entry.log.View(func(folded *state.State) {
+// runningAttempt returns the guard that runs a task, and the attempt.
+func (entry *Entry) runningAttempt(id string) (guard *membership.Guard, attempt uint64) {
+	entry.journal.View(func(folded *state.State) {
 		if task := folded.Task(id); task != nil && task.Phase() == state.PhaseRunning {
 			guard, attempt = entry.view.Guard(task.Worker()), task.Attempt()
 		}
@@ -41,15 +41,15 @@
 	return guard, attempt
 }
 
-func (entry *Entry) throttle(ctx context.Context, guard *membership.Guard, asked *wire.ThrottleRequest) *api.Problem {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (entry *Entry) throttleAttempt(ctx context.Context, guard *membership.Guard, asked *wire.ThrottleRequest) *api.Problem {
+	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(guard.Address())).Throttle(ctx, asked)
 	if err != nil {
-		return unknown(http.StatusBadGateway, err.Error())
+		return unknownOutcomeProblem(http.StatusBadGateway, err.Error())
 	}
 	if refusal := reply.GetRefusal(); refusal != nil {
-		return rejected(badRequest(refusal.GetDetail()))
+		return markNotRun(badRequestProblem(refusal.GetDetail()))
 	}
 	return nil
 }
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -18,16 +18,16 @@
 func (entry *Entry) serveWorkers(writer http.ResponseWriter) {
 	now := entry.now()
 	listed := []api.Worker{}
-	entry.log.View(func(folded *state.State) {
+	entry.journal.View(func(folded *state.State) {
 		for _, guard := range entry.view.Guards() {
-			listed = append(listed, entry.showWorker(folded, guard, now))
+			listed = append(listed, entry.apiWorker(folded, guard, now))
 		}
 	})
 	writeJSON(writer, http.StatusOK, listed)
 }
 
-func (entry *Entry) showWorker(folded *state.State, guard *membership.Guard, now time.Time) api.Worker {
-	laid := entry.placer.workerOf(folded, guard, now)
+func (entry *Entry) apiWorker(folded *state.State, guard *membership.Guard, now time.Time) api.Worker {
+	laid := entry.placer.newPlacementWorker(folded, guard, now)
 	shown := api.Worker{
 		Name:          guard.Name(),
 		FailureDomain: guard.FailureDomain(),
@@ -35,8 +35,8 @@
 		Service:       guard.Service(),
 		State:         entry.workerState(folded, guard, now),
 		Draining:      folded.IsDraining(guard.Name()),
-		Processors:    float64(laid.Capacity.MilliCPU) / thousand,
-		FreeCPU:       float64(laid.Capacity.MilliCPU-laid.Committed.MilliCPU) / thousand,
+		Processors:    float64(laid.Capacity.MilliCPU) / millisPerCore,
+		FreeCPU:       float64(laid.Capacity.MilliCPU-laid.Committed.MilliCPU) / millisPerCore,
 		MemoryBytes:   laid.Capacity.MemoryBytes,
 		Accelerators:  laid.Capacity.Accelerators,
 		SlotsUsed:     guard.Load().GetSlotsUsed(),
@@ -64,29 +64,29 @@
 	return "ready"
 }
 
-// knowsWorker reports whether the worker's guard has been heard, or the state
+// isKnownWorker reports whether the worker's guard has been heard, or the state
 // speaks of the worker: an entry that has just started must still be able to
 // end the drain of a worker whose guard is silent.
-func (entry *Entry) knowsWorker(worker string) bool {
+func (entry *Entry) isKnownWorker(worker string) bool {
 	known := entry.view.Guard(worker) != nil
-	entry.log.View(func(folded *state.State) { known = known || folded.HasWorker(worker) })
+	entry.journal.View(func(folded *state.State) { known = known || folded.HasWorker(worker) })
 	return known
 }
 
 // serveDrain begins or ends the drain of a worker.
 func (entry *Entry) serveDrain(writer http.ResponseWriter, request *http.Request, worker string) {
 	var asked api.DrainRequest
-	if sent := readBody(writer, request, &asked); sent != nil {
+	if sent := decodeBody(writer, request, &asked); sent != nil {
 		writeProblem(writer, sent)
 		return
 	}
-	if !entry.knowsWorker(worker) {
-		writeProblem(writer, notFound("no worker is named "+strconv.Quote(worker)+"; see `ambertiller workers`"))
+	if !entry.isKnownWorker(worker) {
+		writeProblem(writer, notFoundProblem("no worker is named "+strconv.Quote(worker)+"; see `ambertiller workers`"))
 		return
 	}
 	rec := changelog.NewRecord(entry.now())
 	rec.Body = &record.Record_WorkerDrain{WorkerDrain: &record.WorkerDrain{Worker: worker, Draining: asked.Draining, Author: asked.Author}}
-	outcome, done := entry.changeFor(writer, request, rec)
+	outcome, done := entry.appendOrRespond(writer, request, rec)
 	if !done {
 		return
 	}
--- a/session/failure_test.go
+++ b/session/failure_test.go
@@ -156,7 +156,7 @@
 	made.report("worker-01", "worker-02")
 	made.report("worker-01", "worker-02")
 	for _, name := range bothEntries {
-		if versions := made.entries[name].role.Shelf().Versions(); len(versions) != 1 || versions[0].Version != 1 {
+		if versions := made.entries[name].role.ActiveDocuments().Versions(); len(versions) != 1 || versions[0].Version != 1 {
 			t.Fatalf("%s decides by %v", name, versions)
 		}
 		if answer := made.doQuiet(name, http.MethodPost, "/v1/services/verbale/snippets", "x"); answer.Code != http.StatusOK {
@@ -187,7 +187,7 @@
 	made.startEntry("entry-1", "milano-a")
 	made.unreachable["worker-02"] = false
 	made.report("worker-01", "worker-01", "worker-02", "worker-02")
-	for _, each := range made.entries["entry-1"].role.Shelf().Versions() {
+	for _, each := range made.entries["entry-1"].role.ActiveDocuments().Versions() {
 		if each.Name == "policy-placement" && each.Version != 2 {
 			t.Errorf("version %d of %s is in force", each.Version, each.Name)
 		}
--- a/session/harness_test.go
+++ b/session/harness_test.go
@@ -143,7 +143,7 @@
 	made.entries[name] = seated
 	made.await("the entry reads the log", func() bool { return kept.Ready() == nil || made.log.IsDown() })
 	role.SyncDocuments(ctx)
-	role.ReadList(ctx)
+	role.RefreshInstances(ctx)
 }
 
 func (made *bench) serve(ctx context.Context, address string, register func(mux *drpcmux.Mux) error) {
@@ -288,8 +288,8 @@
 func (made *bench) finish() {
 	for _, name := range slices.Sorted(maps.Keys(made.entries)) {
 		seated := made.entries[name]
-		seated.role.Finish()
-		seated.role.RecordEnds(made.ctx)
+		seated.role.WaitBackground()
+		seated.role.RecordClaims(made.ctx)
 	}
 	made.catchUp()
 }
@@ -297,15 +297,15 @@
 // hearPeers lets the entries ask each other, by name.
 func (made *bench) hearPeers() {
 	for _, name := range slices.Sorted(maps.Keys(made.entries)) {
-		made.entries[name].role.ReadList(made.ctx)
-		made.entries[name].role.AskPeers(made.ctx)
+		made.entries[name].role.RefreshInstances(made.ctx)
+		made.entries[name].role.SyncPeers(made.ctx)
 	}
 }
 
 // clean lets the entries look for silent workers.
 func (made *bench) clean() {
 	for _, name := range slices.Sorted(maps.Keys(made.entries)) {
-		made.entries[name].role.Clean(made.ctx)
+		made.entries[name].role.RunMaintenance(made.ctx)
 		made.finish()
 	}
 	made.hearPeers()
@@ -329,7 +329,7 @@
 func (made *bench) place(names ...string) {
 	for _, name := range names {
 		if seated, found := made.entries[name]; found {
-			seated.role.Place(made.ctx, made.clock.Now())
+			seated.role.PlacePending(made.ctx, made.clock.Now())
 			made.finish()
 		}
 	}
