--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -211,5 +211,5 @@
 	log.options.Events.Log(ctx, code, attributes...)
 }
 
-// Queued returns how many proposals wait to be sent.
-func (log *Journal) Queued() int { return len(log.queue) }
+// QueueLength returns how many proposals wait to be sent.
+func (log *Journal) QueueLength() int { return len(log.queue) }
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -84,7 +84,7 @@
 	for _, each := range []*changelog.Journal{one, other} {
 		go func() {
 			outcomes, err := each.Append(testContext(t), publishRecord(0, "x"))
-			results <- err == nil && outcomes[0].Accepted()
+			results <- err == nil && outcomes[0].IsAccepted()
 		}()
 	}
 	if first, second := <-results, <-results; first == second {
@@ -100,7 +100,7 @@
 	log.LoseAnswers(3)
 	made := startJournal(t, log, changelog.Options{Writer: "one"})
 	outcomes, err := made.Append(testContext(t), publishRecord(0, "x"))
-	if err != nil || !outcomes[0].Accepted() {
+	if err != nil || !outcomes[0].IsAccepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 	if configVersion(made) != 1 {
@@ -172,7 +172,7 @@
 func TestThrottled(t *testing.T) {
 	log := &throttledLog{Log: standin.NewLog(0), remainingRefusals: 2}
 	made := startJournal(t, log, changelog.Options{})
-	if outcomes, err := made.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	if outcomes, err := made.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].IsAccepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 	if log.Appends() != 1 {
@@ -205,7 +205,7 @@
 			failures <- err
 		}()
 	}
-	waitFor(t, "all wait", func() bool { return made.Queued() == proposals })
+	waitFor(t, "all wait", func() bool { return made.QueueLength() == proposals })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go made.Run(ctx)
@@ -305,7 +305,7 @@
 		t.Fatal(err)
 	}
 	made := startJournal(t, log, changelog.Options{})
-	if outcomes, err := made.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	if outcomes, err := made.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].IsAccepted() {
 		t.Fatalf("outcomes %v, %v", outcomes, err)
 	}
 }
@@ -326,7 +326,7 @@
 	if !errors.Is(err, changelog.ErrHalted) {
 		t.Errorf("got %v", err)
 	}
-	if outcomes, err := newer.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].Accepted() {
+	if outcomes, err := newer.Append(testContext(t), publishRecord(0, "x")); err != nil || !outcomes[0].IsAccepted() {
 		t.Errorf("outcomes %v, %v", outcomes, err)
 	}
 }
--- a/changelog/example_test.go
+++ b/changelog/example_test.go
@@ -24,7 +24,7 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println("accepted:", outcomes[0].Accepted())
+	fmt.Println("accepted:", outcomes[0].IsAccepted())
 	log.View(func(folded *state.State) { fmt.Println("version:", folded.Document("config").GetVersion()) })
 	// Output:
 	// accepted: true
--- a/changelog/history_test.go
+++ b/changelog/history_test.go
@@ -121,7 +121,7 @@
 	switch {
 	case err != nil:
 		return unknown
-	case outcomes[0].Accepted():
+	case outcomes[0].IsAccepted():
 		return accepted
 	}
 	return rejected
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		return nil, claims.unsettled(held, err, now)
 	}
-	if !outcomes[0].Accepted() {
+	if !outcomes[0].IsAccepted() {
 		claims.options.Events.Log(ctx, event.ClaimLost, slog.String("key", key))
 		if taken := claims.taken(key); taken != nil {
 			return nil, taken
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -113,7 +113,7 @@
 	if sent != nil {
 		return nil, sent
 	}
-	if !outcome.Accepted() {
+	if !outcome.IsAccepted() {
 		entry.options.Events.Log(ctx, event.DocumentConflict, slog.String("document", name), slog.Uint64("based_on", asked.BasedOn), slog.String("author", asked.Author))
 		return nil, newProblem(http.StatusConflict, api.TypeConflict, "The publication was not accepted",
 			fmt.Sprintf("%s: it was based on version %d and the newest is %d; look at that one and publish again", outcome.Reason(), asked.BasedOn, entry.newestVersion(name)))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -259,4 +259,4 @@
 }
 
 // Queued returns how many requests of a service wait for a slot.
-func (entry *Entry) Queued(service string) int { return entry.routes.Queued(service) }
+func (entry *Entry) Queued(service string) int { return entry.routes.QueueLength(service) }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -66,7 +66,7 @@
 		metric.WithInt64Callback(func(_ context.Context, observer metric.Int64Observer) error {
 			if settings := entry.documents.Config(); settings != nil {
 				for service := range settings.Services() {
-					observer.Observe(int64(entry.routes.Queued(service)), metric.WithAttributes(attribute.String("service", service)))
+					observer.Observe(int64(entry.routes.QueueLength(service)), metric.WithAttributes(attribute.String("service", service)))
 				}
 			}
 			return nil
--- a/entry/place.go
+++ b/entry/place.go
@@ -181,7 +181,7 @@
 // handleOutcome acts on the log's verdict on one assignment.
 func (placing *placer) handleOutcome(ctx context.Context, each *assignment, outcome state.Outcome) {
 	entry := placing.entry
-	if !outcome.Accepted() {
+	if !outcome.IsAccepted() {
 		entry.metrics.countDecision(ctx, "lost")
 		entry.options.Events.Log(ctx, event.PlacementLost, slog.String("task", each.assign.GetTask()), slog.String("reason", string(outcome.Reason())))
 		return
--- a/entry/report.go
+++ b/entry/report.go
@@ -54,7 +54,7 @@
 	var stops []*wire.StopRequest
 	for index, outcome := range outcomes {
 		evict := records[index].GetTaskEvict()
-		if evict == nil || !outcome.Accepted() {
+		if evict == nil || !outcome.IsAccepted() {
 			continue
 		}
 		stops = append(stops, &wire.StopRequest{
@@ -66,7 +66,7 @@
 
 func (entry *Entry) logAcceptedRecords(ctx context.Context, records []*record.Record, outcomes []state.Outcome) {
 	for index, outcome := range outcomes {
-		if !outcome.Accepted() {
+		if !outcome.IsAccepted() {
 			continue
 		}
 		switch body := records[index].GetBody().(type) {
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -131,7 +131,7 @@
 		return
 	}
 	for index, outcome := range entry.propose(ctx, records...) {
-		if !outcome.Accepted() {
+		if !outcome.IsAccepted() {
 			continue
 		}
 		if suspect := records[index].GetWorkerSuspect(); suspect != nil {
--- a/entry/tasks.go
+++ b/entry/tasks.go
@@ -84,10 +84,10 @@
 	if sent == nil && task == nil {
 		return false, nil, badRequestProblem("the log did not accept the task: " + string(outcome.Reason()))
 	}
-	if outcome.Accepted() {
+	if outcome.IsAccepted() {
 		entry.options.Events.Log(ctx, event.TaskSubmitted, slog.String("task", id), slog.String("team", spec.GetTeam()), slog.String("kind", spec.GetKind()))
 	}
-	return outcome.Accepted(), task, sent
+	return outcome.IsAccepted(), task, sent
 }
 
 func taskID(team, key string) string {
@@ -278,7 +278,7 @@
 		return
 	}
 	ctx := request.Context()
-	if outcome.Accepted() {
+	if outcome.IsAccepted() {
 		entry.options.Events.Log(ctx, event.TaskCancelled, slog.String("task", id))
 		entry.stopCancelled(context.WithoutCancel(ctx), id)
 	}
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -90,7 +90,7 @@
 	if !done {
 		return
 	}
-	if outcome.Accepted() {
+	if outcome.IsAccepted() {
 		entry.options.Events.Log(request.Context(), event.WorkerDrained, slog.String("worker", worker), slog.Bool("draining", asked.Draining), slog.String("author", asked.Author))
 	}
 	writeJSON(writer, http.StatusOK, asked)
--- a/route/queue.go
+++ b/route/queue.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// Queued returns how many requests of a service wait.
-func (table *Table) Queued(name string) int {
+// QueueLength returns how many requests of a service wait.
+func (table *Table) QueueLength(name string) int {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	if named, found := table.services[name]; found {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -169,7 +169,7 @@
 			_, err := table.PickOrWait(context.Background(), "verbale", nil, bounds(10, time.Hour))
 			woken <- err
 		}()
-		for table.Queued("verbale") == 0 {
+		for table.QueueLength("verbale") == 0 {
 			time.Sleep(time.Microsecond)
 		}
 		table.Done(first, route.Answered, nil, time.Millisecond, startTime)
@@ -181,8 +181,8 @@
 		table := newTable(newGuard("a", "milano-a", 1, 1, true))
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		if _, err := table.PickOrWait(ctx, "verbale", nil, bounds(10, time.Hour)); err == nil || table.Queued("verbale") != 0 {
-			t.Errorf("got %v with %d waiting", err, table.Queued("verbale"))
+		if _, err := table.PickOrWait(ctx, "verbale", nil, bounds(10, time.Hour)); err == nil || table.QueueLength("verbale") != 0 {
+			t.Errorf("got %v with %d waiting", err, table.QueueLength("verbale"))
 		}
 	})
 }
--- a/state/example_test.go
+++ b/state/example_test.go
@@ -19,7 +19,7 @@
 			fmt.Println(err)
 			return
 		}
-		fmt.Printf("%s accepted: %t\n", author, outcomes[0].Accepted())
+		fmt.Printf("%s accepted: %t\n", author, outcomes[0].IsAccepted())
 	}
 	// Output:
 	// anna accepted: true
--- a/state/state.go
+++ b/state/state.go
@@ -83,8 +83,8 @@
 // RecordID returns the record's ID.
 func (outcome Outcome) RecordID() string { return outcome.recordID }
 
-// Accepted reports whether the record took effect.
-func (outcome Outcome) Accepted() bool { return outcome.reason == "" }
+// IsAccepted reports whether the record took effect.
+func (outcome Outcome) IsAccepted() bool { return outcome.reason == "" }
 
 // Reason returns why the record was lost, empty when it was accepted.
 func (outcome Outcome) Reason() Reason { return outcome.reason }
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		verdict := "accepted"
-		if !outcomes[0].Accepted() {
+		if !outcomes[0].IsAccepted() {
 			verdict = "lost: " + string(outcomes[0].Reason())
 		}
 		fmt.Fprintf(&out, "%-22s %s\n", verdict, line)
@@ -141,7 +141,7 @@
 			t.Errorf("the older reader's state changed (%v)", err)
 		}
 		mustApply(t, newer, raising)
-		if outcomes := mustApply(t, newer, newBatch("b-3", newCreateRecord("a", 2))); !outcomes[0].Accepted() {
+		if outcomes := mustApply(t, newer, newBatch("b-3", newCreateRecord("a", 2))); !outcomes[0].IsAccepted() {
 			t.Errorf("the newer reader lost the record: %s", outcomes[0].Reason())
 		}
 	})
