--- a/cmd/ambertiller/path_test.go
+++ b/cmd/ambertiller/path_test.go
@@ -142,7 +142,7 @@
 		if err != nil {
 			return err
 		}
-		var statuses []api.InForce
+		var statuses []api.DocumentInForce
 		if err := json.Unmarshal([]byte(out), &statuses); err != nil {
 			return err
 		}
--- a/command/operator.go
+++ b/command/operator.go
@@ -36,7 +36,7 @@
 			for _, worker := range workers {
 				rows = append(rows, []string{
 					worker.Name, worker.FailureDomain, worker.Rack, worker.State, strconv.FormatBool(worker.Draining),
-					formatFloat(worker.FreeCPU) + "/" + formatFloat(worker.Processors),
+					formatFloat(worker.FreeProcessors) + "/" + formatFloat(worker.Processors),
 					fmt.Sprintf("%d/%d", worker.SlotsUsed, worker.Slots), strings.Join(worker.Tasks, " "),
 				})
 			}
@@ -227,7 +227,7 @@
 	for _, fault := range report.Faults {
 		rows = append(rows, []string{"fault", formatFaults([]api.Fault{fault})})
 	}
-	rows = append(rows, []string{"decisions checked", formatInt(report.Checked)}, []string{"decisions changed", formatInt(len(report.Changes))})
+	rows = append(rows, []string{"decisions checked", formatInt(report.CheckedDecisions)}, []string{"decisions changed", formatInt(len(report.Changes))})
 	for _, change := range report.Changes {
 		rows = append(rows, []string{"task " + change.Task, change.Before + " -> " + change.After})
 	}
@@ -284,7 +284,7 @@
 	}
 	rows := make([][]string, 0, len(versions))
 	for _, version := range versions {
-		rows = append(rows, []string{formatUint(version.Version), version.Author, version.Written.Format(timeFormat), version.Comment})
+		rows = append(rows, []string{formatUint(version.Version), version.Author, version.WrittenAt.Format(timeFormat), version.Comment})
 	}
 	return c.printer.print(versions, []string{"VERSION", "AUTHOR", "WRITTEN", "COMMENT"}, rows)
 }
@@ -309,7 +309,7 @@
 	if c.printer.asJSON {
 		return c.printer.print(&doc, nil, nil)
 	}
-	_, err = fmt.Fprintf(c.printer.out, "# %s version %d by %s, %s\n%s", doc.Name, doc.Version, doc.Author, doc.Written.Format(timeFormat), doc.Content)
+	_, err = fmt.Fprintf(c.printer.out, "# %s version %d by %s, %s\n%s", doc.Name, doc.Version, doc.Author, doc.WrittenAt.Format(timeFormat), doc.Content)
 	return errors.Wrap(err, "print")
 }
 
@@ -327,11 +327,11 @@
 	if err != nil {
 		return err
 	}
-	var statuses []api.InForce
+	var statuses []api.DocumentInForce
 	if err := c.call(ctx, http.MethodGet, "/v1/in-force", nil, nil, &statuses); err != nil {
 		return err
 	}
-	selected := []api.InForce{}
+	selected := []api.DocumentInForce{}
 	rows := [][]string{}
 	for _, status := range statuses {
 		if name != "" && status.Document != name {
--- a/command/task.go
+++ b/command/task.go
@@ -57,7 +57,7 @@
 			}
 			header := http.Header{}
 			if key := cmd.String("key"); key != "" {
-				header.Set(api.HeaderKey, key)
+				header.Set(api.HeaderIdempotencyKey, key)
 			}
 			var task api.Task
 			if err := c.call(ctx, http.MethodPost, "/v1/tasks", header, request, &task); err != nil {
@@ -102,7 +102,7 @@
 		"attempt", formatUint(task.Attempt), "evictions", formatInt(task.Evictions), "start failures", formatInt(task.StartFailures),
 		"processors", formatFloat(task.Processors), "memory", formatBytes(task.MemoryBytes), "accelerators", formatInt(int(task.Accelerators)),
 		"priority", formatInt(int(task.Priority)), "policy", task.Policy,
-		"created", task.Created.Format(timeFormat), "changed", task.Changed.Format(timeFormat))
+		"created", task.CreatedAt.Format(timeFormat), "changed", task.ChangedAt.Format(timeFormat))
 }
 
 // singleArgumentAction returns an action that calls run with the command's only argument. name is
@@ -225,17 +225,17 @@
 // explanationRows returns the rows of an explanation's table.
 func explanationRows(explanation *api.Explanation) [][]string {
 	rows := [][]string{{"summary", explanation.Summary}, {"policy", explanation.Policy}}
-	if explanation.PolicyFault != "" {
-		rows = append(rows, []string{"policy fault", explanation.PolicyFault})
+	if explanation.PolicyError != "" {
+		rows = append(rows, []string{"policy fault", explanation.PolicyError})
 	}
 	if explanation.Candidate != "" {
 		rows = append(rows, []string{"best worker", explanation.Candidate + " scores " + formatFloat(explanation.Score)})
 	}
-	if explanation.Second != "" {
-		rows = append(rows, []string{"next best", explanation.Second + " scores " + formatFloat(explanation.SecondScore)})
+	if explanation.RunnerUp != "" {
+		rows = append(rows, []string{"next best", explanation.RunnerUp + " scores " + formatFloat(explanation.RunnerUpScore)})
 	}
 	for _, constraint := range explanation.Constraints {
-		rows = append(rows, []string{"left out: " + constraint.Name, fmt.Sprintf("%d of %d workers", constraint.Workers, explanation.Workers)})
+		rows = append(rows, []string{"left out: " + constraint.Name, fmt.Sprintf("%d of %d workers", constraint.ExcludedWorkers, explanation.WorkerCount)})
 	}
 	return rows
 }
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -28,7 +28,7 @@
 
 // claimedProblem says what became of the request that holds the key.
 func claimedProblem(taken *claim.TakenError) *api.Problem {
-	made := newProblem(http.StatusConflict, api.TypeClaimed, "A request with this key was claimed before", "")
+	made := newProblem(http.StatusConflict, api.TypeAlreadyClaimed, "A request with this key was claimed before", "")
 	made.Outcome = api.OutcomeUnknown
 	switch taken.Phase() {
 	case state.ClaimFinished:
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -26,11 +26,11 @@
 
 func apiDocument(kept *record.Document, content bool) api.Document {
 	shown := api.Document{
-		Name:    kept.GetName(),
-		Version: kept.GetVersion(),
-		Author:  kept.GetAuthor(),
-		Comment: kept.GetComment(),
-		Written: time.Unix(0, kept.GetWrittenUnixNano()).UTC(),
+		Name:      kept.GetName(),
+		Version:   kept.GetVersion(),
+		Author:    kept.GetAuthor(),
+		Comment:   kept.GetComment(),
+		WrittenAt: time.Unix(0, kept.GetWrittenUnixNano()).UTC(),
 	}
 	if content {
 		shown.Content = string(kept.GetContent())
@@ -119,7 +119,7 @@
 			fmt.Sprintf("%s: it was based on version %d and the newest is %d; look at that one and publish again", outcome.Reason(), asked.BasedOn, entry.newestVersion(name)))
 	}
 	entry.options.Events.Log(ctx, event.DocumentPublished, slog.String("document", name), slog.Uint64("version", asked.BasedOn+1), slog.String("author", asked.Author))
-	return &api.Document{Name: name, Version: asked.BasedOn + 1, Author: asked.Author, Comment: asked.Comment, Written: now.UTC()}, nil
+	return &api.Document{Name: name, Version: asked.BasedOn + 1, Author: asked.Author, Comment: asked.Comment, WrittenAt: now.UTC()}, nil
 }
 
 func (entry *Entry) newestVersion(name string) (version uint64) {
@@ -186,14 +186,14 @@
 			asked := entry.placer.newPlacementTask(settings, task, now)
 			before := board.Decide(runner, entry.policies(), asked)
 			after := board.Decide(runner, placement.Policies{InForce: trial.Placement(), BuiltIn: trial.BuiltIn()}, asked)
-			report.Checked++
+			report.CheckedDecisions++
 			if failure := after.PolicyError(); failure != nil {
 				report.Valid = false
 				report.Faults = append(report.Faults, api.Fault{Line: 1, Column: 1, Message: "it fails for task " + task.ID() + ": " + failure.Error()})
 				return
 			}
 			if before.Worker() != after.Worker() {
-				report.Changes = append(report.Changes, api.Change{Task: task.ID(), Before: before.Worker(), After: after.Worker()})
+				report.Changes = append(report.Changes, api.DecisionChange{Task: task.ID(), Before: before.Worker(), After: after.Worker()})
 			}
 		}
 	})
@@ -208,9 +208,9 @@
 			accepted[kept.GetName()] = kept.GetVersion()
 		}
 	})
-	listed := []api.InForce{}
+	listed := []api.DocumentInForce{}
 	for _, each := range entry.documents.Versions() {
-		listed = append(listed, api.InForce{Instance: entry.options.Name, Role: "entry", Document: each.Name, Version: each.Version, Accepted: accepted[each.Name]})
+		listed = append(listed, api.DocumentInForce{Instance: entry.options.Name, Role: "entry", Document: each.Name, Version: each.Version, Accepted: accepted[each.Name]})
 	}
 	for _, peer := range entry.view.Peers() {
 		listed = append(listed, inForceVersions(peer.Name, "entry", peer.Documents, accepted)...)
@@ -218,7 +218,7 @@
 	for _, guard := range entry.view.Guards() {
 		listed = append(listed, inForceVersions(guard.Name(), "guard", documentVersions(guard), accepted)...)
 	}
-	slices.SortStableFunc(listed, func(a, b api.InForce) int {
+	slices.SortStableFunc(listed, func(a, b api.DocumentInForce) int {
 		return cmp.Or(cmp.Compare(a.Document, b.Document), cmp.Compare(a.Role, b.Role), cmp.Compare(a.Instance, b.Instance))
 	})
 	writeJSON(writer, http.StatusOK, listed)
@@ -232,10 +232,10 @@
 	return versions
 }
 
-func inForceVersions(name, role string, versions []document.Version, accepted map[string]uint64) []api.InForce {
-	listed := make([]api.InForce, 0, len(versions))
+func inForceVersions(name, role string, versions []document.Version, accepted map[string]uint64) []api.DocumentInForce {
+	listed := make([]api.DocumentInForce, 0, len(versions))
 	for _, each := range versions {
-		listed = append(listed, api.InForce{Instance: name, Role: role, Document: each.Name, Version: each.Version, Accepted: accepted[each.Name]})
+		listed = append(listed, api.DocumentInForce{Instance: name, Role: role, Document: each.Name, Version: each.Version, Accepted: accepted[each.Name]})
 	}
 	return listed
 }
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -52,18 +52,18 @@
 }
 
 func explainPending(made *api.Explanation, decision *placement.Decision) {
-	made.Workers = decision.WorkerCount()
+	made.WorkerCount = decision.WorkerCount()
 	made.Policy = decision.Policy()
 	if failure := decision.PolicyError(); failure != nil {
-		made.PolicyFault = failure.Error()
+		made.PolicyError = failure.Error()
 	}
 	for _, constraint := range slices.Sorted(maps.Keys(decision.Rejected())) {
-		made.Constraints = append(made.Constraints, api.Constraint{Name: string(constraint), Workers: decision.Rejected()[constraint]})
+		made.Constraints = append(made.Constraints, api.Constraint{Name: string(constraint), ExcludedWorkers: decision.Rejected()[constraint]})
 	}
 	switch {
 	case decision.IsPlaced():
 		made.Candidate, made.Score = decision.Worker(), decision.Score()
-		made.Second, made.SecondScore = decision.RunnerUp()
+		made.RunnerUp, made.RunnerUpScore = decision.RunnerUp()
 		made.Summary = "the task is about to be placed on " + decision.Worker()
 	case decision.WorkerCount() == 0:
 		made.Summary = "the task waits: this entry has not heard of any worker"
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -51,7 +51,7 @@
 // logProblem says that the log did not take a record, or may have.
 func logProblem(err error) *api.Problem {
 	var unsettled *changelog.UnsettledError
-	made := newProblem(http.StatusServiceUnavailable, api.TypeLog, "The platform's log does not answer", err.Error())
+	made := newProblem(http.StatusServiceUnavailable, api.TypeLogUnavailable, "The platform's log does not answer", err.Error())
 	made.Outcome = api.OutcomeNotRun
 	made.RetryAfter = defaultRetryAfter.String()
 	if errors.As(err, &unsettled) {
--- a/entry/request.go
+++ b/entry/request.go
@@ -110,7 +110,7 @@
 func (made *serviceCall) parseHeaders(now time.Time) *api.Problem {
 	header := made.request.Header
 	made.requestID = header.Get(api.HeaderRequestID)
-	made.idempotencyKey = header.Get(api.HeaderKey)
+	made.idempotencyKey = header.Get(api.HeaderIdempotencyKey)
 	if made.idempotencyKey == "" {
 		made.idempotencyKey = made.requestID
 	}
@@ -130,7 +130,7 @@
 		return markNotRun(badRequestProblem(err.Error()))
 	}
 	if !made.repeatable && made.idempotencyKey == "" {
-		return markNotRun(badRequestProblem("a request that must not be repeated needs an " + api.HeaderKey + " or " + api.HeaderRequestID + " header; or mark it with " + api.HeaderRepeatable + ": true"))
+		return markNotRun(badRequestProblem("a request that must not be repeated needs an " + api.HeaderIdempotencyKey + " or " + api.HeaderRequestID + " header; or mark it with " + api.HeaderRepeatable + ": true"))
 	}
 	made.headers = forwardedHeaders(header)
 	return nil
--- a/entry/tasks.go
+++ b/entry/tasks.go
@@ -38,7 +38,7 @@
 		writeProblem(writer, sent)
 		return
 	}
-	created, task, sent := entry.submit(request.Context(), &asked, request.Header.Get(api.HeaderKey))
+	created, task, sent := entry.submit(request.Context(), &asked, request.Header.Get(api.HeaderIdempotencyKey))
 	if sent != nil {
 		writeProblem(writer, sent)
 		return
@@ -59,7 +59,7 @@
 		return false, nil, sent
 	}
 	if len(key) > maxNameBytes {
-		return false, nil, badRequestProblem(api.HeaderKey + " has at most " + strconv.Itoa(maxNameBytes) + " bytes")
+		return false, nil, badRequestProblem(api.HeaderIdempotencyKey + " has at most " + strconv.Itoa(maxNameBytes) + " bytes")
 	}
 	if key == "" {
 		key = uuid.NewString()
@@ -105,7 +105,7 @@
 			return
 		}
 		if !proto.Equal(task.Spec(), spec) {
-			sent = newProblem(http.StatusConflict, api.TypeConflict, "The key was used for another task", "task "+id+" has another specification; use another "+api.HeaderKey)
+			sent = newProblem(http.StatusConflict, api.TypeConflict, "The key was used for another task", "task "+id+" has another specification; use another "+api.HeaderIdempotencyKey)
 			return
 		}
 		found = apiTask(task)
@@ -155,7 +155,7 @@
 // work that its team's quota never lets run.
 func (entry *Entry) checkFeasible(spec *record.TaskSpec) *api.Problem {
 	if (usageByTeam{}).exceedsQuota(entry.documents.Config(), spec) {
-		return newProblem(http.StatusUnprocessableEntity, api.TypeImpossible, "The task can never run", "it asks for more than the quota of team "+spec.GetTeam())
+		return newProblem(http.StatusUnprocessableEntity, api.TypeCanNeverRun, "The task can never run", "it asks for more than the quota of team "+spec.GetTeam())
 	}
 	var decision *placement.Decision
 	entry.journal.View(func(folded *state.State) {
@@ -165,7 +165,7 @@
 	if !decision.IsImpossible() {
 		return nil
 	}
-	return newProblem(http.StatusUnprocessableEntity, api.TypeImpossible, "The task can never run",
+	return newProblem(http.StatusUnprocessableEntity, api.TypeCanNeverRun, "The task can never run",
 		fmt.Sprintf("of %d workers %d are too small and %d are in another failure domain", decision.WorkerCount(),
 			decision.Rejected()[placement.TooSmall], decision.Rejected()[placement.OtherDomain]))
 }
@@ -205,8 +205,8 @@
 		Accelerators:  spec.GetResources().GetAccelerators(),
 		Priority:      spec.GetPriority(),
 		Policy:        task.PolicyVersion(),
-		Created:       task.CreatedAt().UTC(),
-		Changed:       task.ChangedAt().UTC(),
+		CreatedAt:     task.CreatedAt().UTC(),
+		ChangedAt:     task.ChangedAt().UTC(),
 	}
 }
 
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -29,20 +29,20 @@
 func (entry *Entry) apiWorker(folded *state.State, guard *membership.Guard, now time.Time) api.Worker {
 	laid := entry.placer.newPlacementWorker(folded, guard, now)
 	shown := api.Worker{
-		Name:          guard.Name(),
-		FailureDomain: guard.FailureDomain(),
-		Rack:          guard.Rack(),
-		Service:       guard.Service(),
-		State:         entry.workerState(folded, guard, now),
-		Draining:      folded.IsDraining(guard.Name()),
-		Processors:    float64(laid.Capacity.MilliCPU) / millisPerCore,
-		FreeCPU:       float64(laid.Capacity.MilliCPU-laid.Committed.MilliCPU) / millisPerCore,
-		MemoryBytes:   laid.Capacity.MemoryBytes,
-		Accelerators:  laid.Capacity.Accelerators,
-		SlotsUsed:     guard.Load().GetSlotsUsed(),
-		Slots:         guard.Load().GetSlots(),
-		Tasks:         []string{},
-		HeardAt:       guard.HeardAt().UTC(),
+		Name:           guard.Name(),
+		FailureDomain:  guard.FailureDomain(),
+		Rack:           guard.Rack(),
+		Service:        guard.Service(),
+		State:          entry.workerState(folded, guard, now),
+		Draining:       folded.IsDraining(guard.Name()),
+		Processors:     float64(laid.Capacity.MilliCPU) / millisPerCore,
+		FreeProcessors: float64(laid.Capacity.MilliCPU-laid.Committed.MilliCPU) / millisPerCore,
+		MemoryBytes:    laid.Capacity.MemoryBytes,
+		Accelerators:   laid.Capacity.Accelerators,
+		SlotsUsed:      guard.Load().GetSlotsUsed(),
+		Slots:          guard.Load().GetSlots(),
+		Tasks:          []string{},
+		LastReportAt:   guard.HeardAt().UTC(),
 	}
 	for _, task := range folded.TasksOnWorker(guard.Name()) {
 		shown.Tasks = append(shown.Tasks, task.ID())
