--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -14,8 +14,8 @@
 
 // takeClaim claims a request that must not be repeated. The problem says why
 // it must not be run by this entry.
-func (entry *Entry) takeClaim(ctx context.Context, made *serviceCall) (*claim.Held, *api.Problem) {
-	held, err := entry.claims.Take(ctx, made.idempotencyKey, made.service, entry.now())
+func (entry *Entry) takeClaim(ctx context.Context, made *serviceCall) (*claim.Claim, *api.Problem) {
+	held, err := entry.claims.Acquire(ctx, made.idempotencyKey, made.service, entry.now())
 	var taken *claim.TakenError
 	switch {
 	case err == nil:
@@ -42,17 +42,17 @@
 	return made
 }
 
-func (entry *Entry) releaseClaim(ctx context.Context, held *claim.Held) {
+func (entry *Entry) releaseClaim(ctx context.Context, held *claim.Claim) {
 	if held != nil {
 		entry.claims.Release(ctx, held, entry.now())
 	}
 }
 
-func (entry *Entry) finishClaim(held *claim.Held, status int, maybe bool) {
+func (entry *Entry) finishClaim(held *claim.Claim, status int, maybe bool) {
 	if held != nil {
 		entry.claims.Finish(held, status, maybe, entry.now())
 	}
 }
 
 // RecordClaims makes one round of recording the ends of claims.
-func (entry *Entry) RecordClaims(ctx context.Context) { entry.claims.Record(ctx, entry.now()) }
+func (entry *Entry) RecordClaims(ctx context.Context) { entry.claims.RecordPending(ctx, entry.now()) }
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -166,8 +166,8 @@
 // dryRun decides for every task that waits or is placed, by the policy in
 // force and by the proposed one, as if it came now.
 func (entry *Entry) dryRun(report *api.CheckReport, source string) {
-	trial := document.NewShelf()
-	if _, err := trial.Offer(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
+	trial := document.NewActiveSet()
+	if _, err := trial.Activate(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
 		report.Faults = apiFaults(err)
 		return
 	}
@@ -185,7 +185,7 @@
 			}
 			asked := entry.placer.newPlacementTask(settings, task, now)
 			before := board.Decide(runner, entry.policies(), asked)
-			after := board.Decide(runner, placement.Policies{InForce: trial.Placement(), BuiltIn: trial.BuiltIn()}, asked)
+			after := board.Decide(runner, placement.Policies{InForce: trial.PlacementPolicy(), BuiltIn: trial.BuiltInPolicy()}, asked)
 			report.CheckedDecisions++
 			if failure := after.PolicyError(); failure != nil {
 				report.Valid = false
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -83,9 +83,9 @@
 	journal         *changelog.Journal
 	view            *membership.View
 	routes          *route.Table
-	documents       *document.Shelf
+	documents       *document.ActiveSet
 	retryBudget     *budget.Budget
-	claims          *claim.Claims
+	claims          *claim.Manager
 	placer          *placer
 	metrics         *metrics
 	inFlight        atomic.Int64
@@ -114,13 +114,13 @@
 		journal:         options.Journal,
 		view:            membership.NewView(defaultGuardTimeout),
 		routes:          route.NewTable(options.FailureDomain),
-		documents:       document.NewShelf(),
+		documents:       document.NewActiveSet(),
 		retryBudget:     budget.New(defaultRetryRatio, retryBurst),
 		shutdownStarted: make(chan struct{}),
 		suspicions:      suspicionTracker{active: map[string]activeSuspicion{}, missing: map[string]time.Time{}, ended: map[string]endedSuspicion{}},
 	}
 	entry.claims = claim.New(claim.Options{
-		Journal: options.Journal, Instance: options.Name, StaleLog: maxLogAge, Clock: options.Clock, Events: options.Events,
+		Journal: options.Journal, Instance: options.Name, MaxLogAge: maxLogAge, Clock: options.Clock, Events: options.Events,
 	})
 	entry.placer = &placer{entry: entry, policyRunner: policy.NewRunner(), refusals: map[string][]refusal{}}
 	entry.metrics = newMetrics(entry)
@@ -128,7 +128,7 @@
 }
 
 // ActiveDocuments returns the documents in force.
-func (entry *Entry) ActiveDocuments() *document.Shelf { return entry.documents }
+func (entry *Entry) ActiveDocuments() *document.ActiveSet { return entry.documents }
 
 // Journal returns the entry's copy of the state.
 func (entry *Entry) Journal() *changelog.Journal { return entry.journal }
@@ -201,7 +201,7 @@
 func (entry *Entry) WaitClaims(ctx context.Context) error {
 	ended := make(chan struct{})
 	go func() {
-		entry.claims.Settle()
+		entry.claims.Wait()
 		close(ended)
 	}()
 	select {
@@ -238,12 +238,12 @@
 func (entry *Entry) RefreshInstances(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
-	if list, err := entry.options.Instances.List(ctx, instances.All); err == nil {
-		entry.view.ListRead(list)
+	if list, err := entry.options.Instances.List(ctx, instances.AllRoles); err == nil {
+		entry.view.SetInstances(list)
 	}
 	now := entry.now()
 	for _, guard := range entry.view.Guards() {
-		entry.routes.Update(guard, entry.view.Silent(guard, now))
+		entry.routes.Update(guard, entry.view.HasTimedOut(guard, now))
 	}
 }
 
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -13,7 +13,7 @@
 )
 
 func (entry *Entry) policies() placement.Policies {
-	return placement.Policies{InForce: entry.documents.Placement(), BuiltIn: entry.documents.BuiltIn()}
+	return placement.Policies{InForce: entry.documents.PlacementPolicy(), BuiltIn: entry.documents.BuiltInPolicy()}
 }
 
 // serveExplain says why a task is where it is, or what it waits for.
@@ -26,7 +26,7 @@
 		if task == nil || settings == nil {
 			return
 		}
-		made = &api.Explanation{Task: *apiTask(task), Policy: entry.documents.Placement().String()}
+		made = &api.Explanation{Task: *apiTask(task), Policy: entry.documents.PlacementPolicy().String()}
 		if task.Phase() != state.PhasePending {
 			made.Summary = phaseSummary(task)
 			return
--- a/entry/judge.go
+++ b/entry/judge.go
@@ -46,7 +46,7 @@
 	switch {
 	case task == nil:
 		// Unknown and reported before the last whole read began: forgotten.
-		grant.Recorded = !guard.HeardBefore().IsZero() && fresh.After(guard.HeardBefore())
+		grant.Recorded = !guard.PreviousReportAt().IsZero() && fresh.After(guard.PreviousReportAt())
 		grant.Stop = grant.Recorded
 	case reported.GetAttempt() > task.Attempt():
 		// This entry's state is behind; another entry knows better.
@@ -79,7 +79,7 @@
 		made.records = append(made.records, newRunningRecord(task.ID(), task.Attempt(), now))
 	case task.Phase() == state.PhaseStopping && reported.GetPhase() == wire.TaskPhase_TASK_RUNNING:
 		made.stops = append(made.stops, newStopRequest(task, guard))
-	case task.Phase() == state.PhaseRunning && (folded.IsDraining(guard.Name()) || guard.ListedLeaving()):
+	case task.Phase() == state.PhaseRunning && (folded.IsDraining(guard.Name()) || guard.IsListedLeaving()):
 		made.records = append(made.records, newEvictRecord(task, "its worker is drained", now))
 	}
 }
--- a/entry/offer.go
+++ b/entry/offer.go
@@ -11,7 +11,7 @@
 
 // applyDocument puts a newer copy of a document in force.
 func (entry *Entry) applyDocument(ctx context.Context, offered document.Copy) {
-	changed, err := entry.documents.Offer(offered)
+	changed, err := entry.documents.Activate(offered)
 	attributes := []slog.Attr{slog.String("document", offered.Name), slog.Uint64("version", offered.Version)}
 	if err != nil {
 		entry.options.Events.Log(ctx, event.DocumentRejected, append(attributes, slog.String("error", err.Error()))...)
@@ -24,6 +24,6 @@
 	if offered.Name == config.DocumentName {
 		limits := entry.documents.Config().Limits()
 		entry.retryBudget.SetRatio(limits.RetryRatio())
-		entry.view.SetSilent(limits.WorkerSilent())
+		entry.view.SetTimeout(limits.WorkerSilent())
 	}
 }
--- a/entry/place.go
+++ b/entry/place.go
@@ -160,7 +160,7 @@
 func newAssignment(guard *membership.Guard, task *state.Task, decision *placement.Decision, lease time.Duration, now time.Time) *assignment {
 	// The guard's clock has moved on since it was heard; counting that in
 	// keeps an offer from ending early, and never lets it end late.
-	uptime := guard.Uptime() + now.Sub(guard.HeardAt())
+	uptime := guard.Uptime() + now.Sub(guard.LastReportAt())
 	return &assignment{
 		assign: &record.TaskAssign{
 			Task:               task.ID(),
@@ -335,11 +335,11 @@
 // blockedBy returns why a worker takes no tasks at all now, empty when it does.
 func (placing *placer) blockedBy(folded *state.State, guard *membership.Guard, now time.Time) placement.Constraint {
 	switch {
-	case folded.ActiveSuspicion(guard.Name()) != 0 || placing.entry.view.Silent(guard, now):
+	case folded.ActiveSuspicion(guard.Name()) != 0 || placing.entry.view.HasTimedOut(guard, now):
 		return placement.Suspected
 	case folded.IsDraining(guard.Name()):
 		return placement.Draining
-	case !guard.Ready():
+	case !guard.IsReady():
 		return placement.NotReady
 	case placing.recentStartFailures(guard.Name(), now) >= maxStartFailures:
 		return placement.Recovering
--- a/entry/run.go
+++ b/entry/run.go
@@ -49,7 +49,7 @@
 
 // runCall sends a request until it is answered or given up. held is the claim
 // on a request that must not be repeated.
-func (entry *Entry) runCall(ctx context.Context, writer http.ResponseWriter, made *serviceCall, held *claim.Held) *api.Problem {
+func (entry *Entry) runCall(ctx context.Context, writer http.ResponseWriter, made *serviceCall, held *claim.Claim) *api.Problem {
 	entry.retryBudget.Deposit()
 	var tried []string
 	// maybe is set once a backend server may have run the request. Whatever
@@ -98,7 +98,7 @@
 
 // failCall ends the claim and returns the final answer of a request that got
 // none: the problem given, unless the request may have run.
-func (entry *Entry) failCall(ctx context.Context, held *claim.Held, maybe bool, sent *api.Problem) *api.Problem {
+func (entry *Entry) failCall(ctx context.Context, held *claim.Claim, maybe bool, sent *api.Problem) *api.Problem {
 	if !maybe {
 		entry.releaseClaim(ctx, held)
 		return sent
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -42,7 +42,7 @@
 		SlotsUsed:      guard.Load().GetSlotsUsed(),
 		Slots:          guard.Load().GetSlots(),
 		Tasks:          []string{},
-		LastReportAt:   guard.HeardAt().UTC(),
+		LastReportAt:   guard.LastReportAt().UTC(),
 	}
 	for _, task := range folded.TasksOnWorker(guard.Name()) {
 		shown.Tasks = append(shown.Tasks, task.ID())
@@ -54,11 +54,11 @@
 	switch {
 	case folded.ActiveSuspicion(guard.Name()) != 0:
 		return "suspected"
-	case entry.view.Silent(guard, now):
+	case entry.view.HasTimedOut(guard, now):
 		return "silent"
-	case guard.Leaving():
+	case guard.IsLeaving():
 		return "leaving"
-	case !guard.Ready():
+	case !guard.IsReady():
 		return "not ready"
 	}
 	return "ready"
