--- a/guard/attributes.go
+++ b/guard/attributes.go
@@ -8,12 +8,12 @@
 
 func attrError(err error) slog.Attr { return slog.String("error", err.Error()) }
 
-func attrDocument(copied *wire.DocumentCopy) slog.Attr {
-	return slog.String("document", copied.GetName())
+func attrDocument(documentCopy *wire.DocumentCopy) slog.Attr {
+	return slog.String("document", documentCopy.GetName())
 }
 
-func attrVersion(copied *wire.DocumentCopy) slog.Attr {
-	return slog.Uint64("version", copied.GetVersion())
+func attrVersion(documentCopy *wire.DocumentCopy) slog.Attr {
+	return slog.Uint64("version", documentCopy.GetVersion())
 }
 
 func attrTask(id string) slog.Attr { return slog.String("task", id) }
--- a/guard/follow.go
+++ b/guard/follow.go
@@ -12,9 +12,11 @@
 	"ambertiller.example/ambertiller/worker"
 )
 
+// maxOutputLineBytes limits a line of the worker's stream, which is one JSON object.
 const maxOutputLineBytes = 1 << 20
 
-// Follow streams what a watch produces. It implements the drpc service.
+// Follow streams the output of a watch. It implements the Follow method of the DRPC
+// service Guard.
 func (guard *Guard) Follow(request *wire.FollowRequest, stream wire.DRPCGuard_FollowStream) error {
 	release, err := guard.gate.AdmitConnection()
 	if err != nil {
@@ -23,7 +25,8 @@
 	defer release()
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	// A leaving guard ends the stream; the entry takes it up again elsewhere.
+	// On shutdown the guard ends the stream. The entry then follows the watch from its
+	// last sequence number on, through the guard of the worker that runs it by then.
 	stop := context.AfterFunc(guard.streamsCtx, cancel)
 	defer stop()
 	body, err := guard.options.Worker.Follow(ctx, request.GetTask(), request.GetAfterSequence())
@@ -34,12 +37,13 @@
 	return relayOutput(body, stream)
 }
 
+// relayOutput sends the lines of the worker's stream as events until the stream ends.
 func relayOutput(body io.Reader, stream wire.DRPCGuard_FollowStream) error {
-	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxOutputLineBytes)
-	for lines.Scan() {
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(nil, maxOutputLineBytes)
+	for scanner.Scan() {
 		var output worker.Output
-		if err := json.Unmarshal(lines.Bytes(), &output); err != nil {
+		if err := json.Unmarshal(scanner.Bytes(), &output); err != nil {
 			return errors.Wrap(err, "the worker's stream can't be read")
 		}
 		if err := stream.Send(&wire.FollowEvent{
@@ -51,5 +55,5 @@
 			return errors.Wrap(err, "send output")
 		}
 	}
-	return errors.Wrap(lines.Err(), "the worker's stream broke off")
+	return errors.Wrap(scanner.Err(), "the worker's stream broke off")
 }
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -1,24 +1,27 @@
-// Package guard is the small process beside each backend server. It is the
-// authority on what its worker carries.
+// Package guard implements the process that runs beside each backend server and
+// controls which requests and tasks its worker runs.
 //
-// A guard admits requests for its backend server and attempts of tasks for its
-// worker, against the worker's real bounds and whatever entries believe. What
-// it refuses, it proves not to have run. It renews the leases of the attempts
-// that the entries still stand behind, and tells the entries once a second
-// what it carries. It decides nothing about where work goes.
+// A guard performs admission control: it admits requests for its backend server and
+// attempts of tasks for its worker up to the worker's actual capacity, even if an
+// entry has an outdated view of what is free. A refusal that is marked as not run
+// guarantees that the refused work has not run. At least once a second the guard reports
+// its load and its attempts to every entry. The replies grant lease renewals, which
+// the guard passes on to the worker. Where work is placed is decided by the entries.
 //
 // # Incarnations
 //
-// Each start of a guard is a new incarnation. A start of a task is taken up
-// only by the incarnation it was offered to, and only before the offer's end
-// on that incarnation's own clock, so that a message that was held up can't
-// start anything later. A new incarnation adopts what its worker still runs.
+// Each start of a guard is a new incarnation. An offer to start an attempt is valid
+// only for the incarnation that it names, and only until its deadline on that
+// incarnation's own clock, so a delayed message can't start anything later. A new
+// incarnation adopts the attempts that its worker still runs.
 //
 // # Usage
 //
-//	guarding := guard.New(guard.Options{Name: "worker-01", ...})
-//	if err := guarding.Adopt(ctx, now); err != nil { ... }
-//	go guarding.Run(ctx)
+//	g := guard.New(guard.Options{Name: "worker-01", ...})
+//	if err := g.AdoptTasks(ctx); err != nil { ... }
+//	go g.Run(ctx)
+//
+// Run adopts the worker's attempts itself if AdoptTasks was not called or failed.
 package guard
 
 import (
@@ -43,41 +46,46 @@
 )
 
 const (
+	// The limits of a service that is not in the configuration.
 	defaultSlots       = 8
 	defaultConnections = 64
+
 	reportInterval     = time.Second
 	workerPollInterval = 250 * time.Millisecond
 	instancesInterval  = 2 * time.Second
-	callTimeout        = 2 * time.Second
+	// callTimeout limits each poll of the worker, each read of the instance list and
+	// each report to an entry.
+	callTimeout = 2 * time.Second
 )
 
-// Options sets up a Guard.
+// Options configures a Guard.
 type Options struct {
 	// Name is the worker's name.
 	Name string
-	// Address is where entries reach this guard.
+	// Address is the address at which entries call this guard.
 	Address string
-	// FailureDomain is where the worker is.
+	// FailureDomain is the worker's failure domain.
 	FailureDomain string
-	// Service is the service that the backend server runs.
+	// Service is the name of the service that the backend server runs.
 	Service string
 	// BackendURL is the base URL of the backend server.
 	BackendURL string
 	// Worker is the platform's interface to the worker.
 	Worker worker.Worker
-	// Instances is the platform's instance list.
+	// Instances reads the platform's instance list.
 	Instances instances.Lister
-	// Pool connects to the entries.
+	// Pool holds the connections to the entries.
 	Pool *rpc.Pool
-	// Clock is the guard's clock. Default the real clock.
+	// Clock is the guard's clock. The default is the real clock.
 	Clock clockwork.Clock
-	// Events receives log lines. Default none.
+	// Events receives log lines. By default they are discarded.
 	Events *event.Logger
-	// Meters counts. Default the global provider.
+	// Meters provides the metric instruments. The default is the global provider.
 	Meters metric.MeterProvider
 }
 
-// Guard is the process beside one backend server.
+// Guard controls the work of one worker and its backend server. It is safe for
+// concurrent use.
 type Guard struct {
 	options       Options
 	incarnation   string
@@ -89,21 +97,23 @@
 	reportTrigger chan struct{}
 
 	mu             sync.Mutex
-	attempts       map[string]*attempt
+	attempts       map[string]*attempt // by task ID
 	leaseHolder    *lease.Holder
 	workerCapacity worker.Capacity
 	workerUsage    worker.Usage
-	// workerUptime is the worker's clock when it was last read. Leases are
-	// counted from it, so that they end early rather than late.
+	// workerUptime is the worker's uptime when it was last read. Leases are counted
+	// from it. It is never ahead of the worker's clock, so leases may end too early,
+	// but not too late.
 	workerUptime  time.Duration
-	ready         bool
-	entries       []instances.Instance
+	ready         bool                 // the attempts on the worker have been adopted
+	entries       []instances.Instance // as last read from the instance list
 	metrics       *metrics
-	streamsCtx    context.Context
+	streamsCtx    context.Context // is cancelled on shutdown, which ends all Follow streams
 	cancelStreams context.CancelFunc
 }
 
-// New returns a guard that carries nothing yet.
+// New returns a guard with no attempts. It refuses tasks until those on its worker have
+// been adopted.
 func New(options Options) *Guard {
 	if options.Clock == nil {
 		options.Clock = clockwork.NewRealClock()
@@ -115,10 +125,10 @@
 		options.Meters = otel.GetMeterProvider()
 	}
 	incarnation := newIncarnation()
-	left, leave := context.WithCancel(context.Background())
+	streamsCtx, cancelStreams := context.WithCancel(context.Background())
 	return &Guard{
-		streamsCtx:    left,
-		cancelStreams: leave,
+		streamsCtx:    streamsCtx,
+		cancelStreams: cancelStreams,
 		options:       options,
 		incarnation:   incarnation,
 		startedAt:     options.Clock.Now(),
@@ -132,8 +142,8 @@
 	}
 }
 
-// newIncarnation returns a name that sorts after those of earlier starts on
-// the same machine.
+// newIncarnation returns a unique name, a version 7 UUID. Because it begins with the
+// time, it sorts after the names of earlier starts on the same machine.
 func newIncarnation() string {
 	id, err := uuid.NewV7()
 	if err != nil {
@@ -142,34 +152,37 @@
 	return id.String()
 }
 
-// Incarnation returns the name of this start of the guard.
+// Incarnation returns the unique name of this start of the guard.
 func (guard *Guard) Incarnation() string { return guard.incarnation }
 
-// Gate returns what counts the work on the worker.
+// Gate returns the admission control of the worker and its backend server.
 func (guard *Guard) Gate() *admission.Gate { return guard.gate }
 
-// ActiveDocuments returns the documents in force.
+// ActiveDocuments returns the documents that this guard uses.
 func (guard *Guard) ActiveDocuments() *document.ActiveSet { return guard.documents }
 
-// Ready reports whether the guard knows its worker and may take work.
+// Ready reports whether the guard accepts work: it has adopted the attempts on its worker
+// and is not shutting down.
 func (guard *Guard) Ready() bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	return guard.ready && !guard.gate.Leaving()
 }
 
+// uptime returns how long this incarnation has been running at the time now.
 func (guard *Guard) uptime(now time.Time) time.Duration { return now.Sub(guard.startedAt) }
 
-// Run reports to the entries and keeps the worker's leases until ctx ends.
+// Run polls the worker, reports to the entries and renews leases until ctx is cancelled.
 func (guard *Guard) Run(ctx context.Context) {
-	var loops sync.WaitGroup
-	loops.Go(func() { guard.pollLoop(ctx) })
-	loops.Go(func() { guard.reportLoop(ctx) })
-	loops.Go(func() { guard.refreshLoop(ctx) })
-	loops.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { guard.pollLoop(ctx) })
+	wg.Go(func() { guard.reportLoop(ctx) })
+	wg.Go(func() { guard.refreshLoop(ctx) })
+	wg.Wait()
 }
 
-// BeginShutdown refuses new work from now on and tells the entries at once.
+// BeginShutdown refuses new work from now on, reports this to the entries immediately and
+// then ends the streams of Follow.
 func (guard *Guard) BeginShutdown(ctx context.Context) {
 	guard.gate.Leave()
 	guard.options.Events.Log(ctx, event.GuardLeaving)
@@ -177,7 +190,7 @@
 	guard.cancelStreams()
 }
 
-// WaitIdle waits until no request is in flight, or ctx ends.
+// WaitIdle waits until no request or stream is in progress, or until ctx is cancelled.
 func (guard *Guard) WaitIdle(ctx context.Context) error {
 	select {
 	case <-guard.gate.Idle():
@@ -187,6 +200,8 @@
 	}
 }
 
+// triggerReport makes reportLoop report without waiting for its next tick, so that entries
+// learn at once that an attempt has started or ended. It never blocks.
 func (guard *Guard) triggerReport() {
 	select {
 	case guard.reportTrigger <- struct{}{}:
@@ -194,6 +209,7 @@
 	}
 }
 
+// currentLoad returns the load of the backend server, which entries use to choose a server.
 func (guard *Guard) currentLoad() *wire.Load {
 	usage := guard.gate.Usage()
 	capacity := guard.gate.Capacity()
@@ -206,35 +222,39 @@
 	}
 }
 
-// applyDocuments puts newer documents in force and follows their bounds.
+// applyDocuments activates the documents that are newer than the active ones, and applies
+// the limits that they configure.
 func (guard *Guard) applyDocuments(ctx context.Context, copies []*wire.DocumentCopy) {
-	for _, copied := range copies {
-		changed, err := guard.documents.Activate(wire.DecodeCopy(copied))
+	for _, documentCopy := range copies {
+		changed, err := guard.documents.Activate(wire.DecodeCopy(documentCopy))
 		if err != nil {
-			guard.options.Events.Log(ctx, event.DocumentRejected, attrDocument(copied), attrError(err))
+			guard.options.Events.Log(ctx, event.DocumentRejected, attrDocument(documentCopy), attrError(err))
 			continue
 		}
 		if changed {
-			guard.options.Events.Log(ctx, event.DocumentInForce, attrDocument(copied), attrVersion(copied))
+			guard.options.Events.Log(ctx, event.DocumentInForce, attrDocument(documentCopy), attrVersion(documentCopy))
 		}
 	}
 	guard.updateCapacity()
 }
 
+// updateCapacity sets the gate's capacity. Slots and connections come from the
+// configuration of the service, the rest from the worker, less the processors that the
+// configuration reserves for the backend server.
 func (guard *Guard) updateCapacity() {
-	bounds := admission.Capacity{Slots: defaultSlots, Connections: defaultConnections}
-	if settings := guard.documents.Config(); settings != nil {
-		if service, found := settings.Service(guard.options.Service); found {
-			bounds.Slots, bounds.Connections = service.Slots(), service.Connections()
+	capacity := admission.Capacity{Slots: defaultSlots, Connections: defaultConnections}
+	if config := guard.documents.Config(); config != nil {
+		if service, found := config.Service(guard.options.Service); found {
+			capacity.Slots, capacity.Connections = service.Slots(), service.Connections()
 		}
 	}
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	bounds.MilliCPU = guard.workerCapacity.MilliCPU
-	bounds.MemoryBytes = guard.workerCapacity.MemoryBytes
-	bounds.Accelerators = guard.workerCapacity.Accelerators
-	if settings := guard.documents.Config(); settings != nil {
-		bounds.MilliCPU = max(0, bounds.MilliCPU-settings.Limits().ReservedMilliCPU())
+	capacity.MilliCPU = guard.workerCapacity.MilliCPU
+	capacity.MemoryBytes = guard.workerCapacity.MemoryBytes
+	capacity.Accelerators = guard.workerCapacity.Accelerators
+	if config := guard.documents.Config(); config != nil {
+		capacity.MilliCPU = max(0, capacity.MilliCPU-config.Limits().ReservedMilliCPU())
 	}
-	guard.gate.SetCapacity(bounds)
+	guard.gate.SetCapacity(capacity)
 }
--- a/guard/latency.go
+++ b/guard/latency.go
@@ -5,22 +5,25 @@
 	"time"
 )
 
-// latencySmoothing is the share of a new reading in the smoothed latency.
+// latencySmoothing is the weight of a new sample in the moving average, 0 to 1.
 const latencySmoothing = 0.1
 
-// latencyAverage is the smoothed time of the backend server.
+// latencyAverage is an exponential moving average of request durations. It is safe for
+// concurrent use.
 type latencyAverage struct {
-	nanos atomic.Int64
+	nanos atomic.Int64 // 0 until the first sample
 }
 
-func (smooth *latencyAverage) add(reading time.Duration) {
-	before := smooth.nanos.Load()
-	if before == 0 {
-		smooth.nanos.Store(int64(reading))
+// add adds a sample. The first sample sets the average.
+func (l *latencyAverage) add(sample time.Duration) {
+	previous := l.nanos.Load()
+	if previous == 0 {
+		l.nanos.Store(int64(sample))
 		return
 	}
-	// A reading lost to a race with another one does no harm.
-	smooth.nanos.Store(before + int64(latencySmoothing*float64(int64(reading)-before)))
+	// Of two concurrent calls one may overwrite the other. Losing a sample does no harm.
+	l.nanos.Store(previous + int64(latencySmoothing*float64(int64(sample)-previous)))
 }
 
-func (smooth *latencyAverage) average() time.Duration { return time.Duration(smooth.nanos.Load()) }
+// average returns the current average, or 0 if there is no sample yet.
+func (l *latencyAverage) average() time.Duration { return time.Duration(l.nanos.Load()) }
--- a/guard/metrics.go
+++ b/guard/metrics.go
@@ -11,19 +11,19 @@
 
 const meterName = "ambertiller.example/ambertiller/guard"
 
-// metrics are the instruments of a guard. Without a meter provider they count
-// nothing.
+// metrics holds a guard's metric instruments. They record nothing unless a real meter
+// provider is set up.
 type metrics struct {
 	refusals metric.Int64Counter
 }
 
-func newMetrics(meters metric.MeterProvider) *metrics {
-	meter := meters.Meter(meterName)
-	// The error speaks of the name, which is a constant.
+func newMetrics(provider metric.MeterProvider) *metrics {
+	meter := provider.Meter(meterName)
+	// The only possible error is an invalid name, and the name is a valid constant.
 	refusals, _ := meter.Int64Counter("ambertiller.guard.refusals", metric.WithDescription("Work refused, by reason."))
 	return &metrics{refusals: refusals}
 }
 
-func (counted *metrics) countRefusal(ctx context.Context, reason wire.RefusalReason) {
-	counted.refusals.Add(ctx, 1, metric.WithAttributes(attribute.String("reason", reason.String())))
+func (m *metrics) countRefusal(ctx context.Context, reason wire.RefusalReason) {
+	m.refusals.Add(ctx, 1, metric.WithAttributes(attribute.String("reason", reason.String())))
 }
--- a/guard/report.go
+++ b/guard/report.go
@@ -14,7 +14,7 @@
 	"ambertiller.example/ambertiller/worker"
 )
 
-// pollLoop follows the worker.
+// pollLoop polls the worker once per workerPollInterval until ctx is cancelled.
 func (guard *Guard) pollLoop(ctx context.Context) {
 	ticker := guard.options.Clock.NewTicker(workerPollInterval)
 	defer ticker.Stop()
@@ -30,7 +30,8 @@
 	}
 }
 
-// PollWorker reads the worker once. The first one adopts what it runs.
+// PollWorker reads the attempts on the worker and its resource usage once. Until the attempts
+// have been adopted, it adopts them instead.
 func (guard *Guard) PollWorker(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -54,36 +55,38 @@
 	return nil
 }
 
-// applyWorkerState takes over what the worker says and reports whether an attempt ended.
+// applyWorkerState stores what a poll returned, adopts attempts that the guard doesn't know,
+// and releases the resources of those that have ended. It reports whether any has ended.
 func (guard *Guard) applyWorkerState(ctx context.Context, listing worker.Listing, usage worker.Usage) bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	guard.workerUsage = usage
 	guard.workerUptime = listing.Uptime
-	someEnded := false
+	anyEnded := false
 	for _, task := range listing.Tasks {
-		each, known := guard.attempts[task.Task]
-		if !known {
+		current, found := guard.attempts[task.Task]
+		if !found {
 			guard.adoptTask(ctx, task)
 			continue
 		}
-		if each.number != task.Attempt || each.hasEnded() || each.starting {
+		if current.number != task.Attempt || current.hasEnded() || current.starting {
 			continue
 		}
-		each.update(task)
-		if each.hasEnded() {
-			someEnded = true
+		current.update(task)
+		if current.hasEnded() {
+			anyEnded = true
 			guard.gate.ReleaseTask(task.Task)
-			if each.phase == wire.TaskPhase_TASK_LAPSED {
+			if current.phase == wire.TaskPhase_TASK_LAPSED {
 				guard.options.Events.Log(ctx, event.LeaseLapsed, attrTask(task.Task), attrAttempt(task.Attempt))
 			}
 			guard.options.Events.Log(ctx, event.TaskEnded, attrTask(task.Task), attrAttempt(task.Attempt), attrReason(task.Reason))
 		}
 	}
-	return someEnded
+	return anyEnded
 }
 
-// reportLoop reports once a second, and at once when an attempt ends.
+// reportLoop reports to all entries once per reportInterval, and immediately after a call of
+// triggerReport, until ctx is cancelled.
 func (guard *Guard) reportLoop(ctx context.Context) {
 	ticker := guard.options.Clock.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -98,6 +101,7 @@
 	}
 }
 
+// refreshLoop reads the instance list once per instancesInterval until ctx is cancelled.
 func (guard *Guard) refreshLoop(ctx context.Context) {
 	ticker := guard.options.Clock.NewTicker(instancesInterval)
 	defer ticker.Stop()
@@ -111,7 +115,8 @@
 	}
 }
 
-// RefreshInstances learns where the entries are. An unreadable list changes nothing.
+// RefreshInstances reads the entries from the instance list. If the list can't be read, the
+// guard keeps the entries that it knows.
 func (guard *Guard) RefreshInstances(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -120,27 +125,28 @@
 		return
 	}
 	guard.mu.Lock()
-	first := len(guard.entries) == 0
+	wasEmpty := len(guard.entries) == 0
 	guard.entries = entries
 	guard.mu.Unlock()
-	if first {
+	if wasEmpty {
 		guard.triggerReport()
 	}
 }
 
-// ReportAll tells every entry what the guard carries.
+// ReportAll reports to all entries concurrently and waits until the calls have ended.
 func (guard *Guard) ReportAll(ctx context.Context) {
 	guard.mu.Lock()
 	entries := slices.Clone(guard.entries)
 	guard.mu.Unlock()
-	var calls sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, entry := range entries {
-		calls.Go(func() { guard.ReportTo(ctx, entry) })
+		wg.Go(func() { guard.ReportTo(ctx, entry) })
 	}
-	calls.Wait()
+	wg.Wait()
 }
 
-// ReportTo tells one entry what the guard carries and follows its reply.
+// ReportTo reports the guard's load and attempts to one entry and applies the documents and
+// grants in the reply.
 func (guard *Guard) ReportTo(ctx context.Context, entry instances.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -155,9 +161,9 @@
 	guard.applyGrants(ctx, reply.GetGrants(), workerUptime)
 }
 
-// newReport makes a report, and returns with it the reading of the worker's clock
-// from which the leases granted in reply are counted: it is older than the
-// grant, so a lease ends early rather than late, however long the reply takes.
+// newReport returns a report, and the worker's uptime from which to count the leases that the
+// reply grants. That uptime was read before the leases are granted, so a lease may end too
+// early but not too late, however long the reply takes.
 func (guard *Guard) newReport(now time.Time) (*wire.ReportRequest, time.Duration) {
 	usage := guard.gate.Usage()
 	capacity := guard.gate.Capacity()
@@ -178,22 +184,23 @@
 		Load:          guard.currentLoad(),
 		Documents:     wire.EncodeVersions(guard.documents.Versions()),
 	}
-	for _, task := range slices.Sorted(maps.Keys(guard.attempts)) {
-		each := guard.attempts[task]
+	for _, taskID := range slices.Sorted(maps.Keys(guard.attempts)) {
+		current := guard.attempts[taskID]
 		report.Tasks = append(report.Tasks, &wire.TaskReport{
-			Task:       task,
-			Attempt:    each.number,
-			Phase:      each.phase,
-			Reason:     each.reason,
-			Result:     each.result,
-			Checkpoint: each.checkpoint,
+			Task:       taskID,
+			Attempt:    current.number,
+			Phase:      current.phase,
+			Reason:     current.reason,
+			Result:     current.result,
+			Checkpoint: current.checkpoint,
 		})
 	}
 	return report, guard.workerUptime
 }
 
-// applyGrants renews leases, stops what no entry stands behind any more, and
-// forgets what the log has recorded.
+// applyGrants applies an entry's decisions about the reported attempts: it renews leases,
+// stops attempts that are no longer current, and forgets those whose end is recorded in the
+// log. The leases are counted from workerUptime.
 func (guard *Guard) applyGrants(ctx context.Context, grants []*wire.TaskGrant, workerUptime time.Duration) {
 	var renewals []worker.Renewal
 	for _, grant := range grants {
@@ -219,13 +226,14 @@
 	}
 }
 
-// forgetAttempt drops an attempt whose end is in the log.
+// forgetAttempt removes an ended attempt, whose end is recorded in the log, from the worker
+// and from the guard.
 func (guard *Guard) forgetAttempt(ctx context.Context, grant *wire.TaskGrant) {
 	guard.mu.Lock()
-	each := guard.attempts[grant.GetTask()]
-	due := each != nil && each.number == grant.GetAttempt() && each.hasEnded()
+	current := guard.attempts[grant.GetTask()]
+	hasEnded := current != nil && current.number == grant.GetAttempt() && current.hasEnded()
 	guard.mu.Unlock()
-	if !due {
+	if !hasEnded {
 		return
 	}
 	if err := guard.options.Worker.Forget(ctx, grant.GetTask(), grant.GetAttempt()); err != nil {
@@ -237,12 +245,13 @@
 	guard.removeAttempt(grant.GetTask())
 }
 
+// stopOrphan stops a running attempt that is no longer the current one of its task.
 func (guard *Guard) stopOrphan(ctx context.Context, grant *wire.TaskGrant) {
 	guard.mu.Lock()
-	each := guard.attempts[grant.GetTask()]
-	due := each != nil && each.number == grant.GetAttempt() && each.phase == wire.TaskPhase_TASK_RUNNING
+	current := guard.attempts[grant.GetTask()]
+	isRunning := current != nil && current.number == grant.GetAttempt() && current.phase == wire.TaskPhase_TASK_RUNNING
 	guard.mu.Unlock()
-	if !due {
+	if !isRunning {
 		return
 	}
 	guard.options.Events.Log(ctx, event.TaskOrphanStopped, attrTask(grant.GetTask()), attrAttempt(grant.GetAttempt()))
@@ -251,8 +260,9 @@
 	}
 }
 
-// Documents answers an entry that lacks documents, as after a start with the
-// log down. It implements the drpc service.
+// Documents returns the documents of which the entry has no copy or an older one, for example
+// because it started while the log was down. It implements the Documents method of the DRPC
+// service Guard.
 func (guard *Guard) Documents(_ context.Context, request *wire.DocumentsRequest) (*wire.DocumentsReply, error) {
 	return &wire.DocumentsReply{
 		Documents: wire.EncodeCopies(guard.documents.NewerThan(wire.DecodeVersions(request.GetHave()))),
--- a/guard/serve.go
+++ b/guard/serve.go
@@ -18,15 +18,17 @@
 )
 
 const (
-	// HeaderRequestID carries a request's ID to the backend server. One that
-	// sends it back lets the guard check whose answer it got.
+	// HeaderRequestID is the header that carries a request's ID to the backend server.
+	// If the backend server returns the header, the guard checks that the response
+	// belongs to the request.
 	HeaderRequestID = "X-Request-Id"
 
-	maxChunkBytes      = 32 << 10
+	maxChunkBytes      = 32 << 10 // of a response body, in one message
 	backendDialTimeout = time.Second
 	backendIdleTimeout = 90 * time.Second
 )
 
+// newTransport returns the transport for requests to the backend server.
 func newTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: backendDialTimeout}
 	return &http.Transport{
@@ -37,26 +39,27 @@
 	}
 }
 
-// Serve runs one request at the backend server. It implements the drpc service.
+// Serve forwards one request to the backend server and returns its response. It implements
+// the Serve method of the DRPC service Guard.
 func (guard *Guard) Serve(stream wire.DRPCGuard_ServeStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return errors.Wrap(err, "receive request")
 	}
-	now := guard.options.Clock.Now()
-	// The connection is held until the answer has left, the slot only until
-	// the backend server is done.
-	disconnect, err := guard.gate.AdmitConnection()
+	startTime := guard.options.Clock.Now()
+	// The connection is reserved until the response has been sent, the slot only until
+	// the backend server has finished.
+	releaseConnection, err := guard.gate.AdmitConnection()
 	if err != nil {
 		return stream.Send(&wire.ServeOut{Refusal: admissionRefusal(err), Load: guard.currentLoad()})
 	}
-	defer disconnect()
-	release, refusal := guard.admitRequest(first.GetHead())
+	defer releaseConnection()
+	releaseSlot, refusal := guard.admitRequest(first.GetHead())
 	if refusal != nil {
 		guard.recordRefusal(stream.Context(), first.GetHead().GetRequestId(), refusal)
 		return stream.Send(&wire.ServeOut{Refusal: refusal, Load: guard.currentLoad()})
 	}
-	defer release()
+	defer releaseSlot()
 	head := first.GetHead()
 	ctx, cancel := context.WithTimeout(stream.Context(), time.Duration(head.GetTimeoutNanos()))
 	defer cancel()
@@ -67,20 +70,22 @@
 		return stream.Send(&wire.ServeOut{Refusal: refusal, Load: guard.currentLoad()})
 	}
 	defer func() { _ = response.Body.Close() }()
-	if err := guard.relayResponse(stream, head, response, release); err != nil {
+	if err := guard.relayResponse(stream, head, response, releaseSlot); err != nil {
 		return err
 	}
-	guard.latency.add(guard.options.Clock.Since(now))
+	guard.latency.add(guard.options.Clock.Since(startTime))
 	return nil
 }
 
+// recordRefusal logs a refusal and counts it in the metrics.
 func (guard *Guard) recordRefusal(ctx context.Context, requestID string, refusal *wire.Refusal) {
 	guard.metrics.countRefusal(ctx, refusal.GetReason())
 	guard.options.Events.Log(ctx, event.AdmissionRefused,
 		attrReason(refusal.GetReason().String()), attrRequest(requestID), attrDetail(refusal.GetDetail()))
 }
 
-// admitRequest checks a request before anything of it runs.
+// admitRequest checks a request and reserves a slot for it before any of it runs. The
+// caller must call the returned function when the backend server has finished.
 func (guard *Guard) admitRequest(head *wire.ServeHead) (func(), *wire.Refusal) {
 	if head == nil {
 		return nil, notRunRefusal(wire.RefusalReason_REFUSAL_BAD_REQUEST, "the first message has no head")
@@ -91,13 +96,14 @@
 	if head.GetTimeoutNanos() <= 0 {
 		return nil, notRunRefusal(wire.RefusalReason_REFUSAL_DEADLINE, "the deadline has passed")
 	}
-	release, err := guard.gate.AdmitRequest()
+	releaseSlot, err := guard.gate.AdmitRequest()
 	if err != nil {
 		return nil, admissionRefusal(err)
 	}
-	return release, nil
+	return releaseSlot, nil
 }
 
+// notRunRefusal returns a refusal that guarantees that the refused work has not run.
 func notRunRefusal(reason wire.RefusalReason, detail string) *wire.Refusal {
 	return &wire.Refusal{Reason: reason, Detail: detail, NotRun: true}
 }
@@ -113,6 +119,7 @@
 	admission.Invalid:       wire.RefusalReason_REFUSAL_BAD_REQUEST,
 }
 
+// admissionRefusal converts a refusal of the gate, which has admitted nothing.
 func admissionRefusal(err error) *wire.Refusal {
 	var refusal *admission.Refusal
 	if errors.As(err, &refusal) {
@@ -121,29 +128,31 @@
 	return notRunRefusal(wire.RefusalReason_REFUSAL_UNSPECIFIED, err.Error())
 }
 
-// backendRefusal judges a failed exchange with the backend server. Only a
-// connection that was never made proves that nothing ran.
+// backendRefusal returns the refusal for a failed request to the backend server. It is
+// marked as not run only if the request could not be built or the connection could not be
+// established. After any other error the request may have run.
 func backendRefusal(err error) *wire.Refusal {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return notRunRefusal(wire.RefusalReason_REFUSAL_BACKEND_UNREACHABLE, err.Error())
 	}
-	var bad *badRequestError
-	if errors.As(err, &bad) {
+	var badRequest *badRequestError
+	if errors.As(err, &badRequest) {
 		return notRunRefusal(wire.RefusalReason_REFUSAL_BAD_REQUEST, err.Error())
 	}
 	return &wire.Refusal{Reason: wire.RefusalReason_REFUSAL_BACKEND_UNREACHABLE, Detail: err.Error()}
 }
 
-// badRequestError says that no request could be made of the head.
+// badRequestError means that no HTTP request can be built from the head of a request.
 type badRequestError struct {
 	cause error
 }
 
-// Error implements error.
-func (bad *badRequestError) Error() string { return "the request can't be sent: " + bad.cause.Error() }
+// Error implements the error interface.
+func (e *badRequestError) Error() string { return "the request can't be sent: " + e.cause.Error() }
 
-// forward sends the request to the backend server and returns its response.
+// forward sends the request to the backend server and returns the response. The caller
+// must close the response body.
 func (guard *Guard) forward(ctx context.Context, head *wire.ServeHead, first *wire.ServeIn, stream wire.DRPCGuard_ServeStream) (*http.Response, error) {
 	target, err := url.Parse(guard.options.BackendURL + head.GetTarget())
 	if err != nil {
@@ -164,16 +173,16 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "forward")
 	}
-	if echoed := response.Header.Get(HeaderRequestID); echoed != "" && echoed != head.GetRequestId() {
+	if returnedID := response.Header.Get(HeaderRequestID); returnedID != "" && returnedID != head.GetRequestId() {
 		_ = response.Body.Close()
-		return nil, errors.Errorf("the backend server answered request %s instead of %s", echoed, head.GetRequestId())
+		return nil, errors.Errorf("the backend server answered request %s instead of %s", returnedID, head.GetRequestId())
 	}
 	return response, nil
 }
 
-// newRequestBody returns the body as it arrives. It is never nil and can't be
-// rewound, so that net/http does not send a request a second time by itself
-// when a kept connection breaks; whether to repeat is the entry's decision.
+// newRequestBody returns a reader of the request's body, which may still be arriving. The
+// body is never nil and can't be rewound, so net/http doesn't resend the request on its own
+// when a reused connection breaks: the entry decides whether a request may be retried.
 func newRequestBody(first *wire.ServeIn, stream wire.DRPCGuard_ServeStream) io.ReadCloser {
 	if first.GetLast() {
 		return io.NopCloser(bytes.NewReader(first.GetBody()))
@@ -181,38 +190,40 @@
 	return &streamBody{stream: stream, unread: first.GetBody()}
 }
 
-// streamBody reads a request's body off the call, message by message, so that
-// memory stays bounded however large the body is.
+// streamBody reads the body of a request from the stream, one message at a time, so that
+// memory use doesn't depend on the size of the body.
 type streamBody struct {
 	stream wire.DRPCGuard_ServeStream
-	unread []byte
-	last   bool
+	unread []byte // rest of the last message received
+	last   bool   // no further message follows
 }
 
-// Read implements io.Reader.
-func (body *streamBody) Read(into []byte) (int, error) {
+// Read implements io.Reader. It fails with io.ErrUnexpectedEOF if the stream ends early.
+func (body *streamBody) Read(p []byte) (int, error) {
 	for len(body.unread) == 0 {
 		if body.last {
 			return 0, io.EOF
 		}
-		next, err := body.stream.Recv()
+		message, err := body.stream.Recv()
 		if err != nil {
 			return 0, errors.Wrap(io.ErrUnexpectedEOF, err.Error())
 		}
-		body.unread, body.last = next.GetBody(), next.GetLast()
+		body.unread, body.last = message.GetBody(), message.GetLast()
 	}
-	count := copy(into, body.unread)
-	body.unread = body.unread[count:]
-	return count, nil
+	n := copy(p, body.unread)
+	body.unread = body.unread[n:]
+	return n, nil
 }
 
-// Close implements io.Closer.
+// Close implements io.Closer. It leaves the stream open for the response.
 func (body *streamBody) Close() error { return nil }
 
-// relayResponse passes the response on. Only the message marked last makes it whole;
-// when the backend server breaks off, the call ends without one.
-func (guard *Guard) relayResponse(stream wire.DRPCGuard_ServeStream, head *wire.ServeHead, response *http.Response, release func()) error {
-	out := &wire.ServeOut{Head: &wire.AnswerHead{
+// relayResponse sends the response of the backend server to the entry. The response is
+// complete only with the message that is marked as the last. If the backend server breaks
+// off, the call ends with an error and without that message. releaseSlot is called once
+// the backend server has finished.
+func (guard *Guard) relayResponse(stream wire.DRPCGuard_ServeStream, head *wire.ServeHead, response *http.Response, releaseSlot func()) error {
+	message := &wire.ServeOut{Head: &wire.AnswerHead{
 		RequestId:     head.GetRequestId(),
 		Status:        int32(response.StatusCode),
 		Headers:       responseHeaders(response.Header),
@@ -220,31 +231,32 @@
 	}}
 	buffer := make([]byte, responseBufferSize(response.ContentLength))
 	for {
-		count, err := io.ReadFull(response.Body, buffer)
-		whole := errors.Is(err, io.EOF) || (errors.Is(err, io.ErrUnexpectedEOF) && isAtEOF(response.Body))
-		if err != nil && !whole {
+		n, err := io.ReadFull(response.Body, buffer)
+		complete := errors.Is(err, io.EOF) || (errors.Is(err, io.ErrUnexpectedEOF) && isAtEOF(response.Body))
+		if err != nil && !complete {
 			return errors.Wrap(err, "the backend server broke the answer off")
 		}
-		out.Body = buffer[:count]
-		if whole {
-			// The slot is free before the answer leaves, so that the load it
-			// carries lets the entry use it.
-			release()
-			out.Last = true
-			out.Load = guard.currentLoad()
+		message.Body = buffer[:n]
+		if complete {
+			// The slot is released before the last message is sent, so that the load in
+			// the message shows it as free and the entry can use it for the next request.
+			releaseSlot()
+			message.Last = true
+			message.Load = guard.currentLoad()
 		}
-		if err := stream.Send(out); err != nil {
+		if err := stream.Send(message); err != nil {
 			return errors.Wrap(err, "send answer")
 		}
-		if whole {
+		if complete {
 			return nil
 		}
-		out.Head = nil
+		message.Head = nil
 	}
 }
 
-// responseBufferSize fits a small answer of known length exactly, with one byte more,
-// so that one read finds its end.
+// responseBufferSize returns the size of the buffer for a response body. For a small body
+// of known length it is one byte more than the length, so that the first io.ReadFull also
+// reaches the end and the response fits into one message.
 func responseBufferSize(contentLength int64) int64 {
 	if contentLength >= 0 && contentLength < maxChunkBytes {
 		return contentLength + 1
@@ -252,27 +264,33 @@
 	return maxChunkBytes
 }
 
-// isAtEOF tells the end of a short last chunk, for which io.ReadFull reports
-// an unexpected end, from an answer that was cut: a body that was cut reports
-// that again, one that ended reports the end.
+// isAtEOF reports whether a body that io.ReadFull failed to read in full with
+// io.ErrUnexpectedEOF is complete. ReadFull returns that error for a short last chunk as
+// well as for a truncated body. Read again, a complete body returns io.EOF, and a truncated
+// one returns io.ErrUnexpectedEOF once more.
 func isAtEOF(body io.Reader) bool {
 	var probe [1]byte
 	_, err := body.Read(probe[:])
 	return errors.Is(err, io.EOF)
 }
 
-// hopByHopHeaders belong to one connection and are not passed on.
+// hopByHopHeaders contains, by canonical name, the headers that apply to a single
+// connection and are not forwarded. Content-Length is among them because the messages carry
+// it in a field of their own.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
-// IsHopByHopHeader reports whether a header belongs to one connection only.
+// IsHopByHopHeader reports whether a header applies to a single connection and must not be
+// forwarded as a header.
 func IsHopByHopHeader(name string) bool { return hopByHopHeaders[http.CanonicalHeaderKey(name)] }
 
-func responseHeaders(from http.Header) []*wire.Header {
-	headers := make([]*wire.Header, 0, len(from))
-	for name, values := range from {
+// responseHeaders returns the headers of a response to send to the entry: all but the
+// hop-by-hop headers and the request ID.
+func responseHeaders(header http.Header) []*wire.Header {
+	headers := make([]*wire.Header, 0, len(header))
+	for name, values := range header {
 		if hopByHopHeaders[name] || strings.EqualFold(name, HeaderRequestID) {
 			continue
 		}
