--- a/entry/append.go
+++ b/entry/append.go
@@ -13,8 +13,8 @@
 
 var errLogNotFresh = errors.New("it has not been read to its end lately")
 
-// appendChange appends one record that a caller or operator asked for, and returns
-// its outcome. With the log down it fails at once and nothing is appended.
+// appendChange appends a record requested by a caller or operator, and returns
+// its outcome. If the log is down, it fails at once without appending.
 func (entry *Entry) appendChange(ctx context.Context, rec *record.Record) (state.Outcome, *api.Problem) {
 	if !entry.isLogFresh(entry.now()) {
 		return state.Outcome{}, logProblem(errLogNotFresh)
@@ -28,11 +28,12 @@
 	return outcomes[0], nil
 }
 
-// appendOrRespond is change for a handler: it answers a failure itself.
+// appendOrRespond is appendChange for HTTP handlers. On failure it writes the
+// problem to the response and returns false.
 func (entry *Entry) appendOrRespond(writer http.ResponseWriter, request *http.Request, rec *record.Record) (state.Outcome, bool) {
-	outcome, sent := entry.appendChange(request.Context(), rec)
-	if sent != nil {
-		writeProblem(writer, sent)
+	outcome, problem := entry.appendChange(request.Context(), rec)
+	if problem != nil {
+		writeProblem(writer, problem)
 		return state.Outcome{}, false
 	}
 	return outcome, true
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -12,47 +12,53 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// takeClaim claims a request that must not be repeated. The problem says why
-// it must not be run by this entry.
-func (entry *Entry) takeClaim(ctx context.Context, made *serviceCall) (*claim.Held, *api.Problem) {
-	held, err := entry.claims.Take(ctx, made.idempotencyKey, made.service, entry.now())
-	var taken *claim.TakenError
+// takeClaim claims the key of a request that must not be repeated. If this entry
+// may not run the request, it returns a problem with the reason.
+func (entry *Entry) takeClaim(ctx context.Context, call *serviceCall) (*claim.Held, *api.Problem) {
+	heldClaim, err := entry.claims.Take(ctx, call.idempotencyKey, call.service, entry.now())
+	var takenErr *claim.TakenError
 	switch {
 	case err == nil:
-		return held, nil
-	case errors.As(err, &taken):
-		return nil, claimedProblem(taken)
+		return heldClaim, nil
+	case errors.As(err, &takenErr):
+		return nil, claimedProblem(takenErr)
 	}
 	return nil, notRunProblem("the request must not be repeated and "+err.Error(), defaultRetryAfter)
 }
 
-// claimedProblem says what became of the request that holds the key.
-func claimedProblem(taken *claim.TakenError) *api.Problem {
-	made := newProblem(http.StatusConflict, api.TypeClaimed, "A request with this key was claimed before", "")
-	made.Outcome = api.OutcomeUnknown
-	switch taken.Phase() {
+// claimedProblem reports the outcome of the earlier request that holds the key,
+// as far as it is known.
+func claimedProblem(takenErr *claim.TakenError) *api.Problem {
+	problem := newProblem(http.StatusConflict, api.TypeClaimed, "A request with this key was claimed before", "")
+	problem.Outcome = api.OutcomeUnknown
+	switch takenErr.Phase() {
 	case state.ClaimFinished:
-		made.Detail = fmt.Sprintf("it has run and its answer had status %d; the answer itself is not kept", taken.Status())
+		problem.Detail = fmt.Sprintf("it has run and its answer had status %d; the answer itself is not kept", takenErr.Status())
 	case state.ClaimUnknown:
-		made.Detail = "it may have run; ask the backend server before sending it under another key"
+		problem.Detail = "it may have run; ask the backend server before sending it under another key"
 	default:
-		made.Detail = "it is being run, or the entry that ran it has gone; it will not be run again under this key"
-		made.RetryAfter = defaultRetryAfter.String()
+		problem.Detail = "it is being run, or the entry that ran it has gone; it will not be run again under this key"
+		problem.RetryAfter = defaultRetryAfter.String()
 	}
-	return made
+	return problem
 }
 
-func (entry *Entry) releaseClaim(ctx context.Context, held *claim.Held) {
-	if held != nil {
-		entry.claims.Release(ctx, held, entry.now())
+// releaseClaim gives up the claim of a request that did not run. It does nothing
+// without a claim.
+func (entry *Entry) releaseClaim(ctx context.Context, heldClaim *claim.Held) {
+	if heldClaim != nil {
+		entry.claims.Release(ctx, heldClaim, entry.now())
 	}
 }
 
-func (entry *Entry) finishClaim(held *claim.Held, status int, maybe bool) {
-	if held != nil {
-		entry.claims.Finish(held, status, maybe, entry.now())
+// finishClaim ends the claim of a request that ran, or that may have run. It does
+// nothing without a claim.
+func (entry *Entry) finishClaim(heldClaim *claim.Held, status int, mayHaveRun bool) {
+	if heldClaim != nil {
+		entry.claims.Finish(heldClaim, status, mayHaveRun, entry.now())
 	}
 }
 
-// RecordClaims makes one round of recording the ends of claims.
+// RecordClaims appends the outcomes of ended claims to the log once. Run does so
+// repeatedly.
 func (entry *Entry) RecordClaims(ctx context.Context) { entry.claims.Record(ctx, entry.now()) }
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -15,9 +15,10 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// trySend makes one try at the picked target.
-func (entry *Entry) trySend(ctx context.Context, writer http.ResponseWriter, made *serviceCall, picked *route.PickResult) tryResult {
-	conn, err := entry.options.Pool.Borrow(ctx, picked.Address())
+// trySend sends the request once, to the guard of the picked backend server, and
+// relays the response.
+func (entry *Entry) trySend(ctx context.Context, writer http.ResponseWriter, call *serviceCall, pick *route.PickResult) tryResult {
+	conn, err := entry.options.Pool.Borrow(ctx, pick.Address())
 	if err != nil {
 		return failedTry(err)
 	}
@@ -26,20 +27,21 @@
 	if err != nil {
 		return failedTry(err)
 	}
-	ended := sendAndRelay(stream, writer, made, entry.now())
-	closeStream(stream, ended)
-	return ended
+	result := sendAndRelay(stream, writer, call, entry.now())
+	closeStream(stream, result)
+	return result
 }
 
-// sendAndRelay sends the request on an open call and passes its answer on.
-func sendAndRelay(stream wire.DRPCGuard_ServeClient, writer http.ResponseWriter, made *serviceCall, now time.Time) tryResult {
-	sendErr := sendRequest(stream, made, now)
-	var broke *callerBodyError
-	if errors.As(sendErr, &broke) {
+// sendAndRelay sends the request on an open stream and relays the response to the
+// caller.
+func sendAndRelay(stream wire.DRPCGuard_ServeClient, writer http.ResponseWriter, call *serviceCall, now time.Time) tryResult {
+	sendErr := sendRequest(stream, call, now)
+	var bodyErr *callerBodyError
+	if errors.As(sendErr, &bodyErr) {
 		return tryResult{outcome: tryUnknown, detail: sendErr.Error()}
 	}
-	// A guard that refuses stops reading, so a failed send can still have an
-	// answer waiting behind it.
+	// A guard stops reading when it refuses a request. The send may then fail
+	// although the refusal can still be received.
 	first, err := stream.Recv()
 	if err != nil {
 		return tryResult{outcome: tryUnknown, detail: "no answer came: " + err.Error()}
@@ -47,81 +49,86 @@
 	if first.GetRefusal() != nil {
 		return refusedTry(first)
 	}
-	if first.GetHead().GetRequestId() != made.requestID {
+	if first.GetHead().GetRequestId() != call.requestID {
 		return tryResult{outcome: tryUnknown, detail: "an answer to another request came"}
 	}
-	return relayResponse(writer, made, first, stream)
+	return relayResponse(writer, call, first, stream)
 }
 
-// closeStream ends the call before its connection is returned. A call that came to
-// its last message is read to its end, which follows at once and leaves the
-// connection free for the next one; any other is broken off.
-func closeStream(stream wire.DRPCGuard_ServeClient, ended tryResult) {
-	if ended.outcome == tryAnswered || ended.outcome == tryNotRun {
+// closeStream ends the stream before its connection is returned to the pool. If
+// the last message has arrived, the end of the stream follows at once: reading it
+// leaves the connection usable for the next call. Any other stream is aborted.
+func closeStream(stream wire.DRPCGuard_ServeClient, result tryResult) {
+	if result.outcome == tryAnswered || result.outcome == tryNotRun {
 		_ = stream.CloseSend()
 		_, _ = stream.Recv()
 	}
 	_ = stream.Close()
 }
 
-// failedTry judges a call that could not be opened.
+// failedTry returns the result of a call that could not be opened. Only a failed
+// dial proves that the request did not run.
 func failedTry(err error) tryResult {
-	var dial *rpc.DialError
-	if errors.As(err, &dial) {
+	var dialErr *rpc.DialError
+	if errors.As(err, &dialErr) {
 		return tryResult{outcome: tryNotRun, detail: err.Error()}
 	}
 	return tryResult{outcome: tryUnknown, detail: err.Error()}
 }
 
+// refusedTry returns the result of a try that the guard refused.
 func refusedTry(first *wire.ServeOut) tryResult {
 	refusal := first.GetRefusal()
-	ended := tryResult{outcome: tryUnknown, load: first.GetLoad(), detail: refusal.GetReason().String() + ": " + refusal.GetDetail()}
+	result := tryResult{outcome: tryUnknown, load: first.GetLoad(), detail: refusal.GetReason().String() + ": " + refusal.GetDetail()}
 	if refusal.GetNotRun() {
-		ended.outcome = tryNotRun
+		result.outcome = tryNotRun
 	}
 	switch refusal.GetReason() {
 	case wire.RefusalReason_REFUSAL_NO_SLOT, wire.RefusalReason_REFUSAL_NO_CONNECTION:
-		ended.serverFull = true
+		result.serverFull = true
 	case wire.RefusalReason_REFUSAL_LEAVING:
-		ended.leaving = true
+		result.leaving = true
 	}
-	return ended
+	return result
 }
 
-func sendRequest(stream wire.DRPCGuard_ServeClient, made *serviceCall, now time.Time) error {
+// sendRequest sends the head and the buffered part of the body, and then the rest
+// of the body.
+func sendRequest(stream wire.DRPCGuard_ServeClient, call *serviceCall, now time.Time) error {
 	first := &wire.ServeIn{
 		Head: &wire.ServeHead{
-			RequestId:     made.requestID,
-			Service:       made.service,
-			Method:        made.request.Method,
-			Target:        made.target,
-			Headers:       made.headers,
-			TimeoutNanos:  made.deadline.Sub(now).Nanoseconds(),
-			Repeatable:    made.repeatable,
-			ContentLength: made.contentLength,
+			RequestId:     call.requestID,
+			Service:       call.service,
+			Method:        call.request.Method,
+			Target:        call.target,
+			Headers:       call.headers,
+			TimeoutNanos:  call.deadline.Sub(now).Nanoseconds(),
+			Repeatable:    call.repeatable,
+			ContentLength: call.contentLength,
 		},
-		Body: made.body,
-		Last: made.bodyRest == nil,
+		Body: call.body,
+		Last: call.bodyRest == nil,
 	}
 	if err := stream.Send(first); err != nil {
 		return errors.Wrap(err, "send request")
 	}
-	if made.bodyRest == nil {
+	if call.bodyRest == nil {
 		return nil
 	}
-	return sendBodyRest(stream, made.bodyRest)
+	return sendBodyRest(stream, call.bodyRest)
 }
 
-// callerBodyError says that the caller did not send the rest of the body.
+// callerBodyError reports that reading the rest of the caller's body failed.
 type callerBodyError struct {
 	cause error
 }
 
-// Error implements error.
-func (broke *callerBodyError) Error() string {
-	return "the caller's body broke off: " + broke.cause.Error()
+// Error implements the error interface.
+func (e *callerBodyError) Error() string {
+	return "the caller's body broke off: " + e.cause.Error()
 }
 
+// sendBodyRest streams the rest of the body in messages of at most sendChunkBytes.
 func sendBodyRest(stream wire.DRPCGuard_ServeClient, rest io.Reader) error {
 	buffer := make([]byte, sendChunkBytes)
 	for {
@@ -139,61 +146,65 @@
 	}
 }
 
-// relayResponse passes an answer on. Nothing reaches the caller of an answer
-// that came in one message until it is known to be whole.
-func relayResponse(writer http.ResponseWriter, made *serviceCall, first *wire.ServeOut, stream wire.DRPCGuard_ServeClient) tryResult {
+// relayResponse writes the response to the caller. A response in a single message
+// is checked for completeness before any of it is written, so that an incomplete
+// one can still be replaced by a retry or a problem.
+func relayResponse(writer http.ResponseWriter, call *serviceCall, first *wire.ServeOut, stream wire.DRPCGuard_ServeClient) tryResult {
 	head := first.GetHead()
-	ended := tryResult{outcome: tryAnswered, status: int(head.GetStatus()), load: first.GetLoad()}
-	if first.GetLast() && head.GetContentLength() >= 0 && made.request.Method != http.MethodHead && int64(len(first.GetBody())) != head.GetContentLength() {
+	result := tryResult{outcome: tryAnswered, status: int(head.GetStatus()), load: first.GetLoad()}
+	if first.GetLast() && head.GetContentLength() >= 0 && call.request.Method != http.MethodHead && int64(len(first.GetBody())) != head.GetContentLength() {
 		return tryResult{outcome: tryUnknown, detail: "the answer is shorter than it says"}
 	}
-	writeResponseHead(writer, made, first)
-	if err := writeNonEmpty(writer, first.GetBody()); err != nil && made.request.Method != http.MethodHead {
-		return truncatedTry(ended, err)
+	writeResponseHead(writer, call, first)
+	if err := writeNonEmpty(writer, first.GetBody()); err != nil && call.request.Method != http.MethodHead {
+		return truncatedTry(result, err)
 	}
-	sent := int64(len(first.GetBody()))
+	written := int64(len(first.GetBody()))
 	for last := first.GetLast(); !last; {
 		next, err := stream.Recv()
 		if err != nil {
-			return truncatedTry(ended, err)
+			return truncatedTry(result, err)
 		}
 		if err := writeNonEmpty(writer, next.GetBody()); err != nil {
-			return truncatedTry(ended, err)
+			return truncatedTry(result, err)
 		}
-		sent += int64(len(next.GetBody()))
-		last, ended.load = next.GetLast(), next.GetLoad()
+		written += int64(len(next.GetBody()))
+		last, result.load = next.GetLast(), next.GetLoad()
 	}
-	if length := head.GetContentLength(); length >= 0 && sent != length && made.request.Method != http.MethodHead {
-		return truncatedTry(ended, errors.New("the answer is shorter than it says"))
+	if length := head.GetContentLength(); length >= 0 && written != length && call.request.Method != http.MethodHead {
+		return truncatedTry(result, errors.New("the answer is shorter than it says"))
 	}
-	return ended
+	return result
 }
 
-// writeNonEmpty writes nothing for an empty part: an answer without a body, such as
-// 204, fails any write.
-func writeNonEmpty(writer http.ResponseWriter, part []byte) error {
-	if len(part) == 0 {
+// writeNonEmpty writes data unless it is empty. For a status that allows no body,
+// such as 204, even an empty write fails.
+func writeNonEmpty(writer http.ResponseWriter, data []byte) error {
+	if len(data) == 0 {
 		return nil
 	}
-	_, err := writer.Write(part)
+	_, err := writer.Write(data)
 	return err
 }
 
-func truncatedTry(ended tryResult, err error) tryResult {
-	ended.outcome = tryTruncated
-	ended.detail = err.Error()
-	return ended
+// truncatedTry marks a try whose response was written to the caller only in part.
+func truncatedTry(result tryResult, err error) tryResult {
+	result.outcome = tryTruncated
+	result.detail = err.Error()
+	return result
 }
 
-func writeResponseHead(writer http.ResponseWriter, made *serviceCall, first *wire.ServeOut) {
+// writeResponseHead writes the status and the headers. The length of a response in
+// a single message is known even if the backend server did not send it.
+func writeResponseHead(writer http.ResponseWriter, call *serviceCall, first *wire.ServeOut) {
 	head := first.GetHead()
 	header := writer.Header()
-	for _, each := range head.GetHeaders() {
-		header.Add(each.GetName(), each.GetValue())
+	for _, field := range head.GetHeaders() {
+		header.Add(field.GetName(), field.GetValue())
 	}
-	header.Set(api.HeaderRequestID, made.requestID)
+	header.Set(api.HeaderRequestID, call.requestID)
 	length := head.GetContentLength()
-	if first.GetLast() && made.request.Method != http.MethodHead {
+	if first.GetLast() && call.request.Method != http.MethodHead {
 		length = int64(len(first.GetBody()))
 	}
 	if length >= 0 {
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -12,11 +12,11 @@
 
 const meterName = "ambertiller.example/ambertiller/entry"
 
-// latencyBuckets are the bounds of the latency histogram, in seconds.
+// latencyBuckets are the bucket bounds of the latency histogram, in seconds.
 var latencyBuckets = []float64{.0005, .001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
-// metrics are the instruments of an entry. Without a meter provider they count
-// nothing.
+// metrics holds the instruments of an entry. They record nothing unless a meter
+// provider is installed.
 type metrics struct {
 	latency       metric.Float64Histogram
 	problems      metric.Int64Counter
@@ -27,19 +27,20 @@
 
 func newMetrics(entry *Entry) *metrics {
 	meter := entry.options.Meters.Meter(meterName)
-	made := &metrics{}
-	// The errors speak of names and bounds, which are constants.
-	made.latency, _ = meter.Float64Histogram("ambertiller.request.duration", metric.WithUnit("s"),
+	m := &metrics{}
+	// An instrument fails only for an invalid name or invalid bounds, and both are
+	// constants here.
+	m.latency, _ = meter.Float64Histogram("ambertiller.request.duration", metric.WithUnit("s"),
 		metric.WithDescription("Time to a whole answer, by service."), metric.WithExplicitBucketBoundaries(latencyBuckets...))
-	made.problems, _ = meter.Int64Counter("ambertiller.request.problems", metric.WithDescription("Requests without an answer, by service and problem type."))
-	made.overTarget, _ = meter.Int64Counter("ambertiller.request.over_target", metric.WithDescription("Answers that took longer than the service's target_p99."))
-	made.decisions, _ = meter.Int64Counter("ambertiller.placement.decisions", metric.WithDescription("Placement decisions, by outcome."))
-	made.attemptsEnded, _ = meter.Int64Counter("ambertiller.task.attempts_ended", metric.WithDescription("Attempts recorded as ended, by outcome."))
+	m.problems, _ = meter.Int64Counter("ambertiller.request.problems", metric.WithDescription("Requests without an answer, by service and problem type."))
+	m.overTarget, _ = meter.Int64Counter("ambertiller.request.over_target", metric.WithDescription("Answers that took longer than the service's target_p99."))
+	m.decisions, _ = meter.Int64Counter("ambertiller.placement.decisions", metric.WithDescription("Placement decisions, by outcome."))
+	m.attemptsEnded, _ = meter.Int64Counter("ambertiller.task.attempts_ended", metric.WithDescription("Attempts recorded as ended, by outcome."))
 	registerGauges(meter, entry)
-	return made
+	return m
 }
 
-// registerGauges registers the gauges that are read off the entry's state.
+// registerGauges registers the gauges whose values are read when they are collected.
 func registerGauges(meter metric.Meter, entry *Entry) {
 	gauges := []struct {
 		name, unit, description string
@@ -50,7 +51,7 @@
 			return entry.now().Sub(entry.journal.SyncedAt()).Milliseconds()
 		}},
 		{"ambertiller.tasks.pending", "", "Tasks that wait for a worker.", func() (count int64) {
-			entry.journal.View(func(folded *state.State) { count = int64(folded.PendingCount()) })
+			entry.journal.View(func(st *state.State) { count = int64(st.PendingCount()) })
 			return count
 		}},
 		{"ambertiller.requests.in_flight", "", "Requests this entry carries.", entry.inFlight.Load},
@@ -73,29 +74,31 @@
 		}))
 	_, _ = meter.Int64ObservableGauge("ambertiller.document.version", metric.WithDescription("Document versions in force on this entry."),
 		metric.WithInt64Callback(func(_ context.Context, observer metric.Int64Observer) error {
-			for _, each := range entry.documents.Versions() {
-				observer.Observe(int64(each.Version), metric.WithAttributes(attribute.String("document", each.Name)))
+			for _, version := range entry.documents.Versions() {
+				observer.Observe(int64(version.Version), metric.WithAttributes(attribute.String("document", version.Name)))
 			}
 			return nil
 		}))
 }
 
-func (counted *metrics) recordAnswer(ctx context.Context, service string, took, target time.Duration) {
-	named := metric.WithAttributes(attribute.String("service", service))
-	counted.latency.Record(ctx, took.Seconds(), named)
-	if target > 0 && took > target {
-		counted.overTarget.Add(ctx, 1, named)
+// recordAnswer records the latency of a complete response, and counts it if it
+// exceeds the target. A target of zero is never exceeded.
+func (m *metrics) recordAnswer(ctx context.Context, service string, duration, target time.Duration) {
+	attributes := metric.WithAttributes(attribute.String("service", service))
+	m.latency.Record(ctx, duration.Seconds(), attributes)
+	if target > 0 && duration > target {
+		m.overTarget.Add(ctx, 1, attributes)
 	}
 }
 
-func (counted *metrics) countProblem(ctx context.Context, service, kind string) {
-	counted.problems.Add(ctx, 1, metric.WithAttributes(attribute.String("service", service), attribute.String("type", kind)))
+func (m *metrics) countProblem(ctx context.Context, service, kind string) {
+	m.problems.Add(ctx, 1, metric.WithAttributes(attribute.String("service", service), attribute.String("type", kind)))
 }
 
-func (counted *metrics) countDecision(ctx context.Context, outcome string) {
-	counted.decisions.Add(ctx, 1, metric.WithAttributes(attribute.String("outcome", outcome)))
+func (m *metrics) countDecision(ctx context.Context, outcome string) {
+	m.decisions.Add(ctx, 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-func (counted *metrics) countEndedAttempt(ctx context.Context, outcome string) {
-	counted.attemptsEnded.Add(ctx, 1, metric.WithAttributes(attribute.String("outcome", outcome)))
+func (m *metrics) countEndedAttempt(ctx context.Context, outcome string) {
+	m.attemptsEnded.Add(ctx, 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -18,9 +18,10 @@
 	errNoConfig     = errors.New("no configuration is in force yet; publish one with `ambertiller config publish`")
 )
 
+// defaultRetryAfter is the Retry-After of problems whose duration is not known.
 const defaultRetryAfter = time.Second
 
-// newProblem makes a problem document.
+// newProblem returns a problem document without an outcome.
 func newProblem(status int, kind, title, detail string) *api.Problem {
 	return &api.Problem{Type: kind, Title: title, Status: status, Detail: detail}
 }
@@ -33,44 +34,46 @@
 	return newProblem(http.StatusNotFound, api.TypeNotFound, "There is no such thing", detail)
 }
 
-// notRunProblem says that a request has proved not to have run, and when to come back.
+// notRunProblem reports that a request certainly did not run, and when it may be
+// sent again.
 func notRunProblem(detail string, retryAfter time.Duration) *api.Problem {
-	made := newProblem(http.StatusServiceUnavailable, api.TypeNotRun, "The request was not run", detail)
-	made.Outcome = api.OutcomeNotRun
-	made.RetryAfter = retryAfter.Round(time.Millisecond).String()
-	return made
+	problem := newProblem(http.StatusServiceUnavailable, api.TypeNotRun, "The request was not run", detail)
+	problem.Outcome = api.OutcomeNotRun
+	problem.RetryAfter = retryAfter.Round(time.Millisecond).String()
+	return problem
 }
 
-// unknownOutcomeProblem says that a request may have run.
+// unknownOutcomeProblem reports that a request may have run.
 func unknownOutcomeProblem(status int, detail string) *api.Problem {
-	made := newProblem(status, api.TypeUnknown, "The request may have run", detail)
-	made.Outcome = api.OutcomeUnknown
-	return made
+	problem := newProblem(status, api.TypeUnknown, "The request may have run", detail)
+	problem.Outcome = api.OutcomeUnknown
+	return problem
 }
 
-// logProblem says that the log did not take a record, or may have.
+// logProblem reports that an append to the log failed. The outcome is unknown if
+// the record may still have been appended.
 func logProblem(err error) *api.Problem {
-	var unsettled *changelog.UnsettledError
-	made := newProblem(http.StatusServiceUnavailable, api.TypeLog, "The platform's log does not answer", err.Error())
-	made.Outcome = api.OutcomeNotRun
-	made.RetryAfter = defaultRetryAfter.String()
-	if errors.As(err, &unsettled) {
-		made.Outcome = api.OutcomeUnknown
+	var unsettledErr *changelog.UnsettledError
+	problem := newProblem(http.StatusServiceUnavailable, api.TypeLog, "The platform's log does not answer", err.Error())
+	problem.Outcome = api.OutcomeNotRun
+	problem.RetryAfter = defaultRetryAfter.String()
+	if errors.As(err, &unsettledErr) {
+		problem.Outcome = api.OutcomeUnknown
 	}
-	return made
+	return problem
 }
 
-// writeProblem sends a problem document. Retry-After has whole seconds, so it
-// is rounded up; the body has the exact time.
-func writeProblem(writer http.ResponseWriter, sent *api.Problem) {
+// writeProblem responds with a problem document. The Retry-After header holds whole
+// seconds and is rounded up, while the body holds the exact duration.
+func writeProblem(writer http.ResponseWriter, problem *api.Problem) {
 	header := writer.Header()
 	header.Set("Content-Type", api.ProblemType)
-	if wait, err := time.ParseDuration(sent.RetryAfter); err == nil {
+	if wait, err := time.ParseDuration(problem.RetryAfter); err == nil {
 		header.Set(api.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 	}
-	writer.WriteHeader(sent.Status)
-	// Nothing can be done for a caller who has gone.
-	_ = json.NewEncoder(writer).Encode(sent)
+	writer.WriteHeader(problem.Status)
+	// A write error means that the caller has disconnected.
+	_ = json.NewEncoder(writer).Encode(problem)
 }
 
 func writeJSON(writer http.ResponseWriter, status int, body any) {
--- a/entry/request.go
+++ b/entry/request.go
@@ -19,13 +19,14 @@
 )
 
 const (
-	// maxBufferedBodyBytes is the largest request body that is kept for a second try.
+	// maxBufferedBodyBytes is the largest request body that is buffered, so that the
+	// request can be retried.
 	maxBufferedBodyBytes = 64 << 10
 	maxNameBytes         = 200
 	maxHeaderBytes       = 16 << 10
 )
 
-// serviceCall is one request on its way to a backend server.
+// serviceCall is one request that is routed to a backend server.
 type serviceCall struct {
 	requestID      string
 	idempotencyKey string
@@ -38,172 +39,186 @@
 	target         string
 	headers        []*wire.Header
 	body           []byte
-	bodyRest       io.Reader // what follows body, nil when body is whole
+	bodyRest       io.Reader // the unread rest of the body, nil if body is complete
 	contentLength  int64
 }
 
-// serveRequest answers one request of a service.
+// serveRequest routes one request of a service and writes the response or a problem.
 func (entry *Entry) serveRequest(writer http.ResponseWriter, request *http.Request, service, path string) {
 	now := entry.now()
-	made, sent := entry.newServiceCall(writer, request, service, path, now)
-	if sent == nil {
-		// By the span and not the point: only the entry's clock knows the latter.
-		ctx, cancel := context.WithTimeout(request.Context(), made.deadline.Sub(now))
+	call, problem := entry.newServiceCall(writer, request, service, path, now)
+	if problem == nil {
+		// context.WithDeadline can't be used: the deadline is a time of the entry's
+		// clock, and contexts use the system clock.
+		ctx, cancel := context.WithTimeout(request.Context(), call.deadline.Sub(now))
 		defer cancel()
-		sent = entry.admitAndRun(ctx, writer, made)
+		problem = entry.admitAndRun(ctx, writer, call)
 	}
-	if sent != nil {
-		if made != nil {
-			sent.RequestID = made.requestID
+	if problem != nil {
+		if call != nil {
+			problem.RequestID = call.requestID
 		}
-		entry.recordProblem(request.Context(), made, sent)
-		writeProblem(writer, sent)
+		entry.recordProblem(request.Context(), call, problem)
+		writeProblem(writer, problem)
 	}
 }
 
-func (entry *Entry) admitAndRun(ctx context.Context, writer http.ResponseWriter, made *serviceCall) *api.Problem {
+// admitAndRun rejects the request if maxInFlight requests are in flight. It claims
+// the key of a request that must not be repeated before running it.
+func (entry *Entry) admitAndRun(ctx context.Context, writer http.ResponseWriter, call *serviceCall) *api.Problem {
 	if entry.inFlight.Add(1) > maxInFlight {
 		entry.inFlight.Add(-1)
 		return notRunProblem("this entry carries as many requests as it may", defaultRetryAfter)
 	}
 	defer entry.inFlight.Add(-1)
-	if made.repeatable {
-		return entry.runCall(ctx, writer, made, nil)
+	if call.repeatable {
+		return entry.runCall(ctx, writer, call, nil)
 	}
-	held, sent := entry.takeClaim(ctx, made)
-	if sent != nil {
-		return sent
+	heldClaim, problem := entry.takeClaim(ctx, call)
+	if problem != nil {
+		return problem
 	}
-	return entry.runCall(ctx, writer, made, held)
+	return entry.runCall(ctx, writer, call, heldClaim)
 }
 
-// newServiceCall checks the request and reads as much of its body as is kept.
+// newServiceCall validates the request and buffers the beginning of its body. If the
+// service is unknown, it returns no call.
 func (entry *Entry) newServiceCall(writer http.ResponseWriter, request *http.Request, service, path string, now time.Time) (*serviceCall, *api.Problem) {
-	settings, sent := entry.serviceSettings(service)
-	if sent != nil {
-		return nil, sent
+	settings, problem := entry.serviceSettings(service)
+	if problem != nil {
+		return nil, problem
 	}
-	made := &serviceCall{service: service, settings: settings, request: request, startedAt: now, target: "/" + path}
+	call := &serviceCall{service: service, settings: settings, request: request, startedAt: now, target: "/" + path}
 	if request.URL.RawQuery != "" {
-		made.target += "?" + request.URL.RawQuery
+		call.target += "?" + request.URL.RawQuery
 	}
-	if sent := made.parseHeaders(now); sent != nil {
-		return made, sent
+	if problem := call.parseHeaders(now); problem != nil {
+		return call, problem
 	}
-	return made, made.bufferBody(writer)
+	return call, call.bufferBody(writer)
 }
 
+// serviceSettings returns the configuration of the service.
 func (entry *Entry) serviceSettings(service string) (config.Service, *api.Problem) {
 	settings := entry.documents.Config()
 	if settings == nil {
 		return config.Service{}, notRunProblem(errNoConfig.Error(), defaultRetryAfter)
 	}
-	found, ok := settings.Service(service)
+	serviceSettings, ok := settings.Service(service)
 	if !ok {
-		made := notFoundProblem("no service is named " + strconv.Quote(service) + "; see `ambertiller config show`")
-		made.Outcome = api.OutcomeNotRun
-		return config.Service{}, made
+		problem := notFoundProblem("no service is named " + strconv.Quote(service) + "; see `ambertiller config show`")
+		problem.Outcome = api.OutcomeNotRun
+		return config.Service{}, problem
 	}
-	return found, nil
+	return serviceSettings, nil
 }
 
-func (made *serviceCall) parseHeaders(now time.Time) *api.Problem {
-	header := made.request.Header
-	made.requestID = header.Get(api.HeaderRequestID)
-	made.idempotencyKey = header.Get(api.HeaderKey)
-	if made.idempotencyKey == "" {
-		made.idempotencyKey = made.requestID
+// parseHeaders sets the request ID, the idempotency key, the deadline, and whether
+// the request may be repeated. The request ID is the key of a request that has no
+// other one.
+func (call *serviceCall) parseHeaders(now time.Time) *api.Problem {
+	header := call.request.Header
+	call.requestID = header.Get(api.HeaderRequestID)
+	call.idempotencyKey = header.Get(api.HeaderKey)
+	if call.idempotencyKey == "" {
+		call.idempotencyKey = call.requestID
 	}
-	if made.requestID == "" {
-		made.requestID = uuid.NewString()
+	if call.requestID == "" {
+		call.requestID = uuid.NewString()
 	}
-	if len(made.requestID) > maxNameBytes || len(made.idempotencyKey) > maxNameBytes {
+	if len(call.requestID) > maxNameBytes || len(call.idempotencyKey) > maxNameBytes {
 		return markNotRun(badRequestProblem("a request ID or key has at most " + strconv.Itoa(maxNameBytes) + " bytes"))
 	}
-	timeout, err := parseTimeout(header.Get(api.HeaderTimeout), made.settings.Timeout())
+	timeout, err := parseTimeout(header.Get(api.HeaderTimeout), call.settings.Timeout())
 	if err != nil {
 		return markNotRun(badRequestProblem(err.Error()))
 	}
-	made.deadline = now.Add(timeout)
-	made.repeatable, err = parseRepeatable(header.Get(api.HeaderRepeatable), made.request.Method, made.settings.Repeatable())
+	call.deadline = now.Add(timeout)
+	call.repeatable, err = parseRepeatable(header.Get(api.HeaderRepeatable), call.request.Method, call.settings.Repeatable())
 	if err != nil {
 		return markNotRun(badRequestProblem(err.Error()))
 	}
-	if !made.repeatable && made.idempotencyKey == "" {
+	if !call.repeatable && call.idempotencyKey == "" {
 		return markNotRun(badRequestProblem("a request that must not be repeated needs an " + api.HeaderKey + " or " + api.HeaderRequestID + " header; or mark it with " + api.HeaderRepeatable + ": true"))
 	}
-	made.headers = forwardedHeaders(header)
+	call.headers = forwardedHeaders(header)
 	return nil
 }
 
-// markNotRun marks a problem of a request that was never sent anywhere.
-func markNotRun(sent *api.Problem) *api.Problem {
-	sent.Outcome = api.OutcomeNotRun
-	return sent
+// markNotRun sets the outcome of a request that was not sent to any backend server.
+func markNotRun(problem *api.Problem) *api.Problem {
+	problem.Outcome = api.OutcomeNotRun
+	return problem
 }
 
-func parseTimeout(given string, most time.Duration) (time.Duration, error) {
-	if given == "" {
-		return most, nil
+// parseTimeout parses the timeout header. It defaults to limit, the service's
+// timeout, and is bounded by it.
+func parseTimeout(value string, limit time.Duration) (time.Duration, error) {
+	if value == "" {
+		return limit, nil
 	}
-	timeout, err := time.ParseDuration(given)
+	timeout, err := time.ParseDuration(value)
 	if err != nil || timeout <= 0 {
-		return 0, errors.Errorf("%s must be a positive duration such as 250ms, not %q", api.HeaderTimeout, given)
+		return 0, errors.Errorf("%s must be a positive duration such as 250ms, not %q", api.HeaderTimeout, value)
 	}
-	return min(timeout, most), nil
+	return min(timeout, limit), nil
 }
 
-func parseRepeatable(given, method string, otherwise bool) (bool, error) {
-	if given == "" {
-		return otherwise || method == http.MethodGet || method == http.MethodHead, nil
+// parseRepeatable parses the header that says whether the request may be repeated.
+// By default GET and HEAD may, and other methods if the service says so.
+func parseRepeatable(value, method string, defaultValue bool) (bool, error) {
+	if value == "" {
+		return defaultValue || method == http.MethodGet || method == http.MethodHead, nil
 	}
-	repeatable, err := strconv.ParseBool(given)
+	repeatable, err := strconv.ParseBool(value)
 	if err != nil {
-		return false, errors.Errorf("%s must be true or false, not %q", api.HeaderRepeatable, given)
+		return false, errors.Errorf("%s must be true or false, not %q", api.HeaderRepeatable, value)
 	}
 	return repeatable, nil
 }
 
-// entryHeaders are for the entry alone.
+// entryHeaders are the request headers that the entry evaluates and does not forward.
 var entryHeaders = map[string]bool{
 	api.HeaderRequestID: true, api.HeaderTimeout: true, api.HeaderRepeatable: true,
 }
 
+// forwardedHeaders returns the headers for the backend server: those of the request
+// without the entry's own and the hop-by-hop headers.
 func forwardedHeaders(header http.Header) []*wire.Header {
-	passed := make([]*wire.Header, 0, len(header))
+	forwarded := make([]*wire.Header, 0, len(header))
 	for name, values := range header {
 		if entryHeaders[name] || guard.HopHeader(name) {
 			continue
 		}
 		for _, value := range values {
-			passed = append(passed, &wire.Header{Name: name, Value: value})
+			forwarded = append(forwarded, &wire.Header{Name: name, Value: value})
 		}
 	}
-	return passed
+	return forwarded
 }
 
-// decodeBody reads a small body whole. A larger one is streamed, and can then be
-// sent only once.
-func (made *serviceCall) bufferBody(writer http.ResponseWriter) *api.Problem {
-	made.contentLength = made.request.ContentLength
-	if made.contentLength > made.settings.MaxBodyBytes() {
-		return bodyTooLargeProblem(made.settings)
+// bufferBody buffers the body up to maxBufferedBodyBytes. A larger body is streamed
+// after that, and its request can't be retried.
+func (call *serviceCall) bufferBody(writer http.ResponseWriter) *api.Problem {
+	call.contentLength = call.request.ContentLength
+	if call.contentLength > call.settings.MaxBodyBytes() {
+		return bodyTooLargeProblem(call.settings)
 	}
-	if made.contentLength == 0 {
+	if call.contentLength == 0 {
 		return nil
 	}
-	limited := http.MaxBytesReader(writer, made.request.Body, made.settings.MaxBodyBytes())
-	var kept bytes.Buffer
-	_, err := io.CopyN(&kept, limited, maxBufferedBodyBytes)
-	made.body = kept.Bytes()
+	limitedBody := http.MaxBytesReader(writer, call.request.Body, call.settings.MaxBodyBytes())
+	var buffered bytes.Buffer
+	_, err := io.CopyN(&buffered, limitedBody, maxBufferedBodyBytes)
+	call.body = buffered.Bytes()
 	switch {
 	case errors.Is(err, io.EOF):
-		made.contentLength = int64(len(made.body))
+		call.contentLength = int64(len(call.body))
 		return nil
 	case err != nil:
-		return bodyProblem(err, made.settings)
+		return bodyProblem(err, call.settings)
 	}
-	made.bodyRest = limited
+	call.bodyRest = limitedBody
 	return nil
 }
 
@@ -213,8 +228,8 @@
 }
 
 func bodyProblem(err error, settings config.Service) *api.Problem {
-	var most *http.MaxBytesError
-	if errors.As(err, &most) {
+	var sizeErr *http.MaxBytesError
+	if errors.As(err, &sizeErr) {
 		return bodyTooLargeProblem(settings)
 	}
 	return markNotRun(badRequestProblem("the body broke off: " + strings.TrimSpace(err.Error())))
--- a/entry/run.go
+++ b/entry/run.go
@@ -16,95 +16,97 @@
 )
 
 const (
-	// maxTries bounds how often one request is sent.
+	// maxTries is the maximum number of times a request is sent.
 	maxTries = 3
-	// maxRequeues bounds how often a request that found its server full goes
-	// back to wait. Such a refusal costs a message and no work.
+	// maxRequeues is how often a request waits for a slot again after a guard
+	// refused it because its server was full. Such a refusal costs one message and
+	// no work on the backend server.
 	maxRequeues = 4
-	// sendChunkBytes is how much of a streamed body goes into one message.
+	// sendChunkBytes is the size of the messages of a streamed body.
 	sendChunkBytes = 32 << 10
 )
 
-// tryOutcome says what is known of one try.
+// tryOutcome is what is known about a request after it was sent once.
 type tryOutcome int
 
 const (
-	tryAnswered  tryOutcome = iota // the whole answer was passed on
-	tryTruncated                   // part of an answer was passed on
-	tryNotRun                      // proved not to have run
-	tryUnknown                     // it may have run
+	tryAnswered  tryOutcome = iota // the complete response was relayed
+	tryTruncated                   // only a part of the response was relayed
+	tryNotRun                      // the request certainly did not run
+	tryUnknown                     // the request may have run
 )
 
-// tryResult is the end of one try.
+// tryResult is the result of sending a request once.
 type tryResult struct {
 	outcome tryOutcome
 	status  int
 	load    *wire.Load
-	// serverFull says that the guard had no free slot, leaving that it takes no more
-	// work; neither is a fault.
+	// serverFull and leaving are refusals that don't count as failures of the
+	// server: it has no free slot or connection, or its guard is shutting down.
 	serverFull bool
 	leaving    bool
 	detail     string
 }
 
-// runCall sends a request until it is answered or given up. held is the claim
-// on a request that must not be repeated.
-func (entry *Entry) runCall(ctx context.Context, writer http.ResponseWriter, made *serviceCall, held *claim.Held) *api.Problem {
+// runCall sends the request until it is answered or may not be tried again.
+// heldClaim is the claim of a request that must not be repeated, and nil for others.
+func (entry *Entry) runCall(ctx context.Context, writer http.ResponseWriter, call *serviceCall, heldClaim *claim.Held) *api.Problem {
 	entry.retryBudget.Deposit()
-	var tried []string
-	// maybe is set once a backend server may have run the request. Whatever
-	// comes after, it can't be called not run any more.
-	maybe := false
-	requeued := 0
+	var triedWorkers []string
+	// Once a backend server may have run the request, the outcome of a failed
+	// request is unknown, whatever the later tries show.
+	mayHaveRun := false
+	requeues := 0
 	for {
-		picked, err := entry.routes.PickOrWait(ctx, made.service, tried, route.WaitOptions{
-			MaxQueued: made.settings.Queue(),
-			Deadline:  made.deadline,
+		pick, err := entry.routes.PickOrWait(ctx, call.service, triedWorkers, route.WaitOptions{
+			MaxQueued: call.settings.Queue(),
+			Deadline:  call.deadline,
 			Now:       entry.now,
 			After:     entry.options.Clock.After,
-			Requeued:  requeued > 0,
+			Requeued:  requeues > 0,
 		})
 		if err != nil {
-			return entry.failCall(ctx, held, maybe, shedProblem(err))
+			return entry.failCall(ctx, heldClaim, mayHaveRun, shedProblem(err))
 		}
-		ended := entry.trySend(ctx, writer, made, picked)
-		entry.recordTry(ctx, made, picked, ended)
-		switch ended.outcome {
+		result := entry.trySend(ctx, writer, call, pick)
+		entry.recordTry(ctx, call, pick, result)
+		switch result.outcome {
 		case tryAnswered:
-			entry.finishClaim(held, ended.status, false)
+			entry.finishClaim(heldClaim, result.status, false)
 			return nil
 		case tryTruncated:
-			entry.finishClaim(held, ended.status, true)
-			// Breaking the connection off is the only way to tell a caller who
-			// has part of the answer that it is not whole.
+			entry.finishClaim(heldClaim, result.status, true)
+			// Part of the response has been written. Only aborting the connection
+			// shows the caller that it is incomplete.
 			panic(http.ErrAbortHandler)
 		}
-		if ended.serverFull && requeued < maxRequeues {
-			// The guard knows better than this entry that it is full. The load
-			// that came with its refusal is noted; the request waits its turn.
-			requeued++
+		if result.serverFull && requeues < maxRequeues {
+			// The entry's view of the load was out of date. The refusal came with
+			// the present load, which recordTry has stored in the routing table, and
+			// the request waits again until a slot is free.
+			requeues++
 			continue
 		}
-		maybe = maybe || ended.outcome == tryUnknown
-		tried = append(tried, picked.Worker())
-		if entry.canRetry(made, ended, len(tried)) {
-			entry.options.Events.Log(ctx, event.RequestRetried, slog.String("request", made.requestID),
-				slog.String("worker", picked.Worker()), slog.String("reason", ended.detail))
+		mayHaveRun = mayHaveRun || result.outcome == tryUnknown
+		triedWorkers = append(triedWorkers, pick.Worker())
+		if entry.canRetry(call, result, len(triedWorkers)) {
+			entry.options.Events.Log(ctx, event.RequestRetried, slog.String("request", call.requestID),
+				slog.String("worker", pick.Worker()), slog.String("reason", result.detail))
 			continue
 		}
-		return entry.failCall(ctx, held, maybe, notRunProblem(ended.detail, entry.retryAfter(made.service)))
+		return entry.failCall(ctx, heldClaim, mayHaveRun, notRunProblem(result.detail, entry.retryAfter(call.service)))
 	}
 }
 
-// failCall ends the claim and returns the final answer of a request that got
-// none: the problem given, unless the request may have run.
-func (entry *Entry) failCall(ctx context.Context, held *claim.Held, maybe bool, sent *api.Problem) *api.Problem {
-	if !maybe {
-		entry.releaseClaim(ctx, held)
-		return sent
+// failCall ends the claim of an unanswered request and returns the problem for the
+// caller. If the request may have run, that is a problem with unknown outcome.
+func (entry *Entry) failCall(ctx context.Context, heldClaim *claim.Held, mayHaveRun bool, problem *api.Problem) *api.Problem {
+	if !mayHaveRun {
+		entry.releaseClaim(ctx, heldClaim)
+		return problem
 	}
-	entry.finishClaim(held, 0, true)
-	return unknownOutcomeProblem(unknownOutcomeStatus(ctx), sent.Detail)
+	entry.finishClaim(heldClaim, 0, true)
+	return unknownOutcomeProblem(unknownOutcomeStatus(ctx), problem.Detail)
 }
 
 func unknownOutcomeStatus(ctx context.Context) int {
@@ -114,14 +116,14 @@
 	return http.StatusBadGateway
 }
 
-// canRetry decides whether a request that got no answer is sent again: only
-// when it has proved not to have run or may be repeated, its body is still
-// here, there is time, and the budget of retries has one left.
-func (entry *Entry) canRetry(made *serviceCall, ended tryResult, tries int) bool {
-	if tries >= maxTries || made.bodyRest != nil || !entry.now().Before(made.deadline) {
+// canRetry reports whether an unanswered request is sent again, and then takes a
+// token from the retry budget. The request must have certainly not run or be
+// repeatable, its whole body must be buffered, and its deadline must lie ahead.
+func (entry *Entry) canRetry(call *serviceCall, result tryResult, tries int) bool {
+	if tries >= maxTries || call.bodyRest != nil || !entry.now().Before(call.deadline) {
 		return false
 	}
-	if ended.outcome != tryNotRun && !made.repeatable {
+	if result.outcome != tryNotRun && !call.repeatable {
 		return false
 	}
 	return entry.retryBudget.Withdraw()
@@ -129,65 +131,68 @@
 
 const minRetryAfter = 100 * time.Millisecond
 
-// retryAfter is when a slot can be expected to be free.
+// retryAfter returns the expected wait for a slot, and at least minRetryAfter.
 func (entry *Entry) retryAfter(service string) time.Duration {
 	return max(minRetryAfter, entry.routes.ExpectedWait(service))
 }
 
+// shedProblem returns the problem for a request that found no backend server.
 func shedProblem(err error) *api.Problem {
-	var shed *route.ShedError
-	if errors.As(err, &shed) {
-		return notRunProblem(shed.Error(), shed.RetryAfter())
+	var shedErr *route.ShedError
+	if errors.As(err, &shedErr) {
+		return notRunProblem(shedErr.Error(), shedErr.RetryAfter())
 	}
 	return notRunProblem(err.Error(), defaultRetryAfter)
 }
 
-// recordTry tells the routing table, the metrics and the log how a try ended.
-func (entry *Entry) recordTry(ctx context.Context, made *serviceCall, picked *route.PickResult, ended tryResult) {
+// recordTry updates the routing table and the metrics with the result of a try, and
+// logs it.
+func (entry *Entry) recordTry(ctx context.Context, call *serviceCall, pick *route.PickResult, result tryResult) {
 	now := entry.now()
 	outcome := route.Answered
 	switch {
-	case ended.serverFull || ended.leaving:
+	case result.serverFull || result.leaving:
 		outcome = route.Refused
-	case ended.outcome != tryAnswered:
+	case result.outcome != tryAnswered:
 		outcome = route.Failed
 	}
-	entry.routes.Done(picked, outcome, ended.load, now.Sub(made.startedAt), now)
-	if ended.outcome == tryTruncated {
-		entry.options.Events.Log(ctx, event.AnswerCut, slog.String("request", made.requestID), slog.String("worker", picked.Worker()), slog.String("error", ended.detail))
+	entry.routes.Done(pick, outcome, result.load, now.Sub(call.startedAt), now)
+	if result.outcome == tryTruncated {
+		entry.options.Events.Log(ctx, event.AnswerCut, slog.String("request", call.requestID), slog.String("worker", pick.Worker()), slog.String("error", result.detail))
 		return
 	}
-	if ended.outcome != tryAnswered {
+	if result.outcome != tryAnswered {
 		return
 	}
-	entry.metrics.recordAnswer(ctx, made.service, now.Sub(made.startedAt), made.settings.TargetP99())
+	entry.metrics.recordAnswer(ctx, call.service, now.Sub(call.startedAt), call.settings.TargetP99())
 	if !entry.options.Events.Enabled(ctx, event.RequestRouted) {
 		return
 	}
 	entry.options.Events.Log(ctx, event.RequestRouted,
-		slog.String("request", made.requestID),
-		slog.String("service", made.service),
-		slog.String("worker", picked.Worker()),
-		slog.Int("status", ended.status),
-		slog.Float64("fullness", picked.Utilisation()),
-		slog.Int("considered", picked.ServerCount()),
-		slog.Int("rejected_full", picked.FullCount()),
-		slog.Int("rejected_unready", picked.UnreadyCount()),
-		slog.Int("rejected_failing", picked.EjectedCount()),
-		slog.Duration("took", now.Sub(made.startedAt)))
+		slog.String("request", call.requestID),
+		slog.String("service", call.service),
+		slog.String("worker", pick.Worker()),
+		slog.Int("status", result.status),
+		slog.Float64("fullness", pick.Utilisation()),
+		slog.Int("considered", pick.ServerCount()),
+		slog.Int("rejected_full", pick.FullCount()),
+		slog.Int("rejected_unready", pick.UnreadyCount()),
+		slog.Int("rejected_failing", pick.EjectedCount()),
+		slog.Duration("took", now.Sub(call.startedAt)))
 }
 
-// recordProblem logs and counts a request that ended in a problem.
-func (entry *Entry) recordProblem(ctx context.Context, made *serviceCall, sent *api.Problem) {
+// recordProblem logs and counts a request that failed with a problem. call is nil
+// if the service is unknown.
+func (entry *Entry) recordProblem(ctx context.Context, call *serviceCall, problem *api.Problem) {
 	service, id := "", ""
-	if made != nil {
-		service, id = made.service, made.requestID
+	if call != nil {
+		service, id = call.service, call.requestID
 	}
-	entry.metrics.countProblem(ctx, service, sent.Type)
+	entry.metrics.countProblem(ctx, service, problem.Type)
 	code := event.RequestNotRun
-	if sent.Outcome == api.OutcomeUnknown {
+	if problem.Outcome == api.OutcomeUnknown {
 		code = event.RequestUnknown
 	}
 	entry.options.Events.Log(ctx, code, slog.String("request", id), slog.String("service", service),
-		slog.String("type", sent.Type), slog.String("reason", sent.Detail), slog.String("retry_after", sent.RetryAfter))
+		slog.String("type", problem.Type), slog.String("reason", problem.Detail), slog.String("retry_after", problem.RetryAfter))
 }
