--- a/entry/place.go
+++ b/entry/place.go
@@ -20,21 +20,22 @@
 )
 
 const (
-	// offerTime is how long a guard has to take an offer up, on its own clock.
+	// offerTime is how long a guard may accept an offer, on the guard's clock.
 	offerTime = 10 * time.Second
-	// refusalBackoff is how long a worker that refused a task is not asked again
-	// for the same task.
+	// refusalBackoff is how long a task is not offered again to a worker that
+	// refused it.
 	refusalBackoff = 5 * time.Second
-	// maxAssignmentsPerRound bounds the assignments that share one append.
+	// maxAssignmentsPerRound is the maximum number of assignments in one append.
 	maxAssignmentsPerRound = 64
-	// startFailureWindow and maxStartFailures keep a worker that fails what it
-	// starts from looking empty and so attracting more.
+	// A worker that fails every attempt at its start has no running tasks and
+	// would look like the best candidate. A worker with maxStartFailures within
+	// startFailureWindow therefore gets no tasks.
 	startFailureWindow = 30 * time.Second
 	maxStartFailures   = 3
 	waitingLogInterval = 10 * time.Second
 )
 
-// refusal is a worker's refusal of a task.
+// refusal excludes a worker from the candidates of one task for a while.
 type refusal struct {
 	worker string
 	until  time.Time
@@ -46,9 +47,9 @@
 	policyRunner *policy.Runner
 
 	mu              sync.Mutex
-	refusals        map[string][]refusal // by task
-	startFailures   map[string][]time.Time
-	waitingLoggedAt map[string]time.Time
+	refusals        map[string][]refusal   // by task ID
+	startFailures   map[string][]time.Time // by worker
+	waitingLoggedAt map[string]time.Time   // by task ID
 }
 
 func (entry *Entry) runPlacement(ctx context.Context) {
@@ -64,10 +65,10 @@
 	}
 }
 
-// PlacePending makes one round of placements.
+// PlacePending runs one placement round. Run does so every placeInterval.
 func (entry *Entry) PlacePending(ctx context.Context, now time.Time) { entry.placer.runRound(ctx, now) }
 
-// assignment is one proposed placement.
+// assignment is the proposed placement of one task.
 type assignment struct {
 	assign   *record.TaskAssign
 	spec     *record.TaskSpec
@@ -76,76 +77,80 @@
 	decision *placement.Decision
 }
 
-// runRound places as many pending tasks as there is room for.
-func (placing *placer) runRound(ctx context.Context, now time.Time) {
-	entry := placing.entry
+// runRound decides on the pending tasks this entry is responsible for, appends the
+// assignments to the log, and sends an offer for each that the log accepts.
+func (p *placer) runRound(ctx context.Context, now time.Time) {
+	entry := p.entry
 	if !entry.isLogFresh(now) || entry.documents.Config() == nil || entry.shuttingDown.Load() {
 		return
 	}
-	assignments := placing.decide(ctx, now)
+	assignments := p.decide(ctx, now)
 	if len(assignments) == 0 {
 		return
 	}
 	records := make([]*record.Record, 0, len(assignments))
-	for _, each := range assignments {
+	for _, a := range assignments {
 		rec := changelog.NewRecord(now)
-		rec.Body = &record.Record_TaskAssign{TaskAssign: each.assign}
+		rec.Body = &record.Record_TaskAssign{TaskAssign: a.assign}
 		records = append(records, rec)
 	}
 	appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	outcomes, err := entry.journal.Append(appendCtx, records...)
 	if err != nil {
-		// An assignment that takes effect late is found in the state and
-		// released there once its offer has ended unused.
+		// The append may still take effect. reconcileMissing then offers the
+		// attempt, or releases it after its offer has expired.
 		return
 	}
-	for index, each := range assignments {
-		placing.handleOutcome(ctx, each, outcomes[index])
+	for i, a := range assignments {
+		p.handleOutcome(ctx, a, outcomes[i])
 	}
 }
 
-// decide makes the decisions of one round from the present state.
-func (placing *placer) decide(ctx context.Context, now time.Time) []*assignment {
-	entry := placing.entry
+// decide selects workers for pending tasks. Each assignment reserves its resources,
+// so that later tasks of the same round are not placed on them.
+func (p *placer) decide(ctx context.Context, now time.Time) []*assignment {
+	entry := p.entry
 	settings := entry.documents.Config()
 	policies := entry.policies()
 	var assignments []*assignment
-	entry.journal.View(func(folded *state.State) {
-		if folded.PendingCount() == 0 {
+	entry.journal.View(func(st *state.State) {
+		if st.PendingCount() == 0 {
 			return
 		}
-		board := placing.workerSet(folded, now)
-		usage := newTeamUsage(folded)
-		for _, task := range sortByShare(folded.Pending(), usage, settings) {
+		workers := p.workerSet(st, now)
+		usage := newTeamUsage(st)
+		for _, task := range sortByShare(st.Pending(), usage, settings) {
 			if len(assignments) == maxAssignmentsPerRound {
 				return
 			}
 			if !entry.isResponsibleFor(task.ID(), now) {
 				continue
 			}
-			decision := placing.decideTask(board, usage, settings, policies, task, now)
+			decision := p.decideTask(workers, usage, settings, policies, task, now)
 			if !decision.IsPlaced() {
-				placing.logWaiting(ctx, task, decision, now)
+				p.logWaiting(ctx, task, decision, now)
 				continue
 			}
-			chosen := board.Worker(decision.Worker())
-			board.Reserve(decision.Worker(), task.Spec())
+			worker := workers.Worker(decision.Worker())
+			workers.Reserve(decision.Worker(), task.Spec())
 			usage.add(task.Spec())
-			assignments = append(assignments, newAssignment(entry.view.Guard(chosen.Name), task, decision, entry.leaseForKind(task.Spec().GetKind()), now))
+			assignments = append(assignments, newAssignment(entry.view.Guard(worker.Name), task, decision, entry.leaseForKind(task.Spec().GetKind()), now))
 		}
 	})
 	return assignments
 }
 
-func (placing *placer) decideTask(board *placement.WorkerSet, usage usageByTeam, settings *config.Config, policies placement.Policies, task *state.Task, now time.Time) *placement.Decision {
+// decideTask selects a worker for one task. It rejects all workers if the task
+// would exceed the quota of its team.
+func (p *placer) decideTask(workers *placement.WorkerSet, usage usageByTeam, settings *config.Config, policies placement.Policies, task *state.Task, now time.Time) *placement.Decision {
 	if usage.exceedsQuota(settings, task.Spec()) {
-		return board.RejectAll(policies, placement.OverQuota)
+		return workers.RejectAll(policies, placement.OverQuota)
 	}
-	return board.Decide(placing.policyRunner, policies, placing.newPlacementTask(settings, task, now))
+	return workers.Decide(p.policyRunner, policies, p.newPlacementTask(settings, task, now))
 }
 
-func (placing *placer) newPlacementTask(settings *config.Config, task *state.Task, now time.Time) *placement.Task {
+func (p *placer) newPlacementTask(settings *config.Config, task *state.Task, now time.Time) *placement.Task {
 	kind, _ := settings.Kind(task.Spec().GetKind())
 	return &placement.Task{
 		ID:        task.ID(),
@@ -153,13 +158,16 @@
 		Class:     string(kind.Class()),
 		Attempts:  task.Attempt(),
 		Waited:    max(0, now.Sub(task.CreatedAt())),
-		RefusedBy: placing.refusedBy(task.ID(), now),
+		RefusedBy: p.refusedBy(task.ID(), now),
 	}
 }
 
+// newAssignment returns the assignment of the task to the guard's present
+// incarnation, with the deadline of the offer on the guard's clock.
 func newAssignment(guard *membership.Guard, task *state.Task, decision *placement.Decision, lease time.Duration, now time.Time) *assignment {
-	// The guard's clock has moved on since it was heard; counting that in
-	// keeps an offer from ending early, and never lets it end late.
+	// The guard's clock has advanced since its last report. Adding this time keeps
+	// the offer from expiring early. It can't make it expire late, as the report
+	// was sent before it was received.
 	uptime := guard.Uptime() + now.Sub(guard.HeardAt())
 	return &assignment{
 		assign: &record.TaskAssign{
@@ -178,34 +186,35 @@
 	}
 }
 
-// handleOutcome acts on the log's verdict on one assignment.
-func (placing *placer) handleOutcome(ctx context.Context, each *assignment, outcome state.Outcome) {
-	entry := placing.entry
+// handleOutcome offers the attempt to its guard in the background if the log
+// accepted the assignment. A rejected one is only logged and counted.
+func (p *placer) handleOutcome(ctx context.Context, a *assignment, outcome state.Outcome) {
+	entry := p.entry
 	if !outcome.IsAccepted() {
 		entry.metrics.countDecision(ctx, "lost")
-		entry.options.Events.Log(ctx, event.PlacementLost, slog.String("task", each.assign.GetTask()), slog.String("reason", string(outcome.Reason())))
+		entry.options.Events.Log(ctx, event.PlacementLost, slog.String("task", a.assign.GetTask()), slog.String("reason", string(outcome.Reason())))
 		return
 	}
 	entry.metrics.countDecision(ctx, "placed")
-	logPlacement(ctx, entry.options.Events, each)
-	entry.background.Go(func() { entry.offerAttempt(ctx, each.assign.GetTask(), each.attempt) })
+	logPlacement(ctx, entry.options.Events, a)
+	entry.background.Go(func() { entry.offerAttempt(ctx, a.assign.GetTask(), a.attempt) })
 }
 
-func logPlacement(ctx context.Context, events *event.Logger, each *assignment) {
-	second, secondScore := each.decision.RunnerUp()
+func logPlacement(ctx context.Context, events *event.Logger, a *assignment) {
+	runnerUp, runnerUpScore := a.decision.RunnerUp()
 	attributes := []slog.Attr{
-		slog.String("task", each.assign.GetTask()),
-		slog.Uint64("attempt", each.attempt),
-		slog.String("worker", each.assign.GetWorker()),
-		slog.Float64("score", each.decision.Score()),
-		slog.String("second", second),
-		slog.Float64("second_score", secondScore),
-		slog.String("policy", each.decision.Policy()),
-		slog.Int("workers", each.decision.WorkerCount()),
-		rejectedAttr(each.decision),
+		slog.String("task", a.assign.GetTask()),
+		slog.Uint64("attempt", a.attempt),
+		slog.String("worker", a.assign.GetWorker()),
+		slog.Float64("score", a.decision.Score()),
+		slog.String("second", runnerUp),
+		slog.Float64("second_score", runnerUpScore),
+		slog.String("policy", a.decision.Policy()),
+		slog.Int("workers", a.decision.WorkerCount()),
+		rejectedAttr(a.decision),
 	}
-	if failure := each.decision.PolicyError(); failure != nil {
-		events.Log(ctx, event.PolicyFellBack, slog.String("task", each.assign.GetTask()), slog.String("error", failure.Error()))
+	if policyErr := a.decision.PolicyError(); policyErr != nil {
+		events.Log(ctx, event.PolicyFellBack, slog.String("task", a.assign.GetTask()), slog.String("error", policyErr.Error()))
 	}
 	events.Log(ctx, event.TaskPlaced, attributes...)
 }
@@ -218,69 +227,72 @@
 	return slog.Group("rejected", counts...)
 }
 
-// logWaiting says why a task waits, now and then.
-func (placing *placer) logWaiting(ctx context.Context, task *state.Task, decision *placement.Decision, now time.Time) {
-	placing.mu.Lock()
-	if placing.waitingLoggedAt == nil {
-		placing.waitingLoggedAt = map[string]time.Time{}
+// logWaiting logs why a task is not placed, at most once per waitingLogInterval.
+func (p *placer) logWaiting(ctx context.Context, task *state.Task, decision *placement.Decision, now time.Time) {
+	p.mu.Lock()
+	if p.waitingLoggedAt == nil {
+		p.waitingLoggedAt = map[string]time.Time{}
 	}
-	due := now.Sub(placing.waitingLoggedAt[task.ID()]) >= waitingLogInterval
+	due := now.Sub(p.waitingLoggedAt[task.ID()]) >= waitingLogInterval
 	if due {
-		placing.waitingLoggedAt[task.ID()] = now
+		p.waitingLoggedAt[task.ID()] = now
 	}
-	placing.mu.Unlock()
+	p.mu.Unlock()
 	if due {
-		placing.entry.options.Events.Log(ctx, event.TaskWaiting, slog.String("task", task.ID()), slog.Int("workers", decision.WorkerCount()), rejectedAttr(decision))
+		p.entry.options.Events.Log(ctx, event.TaskWaiting, slog.String("task", task.ID()), slog.Int("workers", decision.WorkerCount()), rejectedAttr(decision))
 	}
 }
 
-// prune drops what was kept about tasks that are no longer pending.
-func (placing *placer) prune(folded *state.State, now time.Time) {
-	placing.mu.Lock()
-	defer placing.mu.Unlock()
-	gone := func(id string) bool {
-		task := folded.Task(id)
+// prune removes the records of tasks that are no longer pending, and of workers
+// without a start failure within startFailureWindow.
+func (p *placer) prune(st *state.State, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	notPending := func(id string) bool {
+		task := st.Task(id)
 		return task == nil || task.Phase() != state.PhasePending
 	}
-	maps.DeleteFunc(placing.waitingLoggedAt, func(id string, _ time.Time) bool { return gone(id) })
-	maps.DeleteFunc(placing.refusals, func(id string, _ []refusal) bool { return gone(id) })
-	maps.DeleteFunc(placing.startFailures, func(_ string, times []time.Time) bool {
+	maps.DeleteFunc(p.waitingLoggedAt, func(id string, _ time.Time) bool { return notPending(id) })
+	maps.DeleteFunc(p.refusals, func(id string, _ []refusal) bool { return notPending(id) })
+	maps.DeleteFunc(p.startFailures, func(_ string, times []time.Time) bool {
 		return now.Sub(times[len(times)-1]) > startFailureWindow
 	})
 }
 
-func (placing *placer) addRefusal(task, worker string, now time.Time) {
-	placing.mu.Lock()
-	defer placing.mu.Unlock()
-	placing.refusals[task] = append(placing.refusals[task], refusal{worker: worker, until: now.Add(refusalBackoff)})
+// addRefusal keeps the task from being offered to the worker for refusalBackoff.
+func (p *placer) addRefusal(task, worker string, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.refusals[task] = append(p.refusals[task], refusal{worker: worker, until: now.Add(refusalBackoff)})
 }
 
-func (placing *placer) refusedBy(task string, now time.Time) []string {
-	placing.mu.Lock()
-	defer placing.mu.Unlock()
+// refusedBy returns the workers that refused the task within refusalBackoff.
+func (p *placer) refusedBy(task string, now time.Time) []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var workers []string
-	for _, each := range placing.refusals[task] {
-		if now.Before(each.until) {
-			workers = append(workers, each.worker)
+	for _, r := range p.refusals[task] {
+		if now.Before(r.until) {
+			workers = append(workers, r.worker)
 		}
 	}
 	return workers
 }
 
-func (placing *placer) addStartFailure(worker string, now time.Time) {
-	placing.mu.Lock()
-	defer placing.mu.Unlock()
-	if placing.startFailures == nil {
-		placing.startFailures = map[string][]time.Time{}
+func (p *placer) addStartFailure(worker string, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.startFailures == nil {
+		p.startFailures = map[string][]time.Time{}
 	}
-	placing.startFailures[worker] = append(placing.startFailures[worker], now)
+	p.startFailures[worker] = append(p.startFailures[worker], now)
 }
 
-func (placing *placer) recentStartFailures(worker string, now time.Time) int {
-	placing.mu.Lock()
-	defer placing.mu.Unlock()
+func (p *placer) recentStartFailures(worker string, now time.Time) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	count := 0
-	for _, failedAt := range placing.startFailures[worker] {
+	for _, failedAt := range p.startFailures[worker] {
 		if now.Sub(failedAt) < startFailureWindow {
 			count++
 		}
@@ -288,19 +300,21 @@
 	return count
 }
 
-// workerSet lays out what is known of every worker.
-func (placing *placer) workerSet(folded *state.State, now time.Time) *placement.WorkerSet {
-	guards := placing.entry.view.Guards()
+// workerSet returns every worker with a known guard as a placement candidate.
+func (p *placer) workerSet(st *state.State, now time.Time) *placement.WorkerSet {
+	guards := p.entry.view.Guards()
 	workers := make([]*placement.Worker, 0, len(guards))
 	for _, guard := range guards {
-		workers = append(workers, placing.newPlacementWorker(folded, guard, now))
+		workers = append(workers, p.newPlacementWorker(st, guard, now))
 	}
 	return placement.NewWorkerSet(workers)
 }
 
-func (placing *placer) newPlacementWorker(folded *state.State, guard *membership.Guard, now time.Time) *placement.Worker {
+// newPlacementWorker combines the guard's last report with the tasks that the state
+// assigns to its worker.
+func (p *placer) newPlacementWorker(st *state.State, guard *membership.Guard, now time.Time) *placement.Worker {
 	load := guard.Load()
-	made := &placement.Worker{
+	worker := &placement.Worker{
 		Name:          guard.Name(),
 		Incarnation:   guard.Incarnation(),
 		FailureDomain: guard.FailureDomain(),
@@ -308,20 +322,20 @@
 		Capacity:      resourcesOf(guard.Capacity()),
 		UsedMilliCPU:  guard.Used().GetMilliCpu(),
 		Latency:       time.Duration(load.GetLatencyNanos()),
-		StartFailures: placing.recentStartFailures(guard.Name(), now),
-		BlockedBy:     placing.blockedBy(folded, guard, now),
+		StartFailures: p.recentStartFailures(guard.Name(), now),
+		BlockedBy:     p.blockedBy(st, guard, now),
 	}
 	if load.GetSlots() > 0 {
-		made.Load = float64(load.GetSlotsUsed()) / float64(load.GetSlots())
+		worker.Load = float64(load.GetSlotsUsed()) / float64(load.GetSlots())
 	}
-	for _, task := range folded.TasksOnWorker(guard.Name()) {
-		asked := placement.ResourcesOf(task.Spec())
-		made.Committed.MilliCPU += asked.MilliCPU
-		made.Committed.MemoryBytes += asked.MemoryBytes
-		made.Committed.Accelerators += asked.Accelerators
-		made.Tasks++
+	for _, task := range st.TasksOnWorker(guard.Name()) {
+		requested := placement.ResourcesOf(task.Spec())
+		worker.Committed.MilliCPU += requested.MilliCPU
+		worker.Committed.MemoryBytes += requested.MemoryBytes
+		worker.Committed.Accelerators += requested.Accelerators
+		worker.Tasks++
 	}
-	return made
+	return worker
 }
 
 func resourcesOf(resources *wire.Resources) placement.Resources {
@@ -332,16 +346,17 @@
 	}
 }
 
-// blockedBy returns why a worker takes no tasks at all now, empty when it does.
-func (placing *placer) blockedBy(folded *state.State, guard *membership.Guard, now time.Time) placement.Constraint {
+// blockedBy returns the constraint that keeps every task off the worker, or "" if
+// there is none.
+func (p *placer) blockedBy(st *state.State, guard *membership.Guard, now time.Time) placement.Constraint {
 	switch {
-	case folded.ActiveSuspicion(guard.Name()) != 0 || placing.entry.view.Silent(guard, now):
+	case st.ActiveSuspicion(guard.Name()) != 0 || p.entry.view.Silent(guard, now):
 		return placement.Suspected
-	case folded.IsDraining(guard.Name()):
+	case st.IsDraining(guard.Name()):
 		return placement.Draining
 	case !guard.Ready():
 		return placement.NotReady
-	case placing.recentStartFailures(guard.Name(), now) >= maxStartFailures:
+	case p.recentStartFailures(guard.Name(), now) >= maxStartFailures:
 		return placement.Recovering
 	}
 	return ""
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -11,13 +11,13 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// usageByTeam is what the placed tasks of each team ask for.
+// usageByTeam holds the resources requested by the placed tasks of each team.
 type usageByTeam map[string]placement.Resources
 
-func newTeamUsage(folded *state.State) usageByTeam {
+func newTeamUsage(st *state.State) usageByTeam {
 	usage := usageByTeam{}
-	for _, worker := range folded.Workers() {
-		for _, task := range folded.TasksOnWorker(worker) {
+	for _, worker := range st.Workers() {
+		for _, task := range st.TasksOnWorker(worker) {
 			usage.add(task.Spec())
 		}
 	}
@@ -25,32 +25,32 @@
 }
 
 func (usage usageByTeam) add(spec *record.TaskSpec) {
-	asked := placement.ResourcesOf(spec)
+	requested := placement.ResourcesOf(spec)
 	used := usage[spec.GetTeam()]
-	used.MilliCPU += asked.MilliCPU
-	used.MemoryBytes += asked.MemoryBytes
-	used.Accelerators += asked.Accelerators
+	used.MilliCPU += requested.MilliCPU
+	used.MemoryBytes += requested.MemoryBytes
+	used.Accelerators += requested.Accelerators
 	usage[spec.GetTeam()] = used
 }
 
-// exceedsQuota reports whether the task would take its team over its quota. A quota of
-// zero bounds nothing.
+// exceedsQuota reports whether placing the task would exceed its team's quota. A
+// quota of zero means no limit.
 func (usage usageByTeam) exceedsQuota(settings *config.Config, spec *record.TaskSpec) bool {
 	team, found := settings.Team(spec.GetTeam())
 	if !found {
 		return false
 	}
-	asked := placement.ResourcesOf(spec)
+	requested := placement.ResourcesOf(spec)
 	used := usage[spec.GetTeam()]
-	return isAboveQuota(used.MilliCPU+asked.MilliCPU, team.MilliCPU()) ||
-		isAboveQuota(used.MemoryBytes+asked.MemoryBytes, team.MemoryBytes()) ||
-		isAboveQuota(used.Accelerators+asked.Accelerators, team.Accelerators())
+	return isAboveQuota(used.MilliCPU+requested.MilliCPU, team.MilliCPU()) ||
+		isAboveQuota(used.MemoryBytes+requested.MemoryBytes, team.MemoryBytes()) ||
+		isAboveQuota(used.Accelerators+requested.Accelerators, team.Accelerators())
 }
 
 func isAboveQuota(value, quota int64) bool { return quota > 0 && value > quota }
 
-// sortByShare orders tasks of equal priority so that the teams which use least for
-// their share come first. The order within a team stays as it is.
+// sortByShare sorts tasks by descending priority, and tasks of equal priority by
+// ascending use per share of their teams. The order within a team is kept.
 func sortByShare(pending []*state.Task, usage usageByTeam, settings *config.Config) []*state.Task {
 	slices.SortStableFunc(pending, func(a, b *state.Task) int {
 		return cmp.Or(
@@ -61,7 +61,8 @@
 	return pending
 }
 
-// usagePerShare is what a team uses for each unit of its share.
+// usagePerShare returns the CPU that the team's placed tasks requested, divided by
+// its share. Teams that are not configured or have no share come last.
 func (usage usageByTeam) usagePerShare(settings *config.Config, name string) float64 {
 	team, found := settings.Team(name)
 	if !found || team.Share() == 0 {
--- a/entry/start.go
+++ b/entry/start.go
@@ -16,9 +16,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// offerAttempt offers an assigned attempt to its guard. The message names the
-// incarnation and the end of the offer that the log accepted, so it can be
-// sent late, or twice, without doing harm.
+// offerAttempt offers an assigned attempt to its guard. The message has the
+// incarnation and the deadline that were recorded in the log. The guard therefore
+// rejects a message that arrives too late, and a second copy does no harm.
 func (entry *Entry) offerAttempt(ctx context.Context, id string, attempt uint64) {
 	request, address := entry.prepareOffer(id, attempt)
 	if request == nil {
@@ -32,22 +32,23 @@
 		entry.handleStartError(ctx, request, err, now)
 		return
 	}
-	refused := reply.GetRefusal()
+	refusal := reply.GetRefusal()
 	switch {
-	case refused == nil, refused.GetReason() == wire.RefusalReason_REFUSAL_ALREADY_RUNNING:
+	case refusal == nil, refusal.GetReason() == wire.RefusalReason_REFUSAL_ALREADY_RUNNING:
 		entry.propose(ctx, newRunningRecord(id, attempt, now))
-	case refused.GetNotRun():
-		entry.handleStartRefusal(ctx, id, attempt, request, refused, now)
+	case refusal.GetNotRun():
+		entry.handleStartRefusal(ctx, id, attempt, request, refusal, now)
 	default:
-		// The attempt may run; the guard's reports will tell.
+		// The attempt may run. The guard's next report shows whether it does.
 	}
 }
 
-// prepareOffer makes the offer from the state, or nothing when the attempt is
-// no longer the task's newest.
+// prepareOffer returns the start request and the guard's address. The request is
+// nil if the attempt is not the current one, is not waiting for its start, or has
+// an unknown guard.
 func (entry *Entry) prepareOffer(id string, attempt uint64) (request *wire.StartRequest, address string) {
-	entry.journal.View(func(folded *state.State) {
-		task := folded.Task(id)
+	entry.journal.View(func(st *state.State) {
+		task := st.Task(id)
 		if task == nil || task.Attempt() != attempt || task.Phase() != state.PhaseAssigned {
 			return
 		}
@@ -83,53 +84,56 @@
 	}
 }
 
-// leaseForKind returns how long a task of the kind runs on without renewal.
+// leaseForKind returns the lease of the kind's tasks: how long a task keeps running
+// without renewal.
 func (entry *Entry) leaseForKind(kind string) time.Duration {
 	if settings := entry.documents.Config(); settings != nil {
-		if named, found := settings.Kind(kind); found {
-			return named.Lease()
+		if kindSettings, found := settings.Kind(kind); found {
+			return kindSettings.Lease()
 		}
 	}
 	return config.DefaultLease
 }
 
-// handleStartError handles an offer that got no answer. Only a connection that
-// was never made proves that the guard did not get it.
+// handleStartError handles an offer without a reply. Only a failed dial proves that
+// the guard did not receive it. Otherwise the guard's reports show what became of
+// the attempt.
 func (entry *Entry) handleStartError(ctx context.Context, request *wire.StartRequest, err error, now time.Time) {
-	var dial *rpc.DialError
-	if !errors.As(err, &dial) {
+	var dialErr *rpc.DialError
+	if !errors.As(err, &dialErr) {
 		return
 	}
 	entry.handleStartRefusal(ctx, request.GetTask(), request.GetAttempt(), request, &wire.Refusal{Detail: err.Error(), NotRun: true}, now)
 }
 
-// handleStartRefusal releases an attempt that has proved not to have started. The
-// offer is not made again, so nothing can start it later: this entry was the
-// only one to make it, or others make the same one that the guard refuses.
-func (entry *Entry) handleStartRefusal(ctx context.Context, id string, attempt uint64, request *wire.StartRequest, refused *wire.Refusal, now time.Time) {
+// handleStartRefusal releases an attempt that certainly did not start, and keeps the
+// task off the worker for refusalBackoff. Another entry may have sent the same offer.
+// The attempt is therefore fenced at the guard first, so that it can't start after
+// its release.
+func (entry *Entry) handleStartRefusal(ctx context.Context, id string, attempt uint64, request *wire.StartRequest, refusal *wire.Refusal, now time.Time) {
 	reason := record.ReleaseReason_RELEASE_NOT_STARTED
 	var worker string
-	entry.journal.View(func(folded *state.State) {
-		if task := folded.Task(id); task != nil {
+	entry.journal.View(func(st *state.State) {
+		if task := st.Task(id); task != nil {
 			worker = task.Worker()
 		}
 	})
-	if refused.GetReason() == wire.RefusalReason_REFUSAL_WORKER_FAILED {
+	if refusal.GetReason() == wire.RefusalReason_REFUSAL_WORKER_FAILED {
 		reason = record.ReleaseReason_RELEASE_START_FAILED
 		entry.placer.addStartFailure(worker, now)
 	}
 	entry.placer.addRefusal(id, worker, now)
 	entry.options.Events.Log(ctx, event.StartRefused, slog.String("task", id), slog.Uint64("attempt", attempt),
-		slog.String("worker", worker), slog.String("reason", refused.GetReason().String()), slog.String("detail", refused.GetDetail()))
+		slog.String("worker", worker), slog.String("reason", refusal.GetReason().String()), slog.String("detail", refusal.GetDetail()))
 	if !entry.fenceAttempt(ctx, worker, request) {
 		return
 	}
-	entry.propose(ctx, newReleaseRecord(id, attempt, reason, refused.GetDetail(), nil, now))
+	entry.propose(ctx, newReleaseRecord(id, attempt, reason, refusal.GetDetail(), nil, now))
 }
 
-// fenceAttempt makes sure that no other copy of the offer is taken up: it asks the
-// guard to bar the attempt. A guard that can't be reached leaves the attempt
-// to be released when its offer has ended.
+// fenceAttempt asks the guard to reject the attempt from now on, so that no other
+// copy of the offer can start it, and reports whether the guard confirmed this. If
+// it did not, the attempt is released after its offer has expired.
 func (entry *Entry) fenceAttempt(ctx context.Context, worker string, request *wire.StartRequest) bool {
 	guard := entry.view.Guard(worker)
 	if guard == nil {
@@ -143,8 +147,9 @@
 	return err == nil && reply.GetRefusal().GetNotRun()
 }
 
-// propose appends records and leaves it to the log whether they take effect.
-// What is lost or unsettled is proposed again from the next report.
+// propose appends records and returns their outcomes, or nil if the append failed or
+// timed out. Nothing is retried here: the next report of the guard, or the next
+// round of maintenance, leads to the same records.
 func (entry *Entry) propose(ctx context.Context, records ...*record.Record) []state.Outcome {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), appendTimeout)
 	defer cancel()
@@ -155,12 +160,15 @@
 	return outcomes
 }
 
+// newRunningRecord returns the record that the attempt has started.
 func newRunningRecord(id string, attempt uint64, now time.Time) *record.Record {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_TaskRunning{TaskRunning: &record.TaskRunning{Task: id, Attempt: attempt}}
 	return rec
 }
 
+// newReleaseRecord returns the record that the attempt has ended without finishing
+// its task. The task continues from the checkpoint, if there is one.
 func newReleaseRecord(id string, attempt uint64, reason record.ReleaseReason, detail string, checkpoint []byte, now time.Time) *record.Record {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_TaskRelease{TaskRelease: &record.TaskRelease{
