--- a/entry/reconcile.go
+++ b/entry/reconcile.go
@@ -11,7 +11,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// reportActions is what one report leads to.
+// reportActions holds the actions that follow from one report of a guard: the
+// grants of the reply, and the records, stops and offers that are sent afterwards.
 type reportActions struct {
 	grants  []*wire.TaskGrant
 	records []*record.Record
@@ -19,133 +20,143 @@
 	starts  []*state.Task
 }
 
-// reconcile compares the attempts that a guard reports with the state.
+// reconcile compares the attempts in a guard's report with the state, and returns
+// the actions that resolve the differences.
 func (entry *Entry) reconcile(guard *membership.Guard, now time.Time) *reportActions {
-	made := &reportActions{}
-	fresh := entry.journal.SyncedAt()
-	entry.journal.View(func(folded *state.State) {
-		reported := map[string]bool{}
+	actions := &reportActions{}
+	syncedAt := entry.journal.SyncedAt()
+	entry.journal.View(func(st *state.State) {
+		reportedTasks := map[string]bool{}
 		for _, task := range guard.Tasks() {
-			reported[task.GetTask()] = true
-			entry.reconcileReported(made, folded, guard, task, fresh, now)
+			reportedTasks[task.GetTask()] = true
+			entry.reconcileReported(actions, st, guard, task, syncedAt, now)
 		}
-		for _, task := range folded.TasksOnWorker(guard.Name()) {
-			if !reported[task.ID()] && entry.isResponsibleFor(task.ID(), now) {
-				entry.reconcileMissing(made, task, guard, now)
+		for _, task := range st.TasksOnWorker(guard.Name()) {
+			if !reportedTasks[task.ID()] && entry.isResponsibleFor(task.ID(), now) {
+				entry.reconcileMissing(actions, task, guard, now)
 			}
 		}
-		entry.clearSuspicion(made, folded, guard, now)
+		entry.clearSuspicion(actions, st, guard, now)
 	})
-	return made
+	return actions
 }
 
-// reconcileReported judges one attempt that the guard answers for.
-func (entry *Entry) reconcileReported(made *reportActions, folded *state.State, guard *membership.Guard, reported *wire.TaskReport, fresh, now time.Time) {
-	grant := &wire.TaskGrant{Task: reported.GetTask(), Attempt: reported.GetAttempt()}
-	task := folded.Task(reported.GetTask())
+// reconcileReported handles one attempt in the guard's report. syncedAt is when
+// this entry last read the log to its end.
+func (entry *Entry) reconcileReported(actions *reportActions, st *state.State, guard *membership.Guard, report *wire.TaskReport, syncedAt, now time.Time) {
+	grant := &wire.TaskGrant{Task: report.GetTask(), Attempt: report.GetAttempt()}
+	task := st.Task(report.GetTask())
 	switch {
 	case task == nil:
-		// Unknown and reported before the last whole read began: forgotten.
-		grant.Recorded = !guard.HeardBefore().IsZero() && fresh.After(guard.HeardBefore())
+		// The guard's previous report came before this entry's last read to the
+		// end of the log began. A task that is still missing from the state is
+		// taken to have ended and been removed.
+		grant.Recorded = !guard.HeardBefore().IsZero() && syncedAt.After(guard.HeardBefore())
 		grant.Stop = grant.Recorded
-	case reported.GetAttempt() > task.Attempt():
-		// This entry's state is behind; another entry knows better.
-	case reported.GetAttempt() < task.Attempt() || !task.Phase().IsPlaced():
+	case report.GetAttempt() > task.Attempt():
+		// This entry's state lags behind the log. It leaves the attempt to entries
+		// that have read further.
+	case report.GetAttempt() < task.Attempt() || !task.Phase().IsPlaced():
 		grant.Recorded, grant.Stop = true, true
 	default:
-		entry.reconcileCurrent(made, folded, guard, task, reported, grant, fresh, now)
+		entry.reconcileCurrent(actions, st, guard, task, report, grant, syncedAt, now)
 	}
 	if grant.GetLeaseNanos() > 0 || grant.GetStop() || grant.GetRecorded() {
-		made.grants = append(made.grants, grant)
+		actions.grants = append(actions.grants, grant)
 	}
 }
 
-func (entry *Entry) reconcileCurrent(made *reportActions, folded *state.State, guard *membership.Guard, task *state.Task, reported *wire.TaskReport, grant *wire.TaskGrant, fresh, now time.Time) {
-	owned := entry.isResponsibleFor(task.ID(), now)
-	if rec := newEndRecord(reported, now); rec != nil {
-		if owned {
-			made.records = append(made.records, rec)
+// reconcileCurrent handles the newest attempt of a placed task. It renews the
+// lease unless the worker is suspected. If this entry is responsible for the task,
+// it also records the attempt's end or start, or has the attempt stopped.
+func (entry *Entry) reconcileCurrent(actions *reportActions, st *state.State, guard *membership.Guard, task *state.Task, report *wire.TaskReport, grant *wire.TaskGrant, syncedAt, now time.Time) {
+	responsible := entry.isResponsibleFor(task.ID(), now)
+	if rec := newEndRecord(report, now); rec != nil {
+		if responsible {
+			actions.records = append(actions.records, rec)
 		}
 		return
 	}
-	if folded.ActiveSuspicion(guard.Name()) == 0 {
-		// A lease counts from the last time this entry is sure that nobody
-		// had withdrawn it, not from now.
-		grant.LeaseNanos = lease.Remaining(task.Lease(), fresh, now).Nanoseconds()
+	if st.ActiveSuspicion(guard.Name()) == 0 {
+		// The lease runs from the last time that this entry was up to date with
+		// the log, not from now: a later record may have withdrawn it.
+		grant.LeaseNanos = lease.Remaining(task.Lease(), syncedAt, now).Nanoseconds()
 	}
 	switch {
-	case !owned:
+	case !responsible:
 	case task.Phase() == state.PhaseAssigned:
-		made.records = append(made.records, newRunningRecord(task.ID(), task.Attempt(), now))
-	case task.Phase() == state.PhaseStopping && reported.GetPhase() == wire.TaskPhase_TASK_RUNNING:
-		made.stops = append(made.stops, newStopRequest(task, guard))
-	case task.Phase() == state.PhaseRunning && (folded.IsDraining(guard.Name()) || guard.ListedLeaving()):
-		made.records = append(made.records, newEvictRecord(task, "its worker is drained", now))
+		actions.records = append(actions.records, newRunningRecord(task.ID(), task.Attempt(), now))
+	case task.Phase() == state.PhaseStopping && report.GetPhase() == wire.TaskPhase_TASK_RUNNING:
+		actions.stops = append(actions.stops, newStopRequest(task, guard))
+	case task.Phase() == state.PhaseRunning && (st.IsDraining(guard.Name()) || guard.ListedLeaving()):
+		actions.records = append(actions.records, newEvictRecord(task, "its worker is drained", now))
 	}
 }
 
+// newStopRequest returns the request to stop the task's current attempt.
 func newStopRequest(task *state.Task, guard *membership.Guard) *wire.StopRequest {
 	return &wire.StopRequest{Task: task.ID(), Attempt: task.Attempt(), Incarnation: guard.Incarnation(), Reason: task.Reason()}
 }
 
+// newEvictRecord returns the record that has the task's current attempt stopped so
+// that the task is placed again.
 func newEvictRecord(task *state.Task, reason string, now time.Time) *record.Record {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_TaskEvict{TaskEvict: &record.TaskEvict{Task: task.ID(), Attempt: task.Attempt(), Reason: reason}}
 	return rec
 }
 
-// newEndRecord returns the record of an attempt's end, nil while it runs.
-func newEndRecord(reported *wire.TaskReport, now time.Time) *record.Record {
-	id, attempt := reported.GetTask(), reported.GetAttempt()
-	switch reported.GetPhase() {
+// newEndRecord returns the record of a reported end, or nil while the attempt runs.
+func newEndRecord(report *wire.TaskReport, now time.Time) *record.Record {
+	id, attempt := report.GetTask(), report.GetAttempt()
+	switch report.GetPhase() {
 	case wire.TaskPhase_TASK_FINISHED, wire.TaskPhase_TASK_FAILED:
 		rec := changelog.NewRecord(now)
 		rec.Body = &record.Record_TaskFinish{TaskFinish: &record.TaskFinish{
 			Task:    id,
 			Attempt: attempt,
-			Failed:  reported.GetPhase() == wire.TaskPhase_TASK_FAILED,
-			Reason:  reported.GetReason(),
-			Result:  reported.GetResult(),
+			Failed:  report.GetPhase() == wire.TaskPhase_TASK_FAILED,
+			Reason:  report.GetReason(),
+			Result:  report.GetResult(),
 		}}
 		return rec
 	case wire.TaskPhase_TASK_STOPPED, wire.TaskPhase_TASK_LAPSED:
-		return newReleaseRecord(id, attempt, record.ReleaseReason_RELEASE_STOPPED, reported.GetReason(), reported.GetCheckpoint(), now)
+		return newReleaseRecord(id, attempt, record.ReleaseReason_RELEASE_STOPPED, report.GetReason(), report.GetCheckpoint(), now)
 	}
 	return nil
 }
 
-// reconcileMissing judges an attempt that the state gives to the worker and that
-// its guard, by its own report, does not have.
-func (entry *Entry) reconcileMissing(made *reportActions, task *state.Task, guard *membership.Guard, now time.Time) {
-	offered := task.Incarnation() == guard.Incarnation()
+// reconcileMissing handles an attempt that the state assigns to the worker and
+// that is missing from its guard's report.
+func (entry *Entry) reconcileMissing(actions *reportActions, task *state.Task, guard *membership.Guard, now time.Time) {
+	sameIncarnation := task.Incarnation() == guard.Incarnation()
 	switch {
-	case !offered:
-		// The offer was to an earlier incarnation, which has been replaced:
-		// nobody takes it up any more, and this one has looked at what its
-		// worker runs.
-		// The case behind minAdoptionUptime: a start that the earlier one had sent to
-		// the worker when it died may reach the worker a moment later.
+	case !sameIncarnation:
+		// The offer was made to an earlier incarnation and can no longer be
+		// accepted. The present incarnation has listed the attempts that run on
+		// the worker, but a start that the earlier one had sent just before it died
+		// may reach the worker after that. Hence the wait of minAdoptionUptime.
 		if guard.Uptime() > minAdoptionUptime {
-			made.records = append(made.records, newReleaseRecord(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_NOT_STARTED, "a new guard does not find it on the worker", nil, now))
+			actions.records = append(actions.records, newReleaseRecord(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_NOT_STARTED, "a new guard does not find it on the worker", nil, now))
 		}
 	case guard.Uptime() > task.OfferDeadline():
-		made.records = append(made.records, newReleaseRecord(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_NOT_STARTED, "the offer ended without being taken up", nil, now))
+		actions.records = append(actions.records, newReleaseRecord(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_NOT_STARTED, "the offer ended without being taken up", nil, now))
 	case task.Phase() == state.PhaseAssigned:
-		made.starts = append(made.starts, task)
+		actions.starts = append(actions.starts, task)
 	case task.Phase() == state.PhaseStopping:
-		made.stops = append(made.stops, newStopRequest(task, guard))
+		actions.stops = append(actions.stops, newStopRequest(task, guard))
 	}
 }
 
-// minAdoptionUptime is how old a guard must be before what it does not find on its
-// worker counts as not there.
+// minAdoptionUptime is the uptime of a restarted guard from which an attempt that
+// is missing from its report counts as not running.
 const minAdoptionUptime = 3 * time.Second
 
-// clearSuspicion ends the suspicion of a guard that speaks. Any entry that hears
-// it does so, not only the one that acts for the worker: the case is a guard
-// that reaches some entries and not that one.
-func (entry *Entry) clearSuspicion(made *reportActions, folded *state.State, guard *membership.Guard, now time.Time) {
-	suspicion := folded.ActiveSuspicion(guard.Name())
+// clearSuspicion ends the suspicion of a worker whose guard reports. Every entry
+// that receives a report does so, and not only the one responsible for the worker,
+// because the guard may be unable to reach that one.
+func (entry *Entry) clearSuspicion(actions *reportActions, st *state.State, guard *membership.Guard, now time.Time) {
+	suspicion := st.ActiveSuspicion(guard.Name())
 	if suspicion == 0 {
 		return
 	}
@@ -153,5 +164,5 @@
 	rec.Body = &record.Record_WorkerSuspect{WorkerSuspect: &record.WorkerSuspect{
 		Worker: guard.Name(), Incarnation: guard.Incarnation(), Cleared: true, Suspicion: suspicion,
 	}}
-	made.records = append(made.records, rec)
+	actions.records = append(actions.records, rec)
 }
--- a/entry/report.go
+++ b/entry/report.go
@@ -11,8 +11,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// Report takes in what a guard says, and answers what it must know. It
-// implements the drpc service.
+// Report handles the report of a guard. The reply has the lease grants and stops
+// for its attempts and the documents it lacks. It implements the DRPC service of
+// entries.
 func (entry *Entry) Report(ctx context.Context, report *wire.ReportRequest) (*wire.ReportReply, error) {
 	now := entry.now()
 	entry.fetchIfNewer(ctx, report.GetDocuments(), report.GetAddress())
@@ -25,35 +26,37 @@
 		return reply, nil
 	}
 	entry.routes.Update(guard, false)
-	verdicts := entry.reconcile(guard, now)
-	reply.Grants = verdicts.grants
-	if len(verdicts.records) > 0 || len(verdicts.stops) > 0 || len(verdicts.starts) > 0 {
-		// The guard is answered first; it hears of the outcome next time.
-		entry.background.Go(func() { entry.runActions(context.WithoutCancel(ctx), guard, verdicts) })
+	actions := entry.reconcile(guard, now)
+	reply.Grants = actions.grants
+	if len(actions.records) > 0 || len(actions.stops) > 0 || len(actions.starts) > 0 {
+		// The reply does not wait for these actions. The reply to the guard's next
+		// report has their outcome.
+		entry.background.Go(func() { entry.runActions(context.WithoutCancel(ctx), guard, actions) })
 	}
 	return reply, nil
 }
 
-// runActions records the ends of attempts and sends stops and offers.
-func (entry *Entry) runActions(ctx context.Context, guard *membership.Guard, made *reportActions) {
-	if len(made.records) > 0 && entry.isLogFresh(entry.now()) {
-		outcomes := entry.propose(ctx, made.records...)
-		entry.logAcceptedRecords(ctx, made.records, outcomes)
-		made.stops = append(made.stops, evictionStops(guard, made.records, outcomes)...)
+// runActions appends the records and then sends the offers and the stops, among
+// them those of the evictions that the log accepted.
+func (entry *Entry) runActions(ctx context.Context, guard *membership.Guard, actions *reportActions) {
+	if len(actions.records) > 0 && entry.isLogFresh(entry.now()) {
+		outcomes := entry.propose(ctx, actions.records...)
+		entry.logAcceptedRecords(ctx, actions.records, outcomes)
+		actions.stops = append(actions.stops, evictionStops(guard, actions.records, outcomes)...)
 	}
-	for _, task := range made.starts {
+	for _, task := range actions.starts {
 		entry.offerAttempt(ctx, task.ID(), task.Attempt())
 	}
-	for _, stop := range made.stops {
+	for _, stop := range actions.stops {
 		entry.stopAttempt(ctx, guard, stop)
 	}
 }
 
-// evictionStops returns the stops of the attempts whose eviction took effect.
+// evictionStops returns the stops of the attempts whose eviction the log accepted.
 func evictionStops(guard *membership.Guard, records []*record.Record, outcomes []state.Outcome) []*wire.StopRequest {
 	var stops []*wire.StopRequest
-	for index, outcome := range outcomes {
-		evict := records[index].GetTaskEvict()
+	for i, outcome := range outcomes {
+		evict := records[i].GetTaskEvict()
 		if evict == nil || !outcome.IsAccepted() {
 			continue
 		}
@@ -64,12 +67,14 @@
 	return stops
 }
 
+// logAcceptedRecords logs and counts the accepted records that end attempts or
+// evict tasks.
 func (entry *Entry) logAcceptedRecords(ctx context.Context, records []*record.Record, outcomes []state.Outcome) {
-	for index, outcome := range outcomes {
+	for i, outcome := range outcomes {
 		if !outcome.IsAccepted() {
 			continue
 		}
-		switch body := records[index].GetBody().(type) {
+		switch body := records[i].GetBody().(type) {
 		case *record.Record_TaskFinish:
 			entry.metrics.countEndedAttempt(ctx, "finished")
 			entry.options.Events.Log(ctx, event.TaskRecorded, slog.String("task", body.TaskFinish.GetTask()),
@@ -85,8 +90,8 @@
 	}
 }
 
-// stopAttempt asks a guard to stop an attempt. A proof that it does not run there and
-// never will ends the attempt at once.
+// stopAttempt asks the guard to stop an attempt. If the guard replies that the
+// attempt is not running and will never start, the attempt is released at once.
 func (entry *Entry) stopAttempt(ctx context.Context, guard *membership.Guard, request *wire.StopRequest) {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
--- a/entry/suspicion.go
+++ b/entry/suspicion.go
@@ -13,14 +13,15 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// suspicionTracker notes since when this entry has known of a suspicion. It counts
-// anew after a restart, so it can only wait too long.
+// suspicionTracker records when this entry first saw the suspicion of each worker.
+// The times restart with the process. An entry may therefore wait longer than
+// needed for leases to expire, but never less.
 type suspicionTracker struct {
 	mu      sync.Mutex
 	active  map[string]activeSuspicion
 	missing map[string]time.Time
-	// ended is when the newest suspicion of a worker was seen to have ended:
-	// another entry had heard its guard.
+	// ended has the time at which this entry saw that the newest suspicion of a
+	// worker had ended, because some entry had received a report of its guard.
 	ended map[string]endedSuspicion
 }
 
@@ -29,16 +30,16 @@
 	since  time.Time
 }
 
-// activeSince returns since when this entry has known of the worker's suspicion.
-func (noted *suspicionTracker) activeSince(worker string, number uint64, now time.Time) time.Time {
-	noted.mu.Lock()
-	defer noted.mu.Unlock()
-	present, found := noted.active[worker]
-	if !found || present.number != number {
-		present = activeSuspicion{number: number, since: now}
-		noted.active[worker] = present
+// activeSince returns when this entry first saw the suspicion with this number.
+func (tracker *suspicionTracker) activeSince(worker string, number uint64, now time.Time) time.Time {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	current, found := tracker.active[worker]
+	if !found || current.number != number {
+		current = activeSuspicion{number: number, since: now}
+		tracker.active[worker] = current
 	}
-	return present.since
+	return current.since
 }
 
 type endedSuspicion struct {
@@ -46,45 +47,47 @@
 	endedAt time.Time
 }
 
-// lastEndedAt notes that a worker is under no suspicion after a number of them, and
-// returns when the newest was seen to have ended, zero if there was none.
-func (noted *suspicionTracker) lastEndedAt(worker string, number uint64, now time.Time) time.Time {
-	noted.mu.Lock()
-	defer noted.mu.Unlock()
-	if number > noted.ended[worker].number {
-		noted.ended[worker] = endedSuspicion{number: number, endedAt: now}
+// lastEndedAt records that the worker is not suspected, after the given number of
+// suspicions, and returns when this entry first saw that the newest of them had
+// ended. The time is zero if there was none.
+func (tracker *suspicionTracker) lastEndedAt(worker string, number uint64, now time.Time) time.Time {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if number > tracker.ended[worker].number {
+		tracker.ended[worker] = endedSuspicion{number: number, endedAt: now}
 	}
-	return noted.ended[worker].endedAt
+	return tracker.ended[worker].endedAt
 }
 
-// missingSince returns since when a worker that holds tasks has been missing.
-func (noted *suspicionTracker) missingSince(worker string, now time.Time) time.Time {
-	noted.mu.Lock()
-	defer noted.mu.Unlock()
-	if _, found := noted.missing[worker]; !found {
-		noted.missing[worker] = now
+// missingSince returns when this entry first found that it had no report of the guard
+// of a worker that holds tasks.
+func (tracker *suspicionTracker) missingSince(worker string, now time.Time) time.Time {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if _, found := tracker.missing[worker]; !found {
+		tracker.missing[worker] = now
 	}
-	return noted.missing[worker]
+	return tracker.missing[worker]
 }
 
-// checkSilence suspects workers whose guards are silent and releases the
-// attempts on those whose leases must have ended. It returns the records to
-// propose.
-func (entry *Entry) checkSilence(folded *state.State, now time.Time) []*record.Record {
+// checkSilence returns the records that suspect workers whose guards have stopped
+// reporting, and that release the attempts on suspected workers after their leases
+// have certainly expired.
+func (entry *Entry) checkSilence(st *state.State, now time.Time) []*record.Record {
 	var records []*record.Record
-	for _, worker := range folded.Workers() {
+	for _, worker := range st.Workers() {
 		if !entry.isResponsibleFor(worker, now) {
 			continue
 		}
-		suspicion := folded.ActiveSuspicion(worker)
+		suspicion := st.ActiveSuspicion(worker)
 		if suspicion == 0 {
-			if entry.isSilent(worker, folded.SuspicionCount(worker), now) {
+			if entry.isSilent(worker, st.SuspicionCount(worker), now) {
 				records = append(records, newSuspectRecord(worker, now))
 			}
 			continue
 		}
 		since := entry.suspicions.activeSince(worker, suspicion, now)
-		for _, task := range folded.TasksOnWorker(worker) {
+		for _, task := range st.TasksOnWorker(worker) {
 			if now.Sub(since) > lease.ExpiryWait(task.Lease(), offerTime) {
 				records = append(records, newLostRecord(task, suspicion, now))
 			}
@@ -93,8 +96,9 @@
 	return records
 }
 
-// isSilent reports whether nobody has heard the worker's guard for too long, as
-// far as this entry knows.
+// isSilent reports whether the worker's guard has not reported for longer than the
+// configured time. If a suspicion of the worker ended within this time, some entry
+// has received a report since, and the worker does not count as silent.
 func (entry *Entry) isSilent(worker string, suspicions uint64, now time.Time) bool {
 	settings := entry.documents.Config()
 	if settings == nil || now.Sub(entry.suspicions.lastEndedAt(worker, suspicions, now)) <= settings.Limits().WorkerSilent() {
@@ -107,37 +111,41 @@
 	return now.Sub(entry.suspicions.missingSince(worker, now)) > settings.Limits().WorkerSilent()
 }
 
+// newSuspectRecord returns the record that suspects the worker. Leases of its
+// attempts are not renewed until the suspicion ends.
 func newSuspectRecord(worker string, now time.Time) *record.Record {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_WorkerSuspect{WorkerSuspect: &record.WorkerSuspect{Worker: worker}}
 	return rec
 }
 
+// newLostRecord returns the record that releases an attempt on a suspected worker.
+// The log rejects it if the suspicion has ended.
 func newLostRecord(task *state.Task, suspicion uint64, now time.Time) *record.Record {
 	rec := newReleaseRecord(task.ID(), task.Attempt(), record.ReleaseReason_RELEASE_LOST, "its worker was silent until its lease had ended", nil, now)
 	rec.GetTaskRelease().Suspicion = suspicion
 	return rec
 }
 
-// updateSuspicions is the regular look for silent workers.
+// updateSuspicions appends the records of checkSilence and logs the accepted ones.
 func (entry *Entry) updateSuspicions(ctx context.Context) {
 	now := entry.now()
 	if !entry.isLogFresh(now) {
 		return
 	}
 	var records []*record.Record
-	entry.journal.View(func(folded *state.State) { records = entry.checkSilence(folded, now) })
+	entry.journal.View(func(st *state.State) { records = entry.checkSilence(st, now) })
 	if len(records) == 0 {
 		return
 	}
-	for index, outcome := range entry.propose(ctx, records...) {
+	for i, outcome := range entry.propose(ctx, records...) {
 		if !outcome.IsAccepted() {
 			continue
 		}
-		if suspect := records[index].GetWorkerSuspect(); suspect != nil {
+		if suspect := records[i].GetWorkerSuspect(); suspect != nil {
 			entry.options.Events.Log(ctx, event.WorkerSuspected, slog.String("worker", suspect.GetWorker()))
 			continue
 		}
-		entry.options.Events.Log(ctx, event.AttemptLost, slog.String("task", records[index].GetTaskRelease().GetTask()))
+		entry.options.Events.Log(ctx, event.AttemptLost, slog.String("task", records[i].GetTaskRelease().GetTask()))
 	}
 }
