--- a/entry/apply.go
+++ b/entry/apply.go
@@ -9,10 +9,12 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// applyDocument puts a newer copy of a document in force.
-func (entry *Entry) applyDocument(ctx context.Context, offered document.Copy) {
-	changed, err := entry.documents.Offer(offered)
-	attributes := []slog.Attr{slog.String("document", offered.Name), slog.Uint64("version", offered.Version)}
+// applyDocument puts a document in force if it is newer than the version in force,
+// and applies the limits of a new configuration. An unusable document is logged and
+// the version in force stays.
+func (entry *Entry) applyDocument(ctx context.Context, doc document.Copy) {
+	changed, err := entry.documents.Offer(doc)
+	attributes := []slog.Attr{slog.String("document", doc.Name), slog.Uint64("version", doc.Version)}
 	if err != nil {
 		entry.options.Events.Log(ctx, event.DocumentRejected, append(attributes, slog.String("error", err.Error()))...)
 		return
@@ -21,7 +23,7 @@
 		return
 	}
 	entry.options.Events.Log(ctx, event.DocumentInForce, attributes...)
-	if offered.Name == config.DocumentName {
+	if doc.Name == config.DocumentName {
 		limits := entry.documents.Config().Limits()
 		entry.retryBudget.SetRatio(limits.RetryRatio())
 		entry.view.SetSilent(limits.WorkerSilent())
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -24,150 +24,156 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-func apiDocument(kept *record.Document, content bool) api.Document {
-	shown := api.Document{
-		Name:    kept.GetName(),
-		Version: kept.GetVersion(),
-		Author:  kept.GetAuthor(),
-		Comment: kept.GetComment(),
-		Written: time.Unix(0, kept.GetWrittenUnixNano()).UTC(),
-	}
-	if content {
-		shown.Content = string(kept.GetContent())
-	}
-	return shown
+// apiDocument converts a stored document. Lists leave out the content.
+func apiDocument(stored *record.Document, withContent bool) api.Document {
+	doc := api.Document{
+		Name:    stored.GetName(),
+		Version: stored.GetVersion(),
+		Author:  stored.GetAuthor(),
+		Comment: stored.GetComment(),
+		Written: time.Unix(0, stored.GetWrittenUnixNano()).UTC(),
+	}
+	if withContent {
+		doc.Content = string(stored.GetContent())
+	}
+	return doc
 }
 
 func (entry *Entry) serveDocuments(writer http.ResponseWriter) {
-	listed := []api.Document{}
-	entry.journal.View(func(folded *state.State) {
-		for _, kept := range folded.Documents() {
-			listed = append(listed, apiDocument(kept, false))
+	list := []api.Document{}
+	entry.journal.View(func(st *state.State) {
+		for _, stored := range st.Documents() {
+			list = append(list, apiDocument(stored, false))
 		}
 	})
-	writeJSON(writer, http.StatusOK, listed)
+	writeJSON(writer, http.StatusOK, list)
 }
 
-// serveDocument shows the newest version, or the one that the query names.
+// serveDocument responds with the newest version of a document, or with the one in
+// the query parameter "version".
 func (entry *Entry) serveDocument(writer http.ResponseWriter, request *http.Request, name string) {
-	var shown *api.Document
-	wanted := request.URL.Query().Get("version")
-	entry.journal.View(func(folded *state.State) {
-		for _, kept := range folded.DocumentHistory(name) {
-			if wanted == "" || wanted == strconv.FormatUint(kept.GetVersion(), 10) {
-				found := apiDocument(kept, true)
-				shown = &found
+	var doc *api.Document
+	version := request.URL.Query().Get("version")
+	entry.journal.View(func(st *state.State) {
+		for _, stored := range st.DocumentHistory(name) {
+			if version == "" || version == strconv.FormatUint(stored.GetVersion(), 10) {
+				match := apiDocument(stored, true)
+				doc = &match
 			}
 		}
 	})
-	if shown == nil {
+	if doc == nil {
 		writeProblem(writer, notFoundProblem("no such version of "+strconv.Quote(name)+" is kept"))
 		return
 	}
-	writeJSON(writer, http.StatusOK, shown)
+	writeJSON(writer, http.StatusOK, doc)
 }
 
+// serveHistory lists the stored versions of a document, newest first.
 func (entry *Entry) serveHistory(writer http.ResponseWriter, name string) {
-	listed := []api.Document{}
-	entry.journal.View(func(folded *state.State) {
-		for _, kept := range folded.DocumentHistory(name) {
-			listed = append(listed, apiDocument(kept, false))
+	list := []api.Document{}
+	entry.journal.View(func(st *state.State) {
+		for _, stored := range st.DocumentHistory(name) {
+			list = append(list, apiDocument(stored, false))
 		}
 	})
-	slices.Reverse(listed)
-	writeJSON(writer, http.StatusOK, listed)
+	slices.Reverse(list)
+	writeJSON(writer, http.StatusOK, list)
 }
 
-// servePublish accepts a version of a document into the log, if it is valid
-// and based on the newest version.
+// servePublish publishes a new version of a document if it is valid and based on the
+// newest version.
 func (entry *Entry) servePublish(writer http.ResponseWriter, request *http.Request, name string) {
-	var asked api.PublishRequest
-	if sent := decodeBody(writer, request, &asked); sent != nil {
-		writeProblem(writer, sent)
+	var body api.PublishRequest
+	if problem := decodeBody(writer, request, &body); problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
-	shown, sent := entry.publish(request.Context(), name, &asked)
-	if sent != nil {
-		writeProblem(writer, sent)
+	doc, problem := entry.publish(request.Context(), name, &body)
+	if problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
-	writeJSON(writer, http.StatusOK, shown)
+	writeJSON(writer, http.StatusOK, doc)
 }
 
-func (entry *Entry) publish(ctx context.Context, name string, asked *api.PublishRequest) (*api.Document, *api.Problem) {
-	if faults := apiFaults(document.Check(name, []byte(asked.Content))); len(faults) > 0 {
-		sent := badRequestProblem("the document has faults; correct them and publish it again")
-		sent.Faults = faults
-		return nil, sent
+// publish validates the document and appends it to the log. If another version was
+// published meanwhile, it returns a conflict.
+func (entry *Entry) publish(ctx context.Context, name string, body *api.PublishRequest) (*api.Document, *api.Problem) {
+	if faults := apiFaults(document.Check(name, []byte(body.Content))); len(faults) > 0 {
+		problem := badRequestProblem("the document has faults; correct them and publish it again")
+		problem.Faults = faults
+		return nil, problem
 	}
 	now := entry.now()
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_Publish{Publish: &record.Publish{
 		Document: name,
-		BasedOn:  asked.BasedOn,
-		Author:   asked.Author,
-		Comment:  asked.Comment,
-		Content:  []byte(asked.Content),
+		BasedOn:  body.BasedOn,
+		Author:   body.Author,
+		Comment:  body.Comment,
+		Content:  []byte(body.Content),
 	}}
-	outcome, sent := entry.appendChange(ctx, rec)
-	if sent != nil {
-		return nil, sent
+	outcome, problem := entry.appendChange(ctx, rec)
+	if problem != nil {
+		return nil, problem
 	}
 	if !outcome.IsAccepted() {
-		entry.options.Events.Log(ctx, event.DocumentConflict, slog.String("document", name), slog.Uint64("based_on", asked.BasedOn), slog.String("author", asked.Author))
+		entry.options.Events.Log(ctx, event.DocumentConflict, slog.String("document", name), slog.Uint64("based_on", body.BasedOn), slog.String("author", body.Author))
 		return nil, newProblem(http.StatusConflict, api.TypeConflict, "The publication was not accepted",
-			fmt.Sprintf("%s: it was based on version %d and the newest is %d; look at that one and publish again", outcome.Reason(), asked.BasedOn, entry.newestVersion(name)))
+			fmt.Sprintf("%s: it was based on version %d and the newest is %d; look at that one and publish again", outcome.Reason(), body.BasedOn, entry.newestVersion(name)))
 	}
-	entry.options.Events.Log(ctx, event.DocumentPublished, slog.String("document", name), slog.Uint64("version", asked.BasedOn+1), slog.String("author", asked.Author))
-	return &api.Document{Name: name, Version: asked.BasedOn + 1, Author: asked.Author, Comment: asked.Comment, Written: now.UTC()}, nil
+	entry.options.Events.Log(ctx, event.DocumentPublished, slog.String("document", name), slog.Uint64("version", body.BasedOn+1), slog.String("author", body.Author))
+	return &api.Document{Name: name, Version: body.BasedOn + 1, Author: body.Author, Comment: body.Comment, Written: now.UTC()}, nil
 }
 
 func (entry *Entry) newestVersion(name string) (version uint64) {
-	entry.journal.View(func(folded *state.State) { version = folded.Document(name).GetVersion() })
+	entry.journal.View(func(st *state.State) { version = st.Document(name).GetVersion() })
 	return version
 }
 
-// apiFaults lists what is wrong in a document.
+// apiFaults converts the error of a document check into a list of faults.
 func apiFaults(err error) []api.Fault {
 	if err == nil {
 		return nil
 	}
-	var found config.Faults
-	if errors.As(err, &found) {
-		listed := make([]api.Fault, 0, len(found))
-		for _, fault := range found {
-			listed = append(listed, api.Fault(fault))
+	var configFaults config.Faults
+	if errors.As(err, &configFaults) {
+		faults := make([]api.Fault, 0, len(configFaults))
+		for _, fault := range configFaults {
+			faults = append(faults, api.Fault(fault))
 		}
-		return listed
+		return faults
 	}
-	var syntax *policy.SyntaxError
-	if errors.As(err, &syntax) {
-		return []api.Fault{{Line: syntax.Line, Column: syntax.Column, Message: syntax.Message}}
+	var syntaxErr *policy.SyntaxError
+	if errors.As(err, &syntaxErr) {
+		return []api.Fault{{Line: syntaxErr.Line, Column: syntaxErr.Column, Message: syntaxErr.Message}}
 	}
 	return []api.Fault{{Message: err.Error()}}
 }
 
-// serveCheck says what is wrong in a document, and which decisions a policy
-// would change on the present state.
+// serveCheck validates a document without publishing it. For a placement policy it
+// also lists the decisions that the policy would change in the present state.
 func (entry *Entry) serveCheck(writer http.ResponseWriter, request *http.Request, name string) {
-	var asked api.PublishRequest
-	if sent := decodeBody(writer, request, &asked); sent != nil {
-		writeProblem(writer, sent)
+	var body api.PublishRequest
+	if problem := decodeBody(writer, request, &body); problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
-	report := &api.CheckReport{Faults: apiFaults(document.Check(name, []byte(asked.Content)))}
+	report := &api.CheckReport{Faults: apiFaults(document.Check(name, []byte(body.Content)))}
 	report.Valid = len(report.Faults) == 0
 	if report.Valid && name == config.PolicyDocumentName(policy.Placement) {
-		entry.dryRun(report, asked.Content)
+		entry.dryRun(report, body.Content)
 	}
 	writeJSON(writer, http.StatusOK, report)
 }
 
-// dryRun decides for every task that waits or is placed, by the policy in
-// force and by the proposed one, as if it came now.
+// dryRun compares the decisions of the policy in force and of the proposed one for
+// every task that has not ended, as if each task were submitted now. A policy that
+// fails for a task is not valid.
 func (entry *Entry) dryRun(report *api.CheckReport, source string) {
-	trial := document.NewShelf()
-	if _, err := trial.Offer(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
+	proposed := document.NewShelf()
+	if _, err := proposed.Offer(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
 		report.Faults = apiFaults(err)
 		return
 	}
@@ -177,19 +183,19 @@
 	}
 	now := entry.now()
 	runner := policy.NewRunner()
-	entry.journal.View(func(folded *state.State) {
-		board := entry.placer.workerSet(folded, now)
-		for _, task := range folded.Tasks() {
+	entry.journal.View(func(st *state.State) {
+		workers := entry.placer.workerSet(st, now)
+		for _, task := range st.Tasks() {
 			if task.Phase().IsTerminal() {
 				continue
 			}
-			asked := entry.placer.newPlacementTask(settings, task, now)
-			before := board.Decide(runner, entry.policies(), asked)
-			after := board.Decide(runner, placement.Policies{InForce: trial.Placement(), BuiltIn: trial.BuiltIn()}, asked)
+			placementTask := entry.placer.newPlacementTask(settings, task, now)
+			before := workers.Decide(runner, entry.policies(), placementTask)
+			after := workers.Decide(runner, placement.Policies{InForce: proposed.Placement(), BuiltIn: proposed.BuiltIn()}, placementTask)
 			report.Checked++
-			if failure := after.PolicyError(); failure != nil {
+			if policyErr := after.PolicyError(); policyErr != nil {
 				report.Valid = false
-				report.Faults = append(report.Faults, api.Fault{Line: 1, Column: 1, Message: "it fails for task " + task.ID() + ": " + failure.Error()})
+				report.Faults = append(report.Faults, api.Fault{Line: 1, Column: 1, Message: "it fails for task " + task.ID() + ": " + policyErr.Error()})
 				return
 			}
 			if before.Worker() != after.Worker() {
@@ -199,43 +205,44 @@
 	})
 }
 
-// serveInForce says which instances decide by which versions, as this entry
-// has heard: its own at once, guards once a second.
+// serveInForce lists the document versions in force on this entry, the other entries
+// and the guards. Those of other instances are as of their last message, which they
+// send once a second.
 func (entry *Entry) serveInForce(writer http.ResponseWriter) {
-	accepted := map[string]uint64{}
-	entry.journal.View(func(folded *state.State) {
-		for _, kept := range folded.Documents() {
-			accepted[kept.GetName()] = kept.GetVersion()
+	acceptedVersions := map[string]uint64{}
+	entry.journal.View(func(st *state.State) {
+		for _, stored := range st.Documents() {
+			acceptedVersions[stored.GetName()] = stored.GetVersion()
 		}
 	})
-	listed := []api.InForce{}
-	for _, each := range entry.documents.Versions() {
-		listed = append(listed, api.InForce{Instance: entry.options.Name, Role: "entry", Document: each.Name, Version: each.Version, Accepted: accepted[each.Name]})
+	list := []api.InForce{}
+	for _, version := range entry.documents.Versions() {
+		list = append(list, api.InForce{Instance: entry.options.Name, Role: "entry", Document: version.Name, Version: version.Version, Accepted: acceptedVersions[version.Name]})
 	}
 	for _, peer := range entry.view.Peers() {
-		listed = append(listed, inForceVersions(peer.Name, "entry", peer.Documents, accepted)...)
+		list = append(list, inForceVersions(peer.Name, "entry", peer.Documents, acceptedVersions)...)
 	}
 	for _, guard := range entry.view.Guards() {
-		listed = append(listed, inForceVersions(guard.Name(), "guard", documentVersions(guard), accepted)...)
+		list = append(list, inForceVersions(guard.Name(), "guard", documentVersions(guard), acceptedVersions)...)
 	}
-	slices.SortStableFunc(listed, func(a, b api.InForce) int {
+	slices.SortStableFunc(list, func(a, b api.InForce) int {
 		return cmp.Or(cmp.Compare(a.Document, b.Document), cmp.Compare(a.Role, b.Role), cmp.Compare(a.Instance, b.Instance))
 	})
-	writeJSON(writer, http.StatusOK, listed)
+	writeJSON(writer, http.StatusOK, list)
 }
 
 func documentVersions(guard *membership.Guard) []document.Version {
 	versions := make([]document.Version, 0, len(guard.Documents()))
-	for _, each := range guard.Documents() {
-		versions = append(versions, document.Version{Name: each.GetName(), Version: each.GetVersion()})
+	for _, version := range guard.Documents() {
+		versions = append(versions, document.Version{Name: version.GetName(), Version: version.GetVersion()})
 	}
 	return versions
 }
 
-func inForceVersions(name, role string, versions []document.Version, accepted map[string]uint64) []api.InForce {
-	listed := make([]api.InForce, 0, len(versions))
-	for _, each := range versions {
-		listed = append(listed, api.InForce{Instance: name, Role: role, Document: each.Name, Version: each.Version, Accepted: accepted[each.Name]})
+func inForceVersions(name, role string, versions []document.Version, acceptedVersions map[string]uint64) []api.InForce {
+	list := make([]api.InForce, 0, len(versions))
+	for _, version := range versions {
+		list = append(list, api.InForce{Instance: name, Role: role, Document: version.Name, Version: version.Version, Accepted: acceptedVersions[version.Name]})
 	}
-	return listed
+	return list
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,20 +1,24 @@
-// Package entry is the process that callers and operators reach.
+// Package entry implements the process that serves the API of callers and
+// operators.
 //
-// An entry routes the requests of latency-critical services to backend
-// servers, through the guards beside them, and accepts tasks, documents and
-// drains into the log. It places pending tasks and settles what guards report.
-// It keeps nothing that another entry could not rebuild: any entry can serve
-// any caller, and all of them may go at any time.
+// An entry routes requests of latency-critical services to backend servers
+// through the guards on their workers. It appends submitted tasks, published
+// documents and drain orders to the log, assigns pending tasks to workers, and
+// appends records for the changes that guards report. An entry has no state of
+// its own that another entry could not rebuild from the log and from the
+// reports of guards. Any entry can therefore serve any caller, and every entry
+// may be stopped at any time.
 //
-// Work that several entries could do is shared out by a hash over those that
-// are live. While they disagree about who is live two may act for one task;
-// the log then lets the first win.
+// Background work that any entry could do is divided by a hash over the names
+// of the live entries. Entries that disagree about which of them are live may
+// act for the same task at the same time. The log then accepts the first
+// record and rejects the other.
 //
 // # Usage
 //
-//	entering := entry.New(entry.Options{Name: "entry-1", Journal: log, ...})
-//	handler, err := entering.Handler()
-//	go entering.Run(ctx)
+//	e := entry.New(entry.Options{Name: "entry-1", Journal: journal, ...})
+//	handler, err := e.Handler()
+//	go e.Run(ctx)
 package entry
 
 import (
@@ -51,32 +55,40 @@
 	appendTimeout       = 2 * time.Second
 	retryBurst          = 20
 	defaultRetryRatio   = 0.1
-	maxInFlight         = 4096
-	// startupGracePeriod is how long a new entry waits to hear of a backend server for
-	// each service before it takes requests all the same: by then every guard
-	// that can reach it has read the platform's list and reported.
+	// maxInFlight is the maximum number of service requests in progress.
+	maxInFlight = 4096
+	// startupGracePeriod is how long a new entry stays unready while a service
+	// has no ready backend server. After this time, every guard that can reach
+	// the entry has read the platform's instance list and sent a report.
 	startupGracePeriod = 5 * time.Second
-	// maxLogAge is how old the newest whole read of the log may be before the
-	// log counts as down.
+	// maxLogAge is the time since the last read to the end of the log after
+	// which the log counts as down.
 	maxLogAge = 3 * time.Second
 )
 
-// Options sets up an Entry.
+// Options configures an Entry.
 type Options struct {
-	Name          string
+	// Name is the instance name of the entry.
+	Name string
+	// FailureDomain is the failure domain of the entry. Requests prefer backend
+	// servers in the same domain.
 	FailureDomain string
-	Journal       *changelog.Journal
-	Instances     instances.Lister
-	Pool          *rpc.Pool
-	// Clock is the entry's clock. Default the real clock.
+	// Journal is the entry's replica of the shared state, through which it also
+	// appends to the log.
+	Journal *changelog.Journal
+	// Instances reads the platform's instance list.
+	Instances instances.Lister
+	// Pool holds the connections to guards and to other entries.
+	Pool *rpc.Pool
+	// Clock defaults to the system clock.
 	Clock clockwork.Clock
-	// Events receives log lines. Default none.
+	// Events writes the log lines. By default they are discarded.
 	Events *event.Logger
-	// Meters counts. Default the global provider.
+	// Meters creates the metric instruments. It defaults to the global provider.
 	Meters metric.MeterProvider
 }
 
-// Entry is the process that callers and operators reach.
+// Entry serves callers and operators and places tasks on workers.
 type Entry struct {
 	options         Options
 	startedAt       time.Time
@@ -93,11 +105,12 @@
 	suspicions      suspicionTracker
 	shutdownStarted chan struct{}
 	shutdownOnce    sync.Once
-	// background counts the actions that follow a decision.
+	// background counts the goroutines that carry out decisions, such as
+	// sending an offer to a guard.
 	background sync.WaitGroup
 }
 
-// New returns an entry that knows nothing yet.
+// New returns an Entry that has no document in force and knows of no guard.
 func New(options Options) *Entry {
 	if options.Clock == nil {
 		options.Clock = clockwork.NewRealClock()
@@ -127,18 +140,19 @@
 	return entry
 }
 
-// ActiveDocuments returns the documents in force.
+// ActiveDocuments returns the configuration and policies in force on this entry.
 func (entry *Entry) ActiveDocuments() *document.Shelf { return entry.documents }
 
-// Journal returns the entry's copy of the state.
+// Journal returns the entry's replica of the shared state.
 func (entry *Entry) Journal() *changelog.Journal { return entry.journal }
 
-// View returns what the entry knows of other instances.
+// View returns what the entry knows about guards and other entries.
 func (entry *Entry) View() *membership.View { return entry.view }
 
 func (entry *Entry) now() time.Time { return entry.options.Clock.Now() }
 
-// Ready returns nil when the entry may take requests, and otherwise why not.
+// Ready returns nil if the entry accepts requests, and otherwise an error with
+// the reason.
 func (entry *Entry) Ready() error {
 	if entry.shuttingDown.Load() {
 		return errShuttingDown
@@ -158,7 +172,8 @@
 	return nil
 }
 
-// Run does the entry's own work until ctx ends.
+// Run runs the background loops of the entry until ctx is done, and then waits
+// for the background actions they started.
 func (entry *Entry) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { entry.followDocuments(ctx) })
@@ -171,11 +186,12 @@
 	entry.background.Wait()
 }
 
-func (entry *Entry) runPeriodically(ctx context.Context, interval time.Duration, work func(ctx context.Context)) {
+// runPeriodically calls fn at once and then at every interval until ctx is done.
+func (entry *Entry) runPeriodically(ctx context.Context, interval time.Duration, fn func(ctx context.Context)) {
 	ticker := entry.options.Clock.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		work(ctx)
+		fn(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -184,8 +200,9 @@
 	}
 }
 
-// BeginShutdown makes the entry unready, so that the balancer sends it nothing more,
-// and ends open streams with the place from which to go on elsewhere.
+// BeginShutdown makes the entry unready, so that the load balancer sends it no
+// more requests, and ends open streams with an event that tells the caller where
+// to resume at another entry.
 func (entry *Entry) BeginShutdown() {
 	entry.shutdownOnce.Do(func() {
 		entry.shuttingDown.Store(true)
@@ -193,26 +210,28 @@
 	})
 }
 
-// WaitBackground waits until the actions that followed earlier decisions have ended.
+// WaitBackground waits until all background actions have ended.
 func (entry *Entry) WaitBackground() { entry.background.Wait() }
 
-// WaitClaims waits until the ends of all claims are recorded, or ctx ends. The
-// listener must have finished its requests before.
+// WaitClaims waits until the outcomes of all claims have been recorded in the
+// log, or until ctx is done. The HTTP server must have finished its requests
+// before.
 func (entry *Entry) WaitClaims(ctx context.Context) error {
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		entry.claims.Settle()
-		close(ended)
+		close(done)
 	}()
 	select {
-	case <-ended:
+	case <-done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// followDocuments puts what the log accepts in force.
+// followDocuments applies the newest documents whenever the state changes, until
+// ctx is done.
 func (entry *Entry) followDocuments(ctx context.Context) {
 	for {
 		changed := entry.journal.Changed()
@@ -225,16 +244,17 @@
 	}
 }
 
-// SyncDocuments puts the newest documents of the state in force.
+// SyncDocuments applies the newest version of each document in the state.
 func (entry *Entry) SyncDocuments(ctx context.Context) {
-	entry.journal.View(func(folded *state.State) {
-		for _, accepted := range folded.Documents() {
-			entry.applyDocument(ctx, document.Copy{Name: accepted.GetName(), Version: accepted.GetVersion(), Content: accepted.GetContent()})
+	entry.journal.View(func(st *state.State) {
+		for _, stored := range st.Documents() {
+			entry.applyDocument(ctx, document.Copy{Name: stored.GetName(), Version: stored.GetVersion(), Content: stored.GetContent()})
 		}
 	})
 }
 
-// RefreshInstances reads the platform's list and notes which guards have gone silent.
+// RefreshInstances reads the platform's instance list and updates the routing
+// table, in which the servers of guards that have stopped reporting become unready.
 func (entry *Entry) RefreshInstances(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
@@ -247,16 +267,17 @@
 	}
 }
 
-// isResponsibleFor reports whether this entry acts for the subject.
+// isResponsibleFor reports whether this entry, among the live ones, does the
+// background work for the subject: a task, a worker or a maintenance job.
 func (entry *Entry) isResponsibleFor(subject string, now time.Time) bool {
 	names := append(entry.view.LivePeers(now), entry.options.Name)
 	return membership.Owner(subject, names) == entry.options.Name
 }
 
-// isLogFresh reports whether the log has been read to its end lately.
+// isLogFresh reports whether the log was read to its end within maxLogAge.
 func (entry *Entry) isLogFresh(now time.Time) bool {
 	return entry.journal.Ready() == nil && now.Sub(entry.journal.SyncedAt()) < maxLogAge
 }
 
-// Queued returns how many requests of a service wait for a slot.
+// Queued returns the number of requests of the service that wait for a slot.
 func (entry *Entry) Queued(service string) int { return entry.routes.QueueLength(service) }
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -12,38 +12,42 @@
 	"ambertiller.example/ambertiller/state"
 )
 
+// policies returns the placement policy in force and the built-in one, which is
+// used when the former fails.
 func (entry *Entry) policies() placement.Policies {
 	return placement.Policies{InForce: entry.documents.Placement(), BuiltIn: entry.documents.BuiltIn()}
 }
 
-// serveExplain says why a task is where it is, or what it waits for.
+// serveExplain responds with the reason for a task's placement, or with the
+// constraints that keep it pending.
 func (entry *Entry) serveExplain(writer http.ResponseWriter, id string) {
-	var made *api.Explanation
+	var explanation *api.Explanation
 	settings := entry.documents.Config()
 	now := entry.now()
-	entry.journal.View(func(folded *state.State) {
-		task := folded.Task(id)
+	entry.journal.View(func(st *state.State) {
+		task := st.Task(id)
 		if task == nil || settings == nil {
 			return
 		}
-		made = &api.Explanation{Task: *apiTask(task), Policy: entry.documents.Placement().String()}
+		explanation = &api.Explanation{Task: *apiTask(task), Policy: entry.documents.Placement().String()}
 		if task.Phase() != state.PhasePending {
-			made.Summary = phaseSummary(task)
+			explanation.Summary = phaseSummary(task)
 			return
 		}
-		decision := entry.placer.decideTask(entry.placer.workerSet(folded, now), newTeamUsage(folded), settings, entry.policies(), task, now)
-		explainPending(made, decision)
+		decision := entry.placer.decideTask(entry.placer.workerSet(st, now), newTeamUsage(st), settings, entry.policies(), task, now)
+		explainPending(explanation, decision)
 	})
-	if made == nil {
+	if explanation == nil {
 		writeProblem(writer, notFoundProblem("no task has the ID "+strconv.Quote(id)))
 		return
 	}
 	if !entry.isLogFresh(now) {
-		made.Summary += "; the platform's log can't be read, so nothing is placed until it is back"
+		explanation.Summary += "; the platform's log can't be read, so nothing is placed until it is back"
 	}
-	writeJSON(writer, http.StatusOK, made)
+	writeJSON(writer, http.StatusOK, explanation)
 }
 
+// phaseSummary describes a task that is no longer pending.
 func phaseSummary(task *state.Task) string {
 	if !task.Phase().IsPlaced() {
 		return fmt.Sprintf("the task is %s: %s", task.Phase(), task.Reason())
@@ -51,25 +55,27 @@
 	return fmt.Sprintf("attempt %d is %s on %s, where policy %s placed it: %s", task.Attempt(), task.Phase(), task.Worker(), task.PolicyVersion(), task.Reason())
 }
 
-func explainPending(made *api.Explanation, decision *placement.Decision) {
-	made.Workers = decision.WorkerCount()
-	made.Policy = decision.Policy()
-	if failure := decision.PolicyError(); failure != nil {
-		made.PolicyFault = failure.Error()
+// explainPending fills in the outcome of a placement decision that was made for
+// the explanation only.
+func explainPending(explanation *api.Explanation, decision *placement.Decision) {
+	explanation.Workers = decision.WorkerCount()
+	explanation.Policy = decision.Policy()
+	if policyErr := decision.PolicyError(); policyErr != nil {
+		explanation.PolicyFault = policyErr.Error()
 	}
 	for _, constraint := range slices.Sorted(maps.Keys(decision.Rejected())) {
-		made.Constraints = append(made.Constraints, api.Constraint{Name: string(constraint), Workers: decision.Rejected()[constraint]})
+		explanation.Constraints = append(explanation.Constraints, api.Constraint{Name: string(constraint), Workers: decision.Rejected()[constraint]})
 	}
 	switch {
 	case decision.IsPlaced():
-		made.Candidate, made.Score = decision.Worker(), decision.Score()
-		made.Second, made.SecondScore = decision.RunnerUp()
-		made.Summary = "the task is about to be placed on " + decision.Worker()
+		explanation.Candidate, explanation.Score = decision.Worker(), decision.Score()
+		explanation.Second, explanation.SecondScore = decision.RunnerUp()
+		explanation.Summary = "the task is about to be placed on " + decision.Worker()
 	case decision.WorkerCount() == 0:
-		made.Summary = "the task waits: this entry has not heard of any worker"
+		explanation.Summary = "the task waits: this entry has not heard of any worker"
 	case decision.IsImpossible():
-		made.Summary = "the task can never run on the workers that are known"
+		explanation.Summary = "the task can never run on the workers that are known"
 	default:
-		made.Summary = fmt.Sprintf("the task waits: none of %d workers can take it now", decision.WorkerCount())
+		explanation.Summary = fmt.Sprintf("the task waits: none of %d workers can take it now", decision.WorkerCount())
 	}
 }
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -12,10 +12,12 @@
 	"ambertiller.example/ambertiller/api"
 )
 
-// maxControlBodyBytes is the largest body of a call that is not a service request.
+// maxControlBodyBytes is the maximum body size of API requests that are not routed
+// to a service.
 const maxControlBodyBytes = 1 << 20
 
-// Handler returns the HTTP interface for callers, operators and the balancer.
+// Handler returns the HTTP handler for callers, operators and the health checks of
+// the load balancer.
 func (entry *Entry) Handler() (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -42,7 +44,7 @@
 	return app, nil
 }
 
-// healthStatus is the body of the health and readiness checks.
+// healthStatus is the response body of the health and readiness checks.
 type healthStatus struct {
 	Status string `json:"status"`
 	Reason string `json:"reason,omitempty"`
@@ -50,17 +52,18 @@
 }
 
 func (entry *Entry) serveReady(writer http.ResponseWriter) {
-	state := healthStatus{Status: "ready", Log: "up"}
+	status := healthStatus{Status: "ready", Log: "up"}
 	if !entry.isLogFresh(entry.now()) {
-		// An entry without the log still serves repeatable requests.
-		state.Log = "down"
+		// An entry stays ready without the log: it can still serve requests that
+		// may be repeated.
+		status.Log = "down"
 	}
 	if err := entry.Ready(); err != nil {
-		state.Status, state.Reason = "not ready", err.Error()
-		writeJSON(writer, http.StatusServiceUnavailable, state)
+		status.Status, status.Reason = "not ready", err.Error()
+		writeJSON(writer, http.StatusServiceUnavailable, status)
 		return
 	}
-	writeJSON(writer, http.StatusOK, state)
+	writeJSON(writer, http.StatusOK, status)
 }
 
 func (entry *Entry) addTaskRoutes(app *iris.Application) {
@@ -101,12 +104,12 @@
 	app.Get("/v1/in-force", func(ctx iris.Context) { entry.serveInForce(ctx.ResponseWriter()) })
 }
 
-// decodeBody decodes a JSON body strictly: unknown fields and anything after the
-// value are faults.
-func decodeBody(writer http.ResponseWriter, request *http.Request, into any) *api.Problem {
+// decodeBody decodes a JSON body. It rejects unknown fields and data after the
+// JSON value.
+func decodeBody(writer http.ResponseWriter, request *http.Request, target any) *api.Problem {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxControlBodyBytes))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return decodeProblem(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
@@ -116,8 +119,8 @@
 }
 
 func decodeProblem(err error) *api.Problem {
-	var most *http.MaxBytesError
-	if errors.As(err, &most) {
+	var sizeErr *http.MaxBytesError
+	if errors.As(err, &sizeErr) {
 		return newProblem(http.StatusRequestEntityTooLarge, api.TypeTooLarge, "The body is too large", "give at most 1 MiB")
 	}
 	return badRequestProblem("the body is not the JSON expected here: " + strings.TrimPrefix(err.Error(), "json: "))
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -8,8 +8,8 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// Documents answers another entry, or the guard of another process, with the
-// documents that it lacks. It implements the drpc service.
+// Documents returns to another entry, or to a guard, the documents that are newer
+// than the versions it has. It implements the DRPC service of entries.
 func (entry *Entry) Documents(ctx context.Context, request *wire.DocumentsRequest) (*wire.DocumentsReply, error) {
 	have := wire.FromVersions(request.GetHave())
 	return &wire.DocumentsReply{
@@ -19,8 +19,9 @@
 	}, nil
 }
 
-// SyncPeers learns which other entries are there, and takes over documents that
-// they have and the log has not brought here.
+// SyncPeers asks every other entry on the platform's list for its documents. The
+// replies show which entries are live, and bring documents that this entry has not
+// read from the log yet.
 func (entry *Entry) SyncPeers(ctx context.Context) {
 	var calls sync.WaitGroup
 	for _, peer := range entry.view.Entries() {
@@ -32,6 +33,8 @@
 	calls.Wait()
 }
 
+// syncPeer asks one entry. An entry that does not answer is tried again in the next
+// round.
 func (entry *Entry) syncPeer(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
@@ -41,26 +44,28 @@
 		return
 	}
 	entry.view.PeerHeard(membership.Peer{Name: reply.GetEntry(), HeardAt: entry.now(), Documents: wire.FromVersions(reply.GetInForce())})
-	for _, copied := range reply.GetDocuments() {
-		entry.applyDocument(ctx, wire.FromCopy(copied))
+	for _, doc := range reply.GetDocuments() {
+		entry.applyDocument(ctx, wire.FromCopy(doc))
 	}
 }
 
-// fetchIfNewer notices that a guard holds a newer document than this entry,
-// as after a cold start with the log down, and fetches it.
-func (entry *Entry) fetchIfNewer(ctx context.Context, held []*wire.DocumentVersion, address string) {
-	mine := map[string]uint64{}
-	for _, each := range entry.documents.Versions() {
-		mine[each.Name] = each.Version
+// fetchIfNewer fetches the documents of a guard in the background if it has a
+// newer version than this entry. This happens when an entry starts while the log
+// is down.
+func (entry *Entry) fetchIfNewer(ctx context.Context, guardVersions []*wire.DocumentVersion, address string) {
+	ownVersions := map[string]uint64{}
+	for _, version := range entry.documents.Versions() {
+		ownVersions[version.Name] = version.Version
 	}
-	for _, each := range held {
-		if each.GetVersion() > mine[each.GetName()] {
+	for _, version := range guardVersions {
+		if version.GetVersion() > ownVersions[version.GetName()] {
 			entry.background.Go(func() { entry.fetchDocuments(context.WithoutCancel(ctx), address) })
 			return
 		}
 	}
 }
 
+// fetchDocuments applies the documents of the guard that are newer than this entry's.
 func (entry *Entry) fetchDocuments(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
@@ -69,7 +74,7 @@
 	if err != nil {
 		return
 	}
-	for _, copied := range reply.GetDocuments() {
-		entry.applyDocument(ctx, wire.FromCopy(copied))
+	for _, doc := range reply.GetDocuments() {
+		entry.applyDocument(ctx, wire.FromCopy(doc))
 	}
 }
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -16,53 +16,55 @@
 const (
 	headerLastEventID = "Last-Event-ID"
 	followRetryDelay  = 200 * time.Millisecond
-	// eventMoved tells a client to go on at another entry, eventEnd that the
-	// watch is over.
+	// eventMoved tells the caller to resume at another entry, and eventEnd that
+	// the watch has ended.
 	eventMoved  = "moved"
 	eventEnd    = "end"
 	eventOutput = "output"
 )
 
-// serveStream streams what a watch produces as server-sent events. The stream
-// goes on when the watch is moved to another worker; each event's ID is the
-// sequence number to go on from.
+// serveStream streams the output of a watch as server-sent events. The stream
+// continues when the watch moves to another worker. The ID of each event is the
+// sequence number after which a caller can resume.
 func (entry *Entry) serveStream(writer http.ResponseWriter, request *http.Request, id string) {
-	after, sent := entry.parseStreamStart(request, id)
-	if sent != nil {
-		writeProblem(writer, sent)
+	lastSequence, problem := entry.parseStreamStart(request, id)
+	if problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.Header().Set("Cache-Control", "no-store")
 	writer.WriteHeader(http.StatusOK)
-	streaming := &watchStream{entry: entry, taskID: id, lastSequence: after, writer: writer, controller: http.NewResponseController(writer)}
-	streaming.run(request.Context())
+	stream := &watchStream{entry: entry, taskID: id, lastSequence: lastSequence, writer: writer, controller: http.NewResponseController(writer)}
+	stream.run(request.Context())
 }
 
+// parseStreamStart returns the sequence number after which the stream starts: that
+// of the Last-Event-ID header, or else of the query parameter "after", or else 0.
 func (entry *Entry) parseStreamStart(request *http.Request, id string) (uint64, *api.Problem) {
 	if entry.shuttingDown.Load() {
 		return 0, notRunProblem(errShuttingDown.Error(), minRetryAfter)
 	}
-	var known bool
-	entry.journal.View(func(folded *state.State) { known = folded.Task(id) != nil })
-	if !known {
+	var exists bool
+	entry.journal.View(func(st *state.State) { exists = st.Task(id) != nil })
+	if !exists {
 		return 0, notFoundProblem("no task has the ID " + strconv.Quote(id))
 	}
-	from := request.Header.Get(headerLastEventID)
-	if from == "" {
-		from = request.URL.Query().Get("after")
+	lastEvent := request.Header.Get(headerLastEventID)
+	if lastEvent == "" {
+		lastEvent = request.URL.Query().Get("after")
 	}
-	if from == "" {
+	if lastEvent == "" {
 		return 0, nil
 	}
-	after, err := strconv.ParseUint(from, 10, 64)
+	lastSequence, err := strconv.ParseUint(lastEvent, 10, 64)
 	if err != nil {
 		return 0, badRequestProblem(headerLastEventID + " must be a sequence number")
 	}
-	return after, nil
+	return lastSequence, nil
 }
 
-// watchStream is one caller's stream of a watch.
+// watchStream streams a watch to one caller.
 type watchStream struct {
 	entry        *Entry
 	taskID       string
@@ -71,47 +73,51 @@
 	controller   *http.ResponseController
 }
 
-func (streaming *watchStream) run(ctx context.Context) {
+// run relays output until the watch ends, the caller disconnects, or the entry shuts
+// down.
+func (s *watchStream) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-streaming.entry.shutdownStarted:
+		case <-s.entry.shutdownStarted:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	for ctx.Err() == nil {
-		changed := streaming.entry.journal.Changed()
-		address, ended := streaming.currentGuard()
+		changed := s.entry.journal.Changed()
+		address, ended := s.currentGuard()
 		if ended {
-			_ = streaming.sendEvent(eventEnd, nil)
+			_ = s.sendEvent(eventEnd, nil)
 			return
 		}
 		if address != "" {
-			// A stream that breaks off is taken up again from where it got to.
-			_ = streaming.follow(ctx, address)
+			// The next pass of the loop resumes an interrupted stream after
+			// lastSequence.
+			_ = s.follow(ctx, address)
 		}
-		streaming.waitForChange(ctx, changed)
+		s.waitForChange(ctx, changed)
 	}
-	if streaming.entry.shuttingDown.Load() {
-		_ = streaming.sendEvent(eventMoved, nil)
+	if s.entry.shuttingDown.Load() {
+		_ = s.sendEvent(eventMoved, nil)
 	}
 }
 
-// waitForChange pauses until the state changes, or a moment has passed.
-func (streaming *watchStream) waitForChange(ctx context.Context, changed <-chan struct{}) {
+// waitForChange waits until the state changes, for at most followRetryDelay.
+func (s *watchStream) waitForChange(ctx context.Context, changed <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-changed:
-	case <-streaming.entry.options.Clock.After(followRetryDelay):
+	case <-s.entry.options.Clock.After(followRetryDelay):
 	}
 }
 
-// currentGuard returns the guard that runs the watch now, and whether it has ended.
-func (streaming *watchStream) currentGuard() (address string, ended bool) {
-	streaming.entry.journal.View(func(folded *state.State) {
-		task := folded.Task(streaming.taskID)
+// currentGuard returns the address of the guard that runs the watch, or "" if it is
+// not placed, and whether the watch has ended.
+func (s *watchStream) currentGuard() (address string, ended bool) {
+	s.entry.journal.View(func(st *state.State) {
+		task := st.Task(s.taskID)
 		if task == nil || task.Phase().IsTerminal() {
 			ended = true
 			return
@@ -119,16 +125,18 @@
 		if !task.Phase().IsPlaced() {
 			return
 		}
-		if guard := streaming.entry.view.Guard(task.Worker()); guard != nil {
+		if guard := s.entry.view.Guard(task.Worker()); guard != nil {
 			address = guard.Address()
 		}
 	})
 	return address, ended
 }
 
-func (streaming *watchStream) follow(ctx context.Context, address string) error {
-	client := wire.NewDRPCGuardClient(streaming.entry.options.Pool.Conn(address))
-	stream, err := client.Follow(ctx, &wire.FollowRequest{Task: streaming.taskID, AfterSequence: streaming.lastSequence})
+// follow relays the output of one attempt until that attempt's output or the
+// connection to its guard ends. Output that was sent before is skipped.
+func (s *watchStream) follow(ctx context.Context, address string) error {
+	client := wire.NewDRPCGuardClient(s.entry.options.Pool.Conn(address))
+	stream, err := client.Follow(ctx, &wire.FollowRequest{Task: s.taskID, AfterSequence: s.lastSequence})
 	if err != nil {
 		return err
 	}
@@ -141,21 +149,22 @@
 		if output.GetLast() {
 			return nil
 		}
-		if output.GetSequence() <= streaming.lastSequence {
+		if output.GetSequence() <= s.lastSequence {
 			continue
 		}
-		streaming.lastSequence = output.GetSequence()
-		if err := streaming.sendEvent(eventOutput, output.GetData()); err != nil {
+		s.lastSequence = output.GetSequence()
+		if err := s.sendEvent(eventOutput, output.GetData()); err != nil {
 			return err
 		}
 	}
 }
 
-// sendEvent writes one event and flushes it.
-func (streaming *watchStream) sendEvent(name string, data []byte) error {
+// sendEvent writes and flushes one event. Each line of the data gets a field of its
+// own, as the format of server-sent events requires.
+func (s *watchStream) sendEvent(name string, data []byte) error {
 	text := strings.ReplaceAll(string(data), "\n", "\ndata: ")
-	if _, err := fmt.Fprintf(streaming.writer, "id: %d\nevent: %s\ndata: %s\n\n", streaming.lastSequence, name, text); err != nil {
+	if _, err := fmt.Fprintf(s.writer, "id: %d\nevent: %s\ndata: %s\n\n", s.lastSequence, name, text); err != nil {
 		return err
 	}
-	return streaming.controller.Flush()
+	return s.controller.Flush()
 }
--- a/entry/taskcheck.go
+++ b/entry/taskcheck.go
@@ -9,72 +9,77 @@
 	"ambertiller.example/ambertiller/config"
 )
 
-// taskChecker collects the faults of a submission.
+// taskChecker validates the fields of a submitted task and collects the faults.
 type taskChecker struct {
 	faults []api.Fault
 }
 
-func (check *taskChecker) addFault(path, format string, arguments ...any) {
-	check.faults = append(check.faults, api.Fault{Path: path, Message: fmt.Sprintf(format, arguments...)})
+func (c *taskChecker) addFault(path, format string, args ...any) {
+	c.faults = append(c.faults, api.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-func (check *taskChecker) checkKind(settings *config.Config, name string) config.Kind {
+func (c *taskChecker) checkKind(settings *config.Config, name string) config.Kind {
 	kind, found := settings.Kind(name)
 	if !found {
-		check.addFault("kind", "%q is not one of the configured kinds", name)
+		c.addFault("kind", "%q is not one of the configured kinds", name)
 	} else if kind.Class() == config.LatencyCritical {
-		check.addFault("kind", "%q is latency-critical; send its work as requests of a service", name)
+		c.addFault("kind", "%q is latency-critical; send its work as requests of a service", name)
 	}
 	return kind
 }
 
-func (check *taskChecker) checkTeam(settings *config.Config, name string) {
+func (c *taskChecker) checkTeam(settings *config.Config, name string) {
 	if _, found := settings.Team(name); !found {
-		check.addFault("team", "%q is not one of the configured teams", name)
+		c.addFault("team", "%q is not one of the configured teams", name)
 	}
 }
 
-func (check *taskChecker) checkLength(path, given string, most int) string {
-	if len(given) > most {
-		check.addFault(path, "it has %d bytes; the most is %d", len(given), most)
+// checkLength returns the text unchanged, and adds a fault if it is longer than limit
+// bytes.
+func (c *taskChecker) checkLength(path, value string, limit int) string {
+	if len(value) > limit {
+		c.addFault(path, "it has %d bytes; the most is %d", len(value), limit)
 	}
-	return given
+	return value
 }
 
-func (check *taskChecker) checkDuration(path, given string) time.Duration {
-	if given == "" {
+// checkDuration parses a duration from 0 to maxRunTime. An empty value is 0.
+func (c *taskChecker) checkDuration(path, value string) time.Duration {
+	if value == "" {
 		return 0
 	}
-	parsed, err := time.ParseDuration(given)
+	parsed, err := time.ParseDuration(value)
 	if err != nil || parsed < 0 || parsed > maxRunTime {
-		check.addFault(path, "%q is not a duration from 0 to %s, such as 90s", given, maxRunTime)
+		c.addFault(path, "%q is not a duration from 0 to %s, such as 90s", value, maxRunTime)
 	}
 	return parsed
 }
 
-func (check *taskChecker) checkProcessors(given float64) int64 {
-	if math.IsNaN(given) || given < 0 || given > maxProcessors {
-		check.addFault("processors", "%g is out of bounds; give 0 to %d", given, maxProcessors)
+// checkProcessors returns the processors in thousandths, rounded up.
+func (c *taskChecker) checkProcessors(value float64) int64 {
+	if math.IsNaN(value) || value < 0 || value > maxProcessors {
+		c.addFault("processors", "%g is out of bounds; give 0 to %d", value, maxProcessors)
 		return 0
 	}
-	return int64(math.Ceil(given * millisPerCore))
+	return int64(math.Ceil(value * millisPerCore))
 }
 
-func (check *taskChecker) checkSize(path, given string) int64 {
-	if given == "" {
+// checkSize parses a size in bytes. An empty value is 0.
+func (c *taskChecker) checkSize(path, value string) int64 {
+	if value == "" {
 		return 0
 	}
-	parsed, err := config.ParseSize(given)
+	parsed, err := config.ParseSize(value)
 	if err != nil {
-		check.addFault(path, "%v", err)
+		c.addFault(path, "%v", err)
 	}
 	return parsed
 }
 
-func (check *taskChecker) checkCount(path string, given, most int64) int64 {
-	if given < 0 || given > most {
-		check.addFault(path, "%d is out of bounds; give 0 to %d", given, most)
+func (c *taskChecker) checkCount(path string, value, limit int64) int64 {
+	if value < 0 || value > limit {
+		c.addFault(path, "%d is out of bounds; give 0 to %d", value, limit)
 		return 0
 	}
-	return given
+	return value
 }
--- a/entry/tasks.go
+++ b/entry/tasks.go
@@ -26,21 +26,23 @@
 	maxAccelerators = 1 << 16
 	maxPriority     = 1000
 	maxRunTime      = 30 * 24 * time.Hour
-	// taskIDNamespace makes a task's ID out of its team and key, so that the same
-	// submission is the same task whichever entry takes it.
+	// taskIDNamespace is the UUID namespace of task IDs, which are derived from the
+	// team and the idempotency key. The same submission thus gets the same ID at
+	// every entry.
 	taskIDNamespace = "8f0b8b4e-6f0e-4c55-9a3e-5d7f2b1c9a10"
 )
 
-// serveSubmit accepts a batch job or a watch.
+// serveSubmit handles the submission of a batch job or a watch. It responds with 201
+// for a new task and with 200 for one that was submitted before.
 func (entry *Entry) serveSubmit(writer http.ResponseWriter, request *http.Request) {
-	var asked api.TaskRequest
-	if sent := decodeBody(writer, request, &asked); sent != nil {
-		writeProblem(writer, sent)
+	var body api.TaskRequest
+	if problem := decodeBody(writer, request, &body); problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
-	created, task, sent := entry.submit(request.Context(), &asked, request.Header.Get(api.HeaderKey))
-	if sent != nil {
-		writeProblem(writer, sent)
+	created, task, problem := entry.submit(request.Context(), &body, request.Header.Get(api.HeaderKey))
+	if problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
 	status := http.StatusOK
@@ -51,12 +53,12 @@
 	writeJSON(writer, status, task)
 }
 
-// submit accepts a task into the log. A second submission with the same team
-// and key returns the first one's task.
-func (entry *Entry) submit(ctx context.Context, asked *api.TaskRequest, key string) (bool, *api.Task, *api.Problem) {
-	spec, sent := entry.parseSpec(asked)
-	if sent != nil {
-		return false, nil, sent
+// submit appends a task to the log, and reports whether it is new. A second
+// submission with the same team and key returns the task of the first.
+func (entry *Entry) submit(ctx context.Context, body *api.TaskRequest, key string) (bool, *api.Task, *api.Problem) {
+	spec, problem := entry.parseSpec(body)
+	if problem != nil {
+		return false, nil, problem
 	}
 	if len(key) > maxNameBytes {
 		return false, nil, badRequestProblem(api.HeaderKey + " has at most " + strconv.Itoa(maxNameBytes) + " bytes")
@@ -65,102 +67,103 @@
 		key = uuid.NewString()
 	}
 	id := taskID(spec.GetTeam(), key)
-	if task, sent := entry.existingTask(id, spec); task != nil || sent != nil {
-		return false, task, sent
+	if task, problem := entry.existingTask(id, spec); task != nil || problem != nil {
+		return false, task, problem
 	}
-	if sent := entry.checkFeasible(spec); sent != nil {
-		return false, nil, sent
+	if problem := entry.checkFeasible(spec); problem != nil {
+		return false, nil, problem
 	}
-	if sent := entry.checkPendingLimit(spec); sent != nil {
-		return false, nil, sent
+	if problem := entry.checkPendingLimit(spec); problem != nil {
+		return false, nil, problem
 	}
 	rec := changelog.NewRecord(entry.now())
 	rec.Body = &record.Record_TaskCreate{TaskCreate: &record.TaskCreate{Task: id, Spec: spec, IdempotencyKey: key}}
-	outcome, sent := entry.appendChange(ctx, rec)
-	if sent != nil {
-		return false, nil, sent
+	outcome, problem := entry.appendChange(ctx, rec)
+	if problem != nil {
+		return false, nil, problem
 	}
-	task, sent := entry.existingTask(id, spec)
-	if sent == nil && task == nil {
+	task, problem := entry.existingTask(id, spec)
+	if problem == nil && task == nil {
 		return false, nil, badRequestProblem("the log did not accept the task: " + string(outcome.Reason()))
 	}
 	if outcome.IsAccepted() {
 		entry.options.Events.Log(ctx, event.TaskSubmitted, slog.String("task", id), slog.String("team", spec.GetTeam()), slog.String("kind", spec.GetKind()))
 	}
-	return outcome.IsAccepted(), task, sent
+	return outcome.IsAccepted(), task, problem
 }
 
 func taskID(team, key string) string {
 	return uuid.NewSHA1(uuid.MustParse(taskIDNamespace), []byte(team+"\x00"+key)).String()
 }
 
-// existingTask returns the task of an ID, and a conflict when it was submitted
-// with another specification.
+// existingTask returns the task with the ID, or nil if there is none, or a conflict
+// if the task has another specification.
 func (entry *Entry) existingTask(id string, spec *record.TaskSpec) (*api.Task, *api.Problem) {
-	var found *api.Task
-	var sent *api.Problem
-	entry.journal.View(func(folded *state.State) {
-		task := folded.Task(id)
+	var result *api.Task
+	var problem *api.Problem
+	entry.journal.View(func(st *state.State) {
+		task := st.Task(id)
 		if task == nil {
 			return
 		}
 		if !proto.Equal(task.Spec(), spec) {
-			sent = newProblem(http.StatusConflict, api.TypeConflict, "The key was used for another task", "task "+id+" has another specification; use another "+api.HeaderKey)
+			problem = newProblem(http.StatusConflict, api.TypeConflict, "The key was used for another task", "task "+id+" has another specification; use another "+api.HeaderKey)
 			return
 		}
-		found = apiTask(task)
+		result = apiTask(task)
 	})
-	return found, sent
+	return result, problem
 }
 
-// parseSpec checks what was asked for, all of it at once.
-func (entry *Entry) parseSpec(asked *api.TaskRequest) (*record.TaskSpec, *api.Problem) {
+// parseSpec converts a submission into a task specification. The problem lists all
+// faults of the submission.
+func (entry *Entry) parseSpec(body *api.TaskRequest) (*record.TaskSpec, *api.Problem) {
 	settings := entry.documents.Config()
 	if settings == nil {
 		return nil, notRunProblem(errNoConfig.Error(), defaultRetryAfter)
 	}
-	check := &taskChecker{}
-	kind := check.checkKind(settings, asked.Kind)
-	check.checkTeam(settings, asked.Team)
-	runTime := check.checkDuration("run_time", asked.RunTime)
-	if most := kind.MaxRunTime(); most > 0 && runTime > most {
-		check.addFault("run_time", "%s is longer than %s, which tasks of this kind may take", runTime, most)
+	checker := &taskChecker{}
+	kind := checker.checkKind(settings, body.Kind)
+	checker.checkTeam(settings, body.Team)
+	runTime := checker.checkDuration("run_time", body.RunTime)
+	if limit := kind.MaxRunTime(); limit > 0 && runTime > limit {
+		checker.addFault("run_time", "%s is longer than %s, which tasks of this kind may take", runTime, limit)
 	}
 	spec := &record.TaskSpec{
-		Team:          asked.Team,
-		Kind:          asked.Kind,
-		Name:          check.checkLength("name", asked.Name, maxNameBytes),
-		FailureDomain: check.checkLength("failure_domain", asked.FailureDomain, maxNameBytes),
-		Input:         []byte(check.checkLength("input", asked.Input, state.MaxInputBytes)),
+		Team:          body.Team,
+		Kind:          body.Kind,
+		Name:          checker.checkLength("name", body.Name, maxNameBytes),
+		FailureDomain: checker.checkLength("failure_domain", body.FailureDomain, maxNameBytes),
+		Input:         []byte(checker.checkLength("input", body.Input, state.MaxInputBytes)),
 		Priority:      int32(kind.Priority()),
 		RunTimeNanos:  runTime.Nanoseconds(),
 		Resources: &record.Resources{
-			MilliCpu:     check.checkProcessors(asked.Processors),
-			MemoryBytes:  check.checkSize("memory", asked.Memory),
-			Accelerators: check.checkCount("accelerators", asked.Accelerators, maxAccelerators),
+			MilliCpu:     checker.checkProcessors(body.Processors),
+			MemoryBytes:  checker.checkSize("memory", body.Memory),
+			Accelerators: checker.checkCount("accelerators", body.Accelerators, maxAccelerators),
 		},
 	}
-	if asked.Priority != nil {
-		spec.Priority = int32(check.checkCount("priority", int64(*asked.Priority), maxPriority))
+	if body.Priority != nil {
+		spec.Priority = int32(checker.checkCount("priority", int64(*body.Priority), maxPriority))
 	}
-	if len(check.faults) > 0 {
-		sent := badRequestProblem("the task has faults; correct them and submit it again")
-		sent.Faults = check.faults
-		return nil, sent
+	if len(checker.faults) > 0 {
+		problem := badRequestProblem("the task has faults; correct them and submit it again")
+		problem.Faults = checker.faults
+		return nil, problem
 	}
 	return spec, nil
 }
 
-// checkFeasible refuses work that no known worker could run even when empty, and
-// work that its team's quota never lets run.
+// checkFeasible rejects a task that no known worker could run even if it were empty,
+// and a task that exceeds its team's quota on its own.
 func (entry *Entry) checkFeasible(spec *record.TaskSpec) *api.Problem {
 	if (usageByTeam{}).exceedsQuota(entry.documents.Config(), spec) {
 		return newProblem(http.StatusUnprocessableEntity, api.TypeImpossible, "The task can never run", "it asks for more than the quota of team "+spec.GetTeam())
 	}
 	var decision *placement.Decision
-	entry.journal.View(func(folded *state.State) {
-		board := entry.placer.workerSet(folded, entry.now())
-		decision = board.Decide(policy.NewRunner(), entry.policies(), &placement.Task{Spec: spec})
+	entry.journal.View(func(st *state.State) {
+		workers := entry.placer.workerSet(st, entry.now())
+		decision = workers.Decide(policy.NewRunner(), entry.policies(), &placement.Task{Spec: spec})
 	})
 	if !decision.IsImpossible() {
 		return nil
@@ -170,21 +173,23 @@
 			decision.Rejected()[placement.TooSmall], decision.Rejected()[placement.OtherDomain]))
 }
 
-// pendingRetryAfter is when a submission that found too many waiting may come back.
+// pendingRetryAfter is the Retry-After of a submission that was rejected because too
+// many tasks of its kind are pending.
 const pendingRetryAfter = 10 * time.Second
 
-// checkPendingLimit refuses a task of a kind of which as many wait as may.
+// checkPendingLimit rejects a task if its kind has reached its limit of pending
+// tasks.
 func (entry *Entry) checkPendingLimit(spec *record.TaskSpec) *api.Problem {
 	kind, _ := entry.documents.Config().Kind(spec.GetKind())
 	if kind.MaxPending() == 0 {
 		return nil
 	}
-	var waiting int
-	entry.journal.View(func(folded *state.State) { waiting = folded.PendingCountOfKind(spec.GetKind()) })
-	if waiting < kind.MaxPending() {
+	var pending int
+	entry.journal.View(func(st *state.State) { pending = st.PendingCountOfKind(spec.GetKind()) })
+	if pending < kind.MaxPending() {
 		return nil
 	}
-	return notRunProblem(fmt.Sprintf("%d tasks of kind %s wait already, which is as many as may", waiting, spec.GetKind()), pendingRetryAfter)
+	return notRunProblem(fmt.Sprintf("%d tasks of kind %s wait already, which is as many as may", pending, spec.GetKind()), pendingRetryAfter)
 }
 
 func apiTask(task *state.Task) *api.Task {
@@ -211,70 +216,71 @@
 }
 
 func (entry *Entry) serveTask(writer http.ResponseWriter, id string) {
-	var found *api.Task
-	entry.journal.View(func(folded *state.State) {
-		if task := folded.Task(id); task != nil {
-			found = apiTask(task)
+	var result *api.Task
+	entry.journal.View(func(st *state.State) {
+		if task := st.Task(id); task != nil {
+			result = apiTask(task)
 		}
 	})
-	if found == nil {
+	if result == nil {
 		writeProblem(writer, notFoundProblem("no task has the ID "+strconv.Quote(id)))
 		return
 	}
-	writeJSON(writer, http.StatusOK, found)
+	writeJSON(writer, http.StatusOK, result)
 }
 
-// maxListed bounds one listing.
+// maxListed is the maximum number of tasks in one response.
 const maxListed = 10_000
 
-// serveTasks lists tasks, oldest first, of one team, kind, phase or worker if
-// the query says so.
+// serveTasks lists tasks, oldest first. The query parameters team, kind, phase and
+// worker select some of them.
 func (entry *Entry) serveTasks(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
-	wanted := func(task *api.Task) bool {
+	matchesQuery := func(task *api.Task) bool {
 		return matchesFilter(query.Get("team"), task.Team) && matchesFilter(query.Get("kind"), task.Kind) &&
 			matchesFilter(query.Get("phase"), task.Phase) && matchesFilter(query.Get("worker"), task.Worker)
 	}
-	listed := []*api.Task{}
-	entry.journal.View(func(folded *state.State) {
-		for _, task := range folded.Tasks() {
-			if shown := apiTask(task); wanted(shown) && len(listed) < maxListed {
-				listed = append(listed, shown)
+	list := []*api.Task{}
+	entry.journal.View(func(st *state.State) {
+		for _, task := range st.Tasks() {
+			if row := apiTask(task); matchesQuery(row) && len(list) < maxListed {
+				list = append(list, row)
 			}
 		}
 	})
-	writeJSON(writer, http.StatusOK, listed)
+	writeJSON(writer, http.StatusOK, list)
 }
 
-func matchesFilter(asked, is string) bool { return asked == "" || asked == is }
+func matchesFilter(filter, value string) bool { return filter == "" || filter == value }
 
+// serveResult responds with the output of a task that has ended.
 func (entry *Entry) serveResult(writer http.ResponseWriter, id string) {
 	var result *api.Result
-	var sent *api.Problem
-	entry.journal.View(func(folded *state.State) {
-		task := folded.Task(id)
+	var problem *api.Problem
+	entry.journal.View(func(st *state.State) {
+		task := st.Task(id)
 		switch {
 		case task == nil:
-			sent = notFoundProblem("no task has the ID " + strconv.Quote(id))
+			problem = notFoundProblem("no task has the ID " + strconv.Quote(id))
 		case !task.Phase().IsTerminal():
-			sent = newProblem(http.StatusConflict, api.TypeConflict, "The task has not ended", "it is "+task.Phase().String()+": "+task.Reason())
+			problem = newProblem(http.StatusConflict, api.TypeConflict, "The task has not ended", "it is "+task.Phase().String()+": "+task.Reason())
 		default:
 			result = &api.Result{ID: id, Phase: task.Phase().String(), Reason: task.Reason(), Output: string(task.Result())}
 		}
 	})
-	if sent != nil {
-		writeProblem(writer, sent)
+	if problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
 	writeJSON(writer, http.StatusOK, result)
 }
 
-// serveCancel cancels a task. Cancelling one that has ended changes nothing.
+// serveCancel cancels a task. Cancelling a task that has ended has no effect.
 func (entry *Entry) serveCancel(writer http.ResponseWriter, request *http.Request, id string) {
 	rec := changelog.NewRecord(entry.now())
 	rec.Body = &record.Record_TaskCancel{TaskCancel: &record.TaskCancel{Task: id}}
-	outcome, done := entry.appendOrRespond(writer, request, rec)
-	if !done {
+	outcome, ok := entry.appendOrRespond(writer, request, rec)
+	if !ok {
 		return
 	}
 	ctx := request.Context()
@@ -285,18 +291,19 @@
 	entry.serveTask(writer, id)
 }
 
-// stopCancelled tells the guard at once; if that fails, its next report will.
+// stopCancelled asks the guard to stop a cancelled task. If this fails, the request
+// is repeated after the guard's next report.
 func (entry *Entry) stopCancelled(ctx context.Context, id string) {
-	var made *reportActions
-	entry.journal.View(func(folded *state.State) {
-		task := folded.Task(id)
+	var actions *reportActions
+	entry.journal.View(func(st *state.State) {
+		task := st.Task(id)
 		if task == nil || task.Phase() != state.PhaseStopping {
 			return
 		}
 		if guard := entry.view.Guard(task.Worker()); guard != nil {
-			made = &reportActions{}
-			made.stops = append(made.stops, newStopRequest(task, guard))
-			entry.background.Go(func() { entry.runActions(ctx, guard, made) })
+			actions = &reportActions{}
+			actions.stops = append(actions.stops, newStopRequest(task, guard))
+			entry.background.Go(func() { entry.runActions(ctx, guard, actions) })
 		}
 	})
 }
--- a/entry/throttle.go
+++ b/entry/throttle.go
@@ -11,12 +11,12 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// serveThrottle bounds a running task to a share of its processors. It holds
-// for the present attempt and is not kept in the log.
+// serveThrottle limits a running task to a share of its processors. The limit
+// applies to the current attempt only and is not recorded in the log.
 func (entry *Entry) serveThrottle(writer http.ResponseWriter, request *http.Request, id string) {
-	var asked api.ThrottleRequest
-	if sent := decodeBody(writer, request, &asked); sent != nil {
-		writeProblem(writer, sent)
+	var body api.ThrottleRequest
+	if problem := decodeBody(writer, request, &body); problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
 	guard, attempt := entry.runningAttempt(id)
@@ -24,27 +24,29 @@
 		writeProblem(writer, notFoundProblem("no worker runs a task of ID "+strconv.Quote(id)))
 		return
 	}
-	if sent := entry.throttleAttempt(request.Context(), guard, &wire.ThrottleRequest{Task: id, Attempt: attempt, Share: asked.Share}); sent != nil {
-		writeProblem(writer, sent)
+	if problem := entry.throttleAttempt(request.Context(), guard, &wire.ThrottleRequest{Task: id, Attempt: attempt, Share: body.Share}); problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
-	writeJSON(writer, http.StatusOK, asked)
+	writeJSON(writer, http.StatusOK, body)
 }
 
-// runningAttempt returns the guard that runs a task, and the attempt.
+// runningAttempt returns the guard that runs the task, or nil, and the attempt.
 func (entry *Entry) runningAttempt(id string) (guard *membership.Guard, attempt uint64) {
-	entry.journal.View(func(folded *state.State) {
-		if task := folded.Task(id); task != nil && task.Phase() == state.PhaseRunning {
+	entry.journal.View(func(st *state.State) {
+		if task := st.Task(id); task != nil && task.Phase() == state.PhaseRunning {
 			guard, attempt = entry.view.Guard(task.Worker()), task.Attempt()
 		}
 	})
 	return guard, attempt
 }
 
-func (entry *Entry) throttleAttempt(ctx context.Context, guard *membership.Guard, asked *wire.ThrottleRequest) *api.Problem {
+// throttleAttempt sends the request to the guard. Without a reply it is unknown
+// whether the limit was applied.
+func (entry *Entry) throttleAttempt(ctx context.Context, guard *membership.Guard, request *wire.ThrottleRequest) *api.Problem {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
-	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(guard.Address())).Throttle(ctx, asked)
+	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(guard.Address())).Throttle(ctx, request)
 	if err != nil {
 		return unknownOutcomeProblem(http.StatusBadGateway, err.Error())
 	}
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -14,45 +14,46 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// serveWorkers lists the workers and what each carries.
+// serveWorkers lists the workers with their state, resources and tasks.
 func (entry *Entry) serveWorkers(writer http.ResponseWriter) {
 	now := entry.now()
-	listed := []api.Worker{}
-	entry.journal.View(func(folded *state.State) {
+	list := []api.Worker{}
+	entry.journal.View(func(st *state.State) {
 		for _, guard := range entry.view.Guards() {
-			listed = append(listed, entry.apiWorker(folded, guard, now))
+			list = append(list, entry.apiWorker(st, guard, now))
 		}
 	})
-	writeJSON(writer, http.StatusOK, listed)
+	writeJSON(writer, http.StatusOK, list)
 }
 
-func (entry *Entry) apiWorker(folded *state.State, guard *membership.Guard, now time.Time) api.Worker {
-	laid := entry.placer.newPlacementWorker(folded, guard, now)
-	shown := api.Worker{
+func (entry *Entry) apiWorker(st *state.State, guard *membership.Guard, now time.Time) api.Worker {
+	worker := entry.placer.newPlacementWorker(st, guard, now)
+	row := api.Worker{
 		Name:          guard.Name(),
 		FailureDomain: guard.FailureDomain(),
 		Rack:          guard.Rack(),
 		Service:       guard.Service(),
-		State:         entry.workerState(folded, guard, now),
-		Draining:      folded.IsDraining(guard.Name()),
-		Processors:    float64(laid.Capacity.MilliCPU) / millisPerCore,
-		FreeCPU:       float64(laid.Capacity.MilliCPU-laid.Committed.MilliCPU) / millisPerCore,
-		MemoryBytes:   laid.Capacity.MemoryBytes,
-		Accelerators:  laid.Capacity.Accelerators,
+		State:         entry.workerState(st, guard, now),
+		Draining:      st.IsDraining(guard.Name()),
+		Processors:    float64(worker.Capacity.MilliCPU) / millisPerCore,
+		FreeCPU:       float64(worker.Capacity.MilliCPU-worker.Committed.MilliCPU) / millisPerCore,
+		MemoryBytes:   worker.Capacity.MemoryBytes,
+		Accelerators:  worker.Capacity.Accelerators,
 		SlotsUsed:     guard.Load().GetSlotsUsed(),
 		Slots:         guard.Load().GetSlots(),
 		Tasks:         []string{},
 		HeardAt:       guard.HeardAt().UTC(),
 	}
-	for _, task := range folded.TasksOnWorker(guard.Name()) {
-		shown.Tasks = append(shown.Tasks, task.ID())
+	for _, task := range st.TasksOnWorker(guard.Name()) {
+		row.Tasks = append(row.Tasks, task.ID())
 	}
-	return shown
+	return row
 }
 
-func (entry *Entry) workerState(folded *state.State, guard *membership.Guard, now time.Time) string {
+// workerState returns the state of the worker in the API.
+func (entry *Entry) workerState(st *state.State, guard *membership.Guard, now time.Time) string {
 	switch {
-	case folded.ActiveSuspicion(guard.Name()) != 0:
+	case st.ActiveSuspicion(guard.Name()) != 0:
 		return "suspected"
 	case entry.view.Silent(guard, now):
 		return "silent"
@@ -64,20 +65,20 @@
 	return "ready"
 }
 
-// isKnownWorker reports whether the worker's guard has been heard, or the state
-// speaks of the worker: an entry that has just started must still be able to
-// end the drain of a worker whose guard is silent.
+// isKnownWorker reports whether the worker's guard has reported to this entry or the
+// state has the worker. The state is checked so that an entry that has just started
+// can end the drain of a worker whose guard does not report.
 func (entry *Entry) isKnownWorker(worker string) bool {
 	known := entry.view.Guard(worker) != nil
-	entry.journal.View(func(folded *state.State) { known = known || folded.HasWorker(worker) })
+	entry.journal.View(func(st *state.State) { known = known || st.HasWorker(worker) })
 	return known
 }
 
-// serveDrain begins or ends the drain of a worker.
+// serveDrain starts or ends the drain of a worker.
 func (entry *Entry) serveDrain(writer http.ResponseWriter, request *http.Request, worker string) {
-	var asked api.DrainRequest
-	if sent := decodeBody(writer, request, &asked); sent != nil {
-		writeProblem(writer, sent)
+	var body api.DrainRequest
+	if problem := decodeBody(writer, request, &body); problem != nil {
+		writeProblem(writer, problem)
 		return
 	}
 	if !entry.isKnownWorker(worker) {
@@ -85,13 +86,13 @@
 		return
 	}
 	rec := changelog.NewRecord(entry.now())
-	rec.Body = &record.Record_WorkerDrain{WorkerDrain: &record.WorkerDrain{Worker: worker, Draining: asked.Draining, Author: asked.Author}}
-	outcome, done := entry.appendOrRespond(writer, request, rec)
-	if !done {
+	rec.Body = &record.Record_WorkerDrain{WorkerDrain: &record.WorkerDrain{Worker: worker, Draining: body.Draining, Author: body.Author}}
+	outcome, ok := entry.appendOrRespond(writer, request, rec)
+	if !ok {
 		return
 	}
 	if outcome.IsAccepted() {
-		entry.options.Events.Log(request.Context(), event.WorkerDrained, slog.String("worker", worker), slog.Bool("draining", asked.Draining), slog.String("author", asked.Author))
+		entry.options.Events.Log(request.Context(), event.WorkerDrained, slog.String("worker", worker), slog.Bool("draining", body.Draining), slog.String("author", body.Author))
 	}
-	writeJSON(writer, http.StatusOK, asked)
+	writeJSON(writer, http.StatusOK, body)
 }
