--- a/entry/peers.go
+++ b/entry/peers.go
@@ -8,8 +8,9 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// Documents returns to another entry, or to a guard, the documents that are newer
-// than the versions it has. It implements the DRPC service of entries.
+// Documents returns the documents that are newer than the versions in the request.
+// Entries call it to synchronise with each other. It implements the DRPC service of
+// entries.
 func (entry *Entry) Documents(ctx context.Context, request *wire.DocumentsRequest) (*wire.DocumentsReply, error) {
 	have := wire.FromVersions(request.GetHave())
 	return &wire.DocumentsReply{
--- a/entry/request.go
+++ b/entry/request.go
@@ -164,8 +164,9 @@
 	return min(timeout, limit), nil
 }
 
-// parseRepeatable parses the header that says whether the request may be repeated.
-// By default GET and HEAD may, and other methods if the service says so.
+// parseRepeatable parses the header that allows or forbids repeating the request.
+// Without it, GET and HEAD requests may be repeated, and others if the configuration
+// of the service allows it.
 func parseRepeatable(value, method string, defaultValue bool) (bool, error) {
 	if value == "" {
 		return defaultValue || method == http.MethodGet || method == http.MethodHead, nil
