--- a/api/api.go
+++ b/api/api.go
@@ -19,12 +19,12 @@
 
 // Headers of requests.
 const (
-	HeaderRequestID  = "X-Request-Id"
-	HeaderTimeout    = "X-Request-Timeout"
-	HeaderRepeatable = "X-Request-Repeatable"
-	HeaderKey        = "Idempotency-Key"
-	HeaderTeam       = "X-Team"
-	HeaderRetryAfter = "Retry-After"
+	HeaderRequestID      = "X-Request-Id"
+	HeaderTimeout        = "X-Request-Timeout"
+	HeaderRepeatable     = "X-Request-Repeatable"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderTeam           = "X-Team"
+	HeaderRetryAfter     = "Retry-After"
 )
 
 // ProblemType is the content type of problems, RFC 9457.
@@ -39,20 +39,20 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-const typeBase = "https://ambertiller.example/problems/"
+const problemTypePrefix = "https://ambertiller.example/problems/"
 
 // Problem types.
 const (
-	TypeNotRun     = typeBase + "not-run"
-	TypeUnknown    = typeBase + "unknown"
-	TypeClaimed    = typeBase + "already-claimed"
-	TypeBadRequest = typeBase + "bad-request"
-	TypeNotFound   = typeBase + "not-found"
-	TypeConflict   = typeBase + "conflict"
-	TypeImpossible = typeBase + "can-never-run"
-	TypeLog        = typeBase + "log-unavailable"
-	TypeTooLarge   = typeBase + "too-large"
-	TypeMethod     = typeBase + "method-not-allowed"
+	TypeNotRun           = problemTypePrefix + "not-run"
+	TypeUnknown          = problemTypePrefix + "unknown"
+	TypeAlreadyClaimed   = problemTypePrefix + "already-claimed"
+	TypeBadRequest       = problemTypePrefix + "bad-request"
+	TypeNotFound         = problemTypePrefix + "not-found"
+	TypeConflict         = problemTypePrefix + "conflict"
+	TypeCanNeverRun      = problemTypePrefix + "can-never-run"
+	TypeLogUnavailable   = problemTypePrefix + "log-unavailable"
+	TypeTooLarge         = problemTypePrefix + "too-large"
+	TypeMethodNotAllowed = problemTypePrefix + "method-not-allowed"
 )
 
 // Problem is the body of every failure.
@@ -118,8 +118,8 @@
 	Accelerators  int64     `json:"accelerators"`
 	Priority      int32     `json:"priority"`
 	Policy        string    `json:"policy,omitempty"`
-	Created       time.Time `json:"created"`
-	Changed       time.Time `json:"changed"`
+	CreatedAt     time.Time `json:"created"`
+	ChangedAt     time.Time `json:"changed"`
 }
 
 // Result is what a finished task produced.
@@ -132,22 +132,22 @@
 
 // Explanation says why a task is where it is, or what it waits for.
 type Explanation struct {
-	Task        Task         `json:"task"`
-	Summary     string       `json:"summary"`
-	Constraints []Constraint `json:"constraints,omitempty"`
-	Workers     int          `json:"workers"`
-	Candidate   string       `json:"candidate,omitempty"`
-	Score       float64      `json:"score,omitempty"`
-	Second      string       `json:"second,omitempty"`
-	SecondScore float64      `json:"second_score,omitempty"`
-	Policy      string       `json:"policy"`
-	PolicyFault string       `json:"policy_fault,omitempty"`
+	Task          Task         `json:"task"`
+	Summary       string       `json:"summary"`
+	Constraints   []Constraint `json:"constraints,omitempty"`
+	WorkerCount   int          `json:"workers"`
+	Candidate     string       `json:"candidate,omitempty"`
+	Score         float64      `json:"score,omitempty"`
+	RunnerUp      string       `json:"second,omitempty"`
+	RunnerUpScore float64      `json:"second_score,omitempty"`
+	Policy        string       `json:"policy"`
+	PolicyError   string       `json:"policy_fault,omitempty"`
 }
 
 // Constraint counts the workers that a constraint leaves out.
 type Constraint struct {
-	Name    string `json:"name"`
-	Workers int    `json:"workers"`
+	Name            string `json:"name"`
+	ExcludedWorkers int    `json:"workers"`
 }
 
 // ThrottleRequest bounds a running task to a share of its processors.
@@ -157,20 +157,20 @@
 
 // Worker shows a worker and what it carries.
 type Worker struct {
-	Name          string    `json:"name"`
-	FailureDomain string    `json:"failure_domain"`
-	Rack          string    `json:"rack"`
-	Service       string    `json:"service"`
-	State         string    `json:"state"`
-	Draining      bool      `json:"draining"`
-	Processors    float64   `json:"processors"`
-	FreeCPU       float64   `json:"free_processors"`
-	MemoryBytes   int64     `json:"memory_bytes"`
-	Accelerators  int64     `json:"accelerators"`
-	SlotsUsed     int32     `json:"slots_used"`
-	Slots         int32     `json:"slots"`
-	Tasks         []string  `json:"tasks"`
-	HeardAt       time.Time `json:"heard_at"`
+	Name           string    `json:"name"`
+	FailureDomain  string    `json:"failure_domain"`
+	Rack           string    `json:"rack"`
+	Service        string    `json:"service"`
+	State          string    `json:"state"`
+	Draining       bool      `json:"draining"`
+	Processors     float64   `json:"processors"`
+	FreeProcessors float64   `json:"free_processors"`
+	MemoryBytes    int64     `json:"memory_bytes"`
+	Accelerators   int64     `json:"accelerators"`
+	SlotsUsed      int32     `json:"slots_used"`
+	Slots          int32     `json:"slots"`
+	Tasks          []string  `json:"tasks"`
+	LastReportAt   time.Time `json:"heard_at"`
 }
 
 // DrainRequest begins or ends the drain of a worker.
@@ -189,31 +189,31 @@
 
 // Document shows a version of a document.
 type Document struct {
-	Name    string    `json:"name"`
-	Version uint64    `json:"version"`
-	Author  string    `json:"author,omitempty"`
-	Comment string    `json:"comment,omitempty"`
-	Written time.Time `json:"written"`
-	Content string    `json:"content,omitempty"`
+	Name      string    `json:"name"`
+	Version   uint64    `json:"version"`
+	Author    string    `json:"author,omitempty"`
+	Comment   string    `json:"comment,omitempty"`
+	WrittenAt time.Time `json:"written"`
+	Content   string    `json:"content,omitempty"`
 }
 
 // CheckReport says what publishing a document would do.
 type CheckReport struct {
-	Valid   bool     `json:"valid"`
-	Faults  []Fault  `json:"faults,omitempty"`
-	Checked int      `json:"decisions_checked"`
-	Changes []Change `json:"changes,omitempty"`
+	Valid            bool             `json:"valid"`
+	Faults           []Fault          `json:"faults,omitempty"`
+	CheckedDecisions int              `json:"decisions_checked"`
+	Changes          []DecisionChange `json:"changes,omitempty"`
 }
 
-// Change is a decision that would be another one.
-type Change struct {
+// DecisionChange is a decision that would be another one.
+type DecisionChange struct {
 	Task   string `json:"task"`
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// InForce says which instance decides by which version of a document.
-type InForce struct {
+// DocumentInForce says which instance decides by which version of a document.
+type DocumentInForce struct {
 	Instance string `json:"instance"`
 	Role     string `json:"role"`
 	Document string `json:"document"`
--- a/cmd/ambertiller/path_test.go
+++ b/cmd/ambertiller/path_test.go
@@ -138,7 +138,7 @@
 		if err != nil {
 			return err
 		}
-		var listed []api.InForce
+		var listed []api.DocumentInForce
 		if err := json.Unmarshal([]byte(out), &listed); err != nil {
 			return err
 		}
--- a/command/command.go
+++ b/command/command.go
@@ -82,13 +82,13 @@
 			return ExitFaults
 		}
 		return ExitUsage
-	case api.TypeConflict, api.TypeClaimed:
+	case api.TypeConflict, api.TypeAlreadyClaimed:
 		return ExitConflict
 	case api.TypeNotFound:
 		return ExitNotFound
 	case api.TypeNotRun:
 		return ExitUnavailable
-	case api.TypeLog:
+	case api.TypeLogUnavailable:
 		if problem.Outcome == api.OutcomeUnknown {
 			return ExitUnreachable
 		}
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -73,9 +73,9 @@
 		"conflict":      {api.Problem{Type: api.TypeConflict, Status: http.StatusConflict}, command.ExitConflict},
 		"faults":        {api.Problem{Type: api.TypeBadRequest, Status: http.StatusBadRequest, Faults: []api.Fault{{Message: "x"}}}, command.ExitFaults},
 		"bad request":   {api.Problem{Type: api.TypeBadRequest, Status: http.StatusBadRequest}, command.ExitUsage},
-		"log down":      {api.Problem{Type: api.TypeLog, Status: http.StatusServiceUnavailable, Outcome: api.OutcomeNotRun}, command.ExitUnavailable},
-		"log unsettled": {api.Problem{Type: api.TypeLog, Status: http.StatusServiceUnavailable, Outcome: api.OutcomeUnknown}, command.ExitUnreachable},
-		"can never run": {api.Problem{Type: api.TypeImpossible, Status: http.StatusUnprocessableEntity}, command.ExitFailed},
+		"log down":      {api.Problem{Type: api.TypeLogUnavailable, Status: http.StatusServiceUnavailable, Outcome: api.OutcomeNotRun}, command.ExitUnavailable},
+		"log unsettled": {api.Problem{Type: api.TypeLogUnavailable, Status: http.StatusServiceUnavailable, Outcome: api.OutcomeUnknown}, command.ExitUnreachable},
+		"can never run": {api.Problem{Type: api.TypeCanNeverRun, Status: http.StatusUnprocessableEntity}, command.ExitFailed},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/command/operator.go
+++ b/command/operator.go
@@ -36,7 +36,7 @@
 			for _, worker := range workers {
 				rows = append(rows, []string{
 					worker.Name, worker.FailureDomain, worker.Rack, worker.State, strconv.FormatBool(worker.Draining),
-					formatFloat(worker.FreeCPU) + "/" + formatFloat(worker.Processors),
+					formatFloat(worker.FreeProcessors) + "/" + formatFloat(worker.Processors),
 					fmt.Sprintf("%d/%d", worker.SlotsUsed, worker.Slots), strings.Join(worker.Tasks, " "),
 				})
 			}
@@ -222,7 +222,7 @@
 	for _, fault := range report.Faults {
 		rows = append(rows, []string{"fault", formatFaults([]api.Fault{fault})})
 	}
-	rows = append(rows, []string{"decisions checked", formatInt(report.Checked)}, []string{"decisions changed", formatInt(len(report.Changes))})
+	rows = append(rows, []string{"decisions checked", formatInt(report.CheckedDecisions)}, []string{"decisions changed", formatInt(len(report.Changes))})
 	for _, change := range report.Changes {
 		rows = append(rows, []string{"task " + change.Task, change.Before + " -> " + change.After})
 	}
@@ -275,7 +275,7 @@
 	}
 	rows := make([][]string, 0, len(versions))
 	for _, version := range versions {
-		rows = append(rows, []string{formatUint(version.Version), version.Author, version.Written.Format(timeFormat), version.Comment})
+		rows = append(rows, []string{formatUint(version.Version), version.Author, version.WrittenAt.Format(timeFormat), version.Comment})
 	}
 	return calling.printer.print(versions, []string{"VERSION", "AUTHOR", "WRITTEN", "COMMENT"}, rows)
 }
@@ -299,7 +299,7 @@
 	if calling.printer.asJSON {
 		return calling.printer.print(&shown, nil, nil)
 	}
-	_, err = fmt.Fprintf(calling.printer.out, "# %s version %d by %s, %s\n%s", shown.Name, shown.Version, shown.Author, shown.Written.Format(timeFormat), shown.Content)
+	_, err = fmt.Fprintf(calling.printer.out, "# %s version %d by %s, %s\n%s", shown.Name, shown.Version, shown.Author, shown.WrittenAt.Format(timeFormat), shown.Content)
 	return errors.Wrap(err, "print")
 }
 
@@ -315,11 +315,11 @@
 	if err != nil {
 		return err
 	}
-	var all []api.InForce
+	var all []api.DocumentInForce
 	if err := calling.call(ctx, http.MethodGet, "/v1/in-force", nil, nil, &all); err != nil {
 		return err
 	}
-	listed := []api.InForce{}
+	listed := []api.DocumentInForce{}
 	rows := [][]string{}
 	for _, each := range all {
 		if name != "" && each.Document != name {
--- a/command/task.go
+++ b/command/task.go
@@ -57,7 +57,7 @@
 			}
 			header := http.Header{}
 			if key := from.String("key"); key != "" {
-				header.Set(api.HeaderKey, key)
+				header.Set(api.HeaderIdempotencyKey, key)
 			}
 			var task api.Task
 			if err := calling.call(ctx, http.MethodPost, "/v1/tasks", header, asked, &task); err != nil {
@@ -100,7 +100,7 @@
 		"attempt", formatUint(task.Attempt), "evictions", formatInt(task.Evictions), "start failures", formatInt(task.StartFailures),
 		"processors", formatFloat(task.Processors), "memory", formatBytes(task.MemoryBytes), "accelerators", formatInt(int(task.Accelerators)),
 		"priority", formatInt(int(task.Priority)), "policy", task.Policy,
-		"created", task.Created.Format(timeFormat), "changed", task.Changed.Format(timeFormat))
+		"created", task.CreatedAt.Format(timeFormat), "changed", task.ChangedAt.Format(timeFormat))
 }
 
 // singleArgumentAction is an Action that needs exactly one argument.
@@ -221,17 +221,17 @@
 
 func explanationRows(made *api.Explanation) [][]string {
 	rows := [][]string{{"summary", made.Summary}, {"policy", made.Policy}}
-	if made.PolicyFault != "" {
-		rows = append(rows, []string{"policy fault", made.PolicyFault})
+	if made.PolicyError != "" {
+		rows = append(rows, []string{"policy fault", made.PolicyError})
 	}
 	if made.Candidate != "" {
 		rows = append(rows, []string{"best worker", made.Candidate + " scores " + formatFloat(made.Score)})
 	}
-	if made.Second != "" {
-		rows = append(rows, []string{"next best", made.Second + " scores " + formatFloat(made.SecondScore)})
+	if made.RunnerUp != "" {
+		rows = append(rows, []string{"next best", made.RunnerUp + " scores " + formatFloat(made.RunnerUpScore)})
 	}
 	for _, constraint := range made.Constraints {
-		rows = append(rows, []string{"left out: " + constraint.Name, fmt.Sprintf("%d of %d workers", constraint.Workers, made.Workers)})
+		rows = append(rows, []string{"left out: " + constraint.Name, fmt.Sprintf("%d of %d workers", constraint.ExcludedWorkers, made.WorkerCount)})
 	}
 	return rows
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -32,24 +32,24 @@
 )
 
 const (
-	headerTimeout     = 5 * time.Second
-	bodyTimeout       = 30 * time.Second
-	idleTimeout       = 2 * time.Minute
-	maxHeaderBytes    = 32 << 10
-	platformIdleConns = 8
-	platformTimeout   = 40 * time.Second
+	readHeaderTimeout   = 5 * time.Second
+	readTimeout         = 30 * time.Second
+	idleTimeout         = 2 * time.Minute
+	maxHeaderBytes      = 32 << 10
+	maxIdleConnsPerHost = 8
+	platformTimeout     = 40 * time.Second
 )
 
 // Names of the services of a kernel.
 const (
-	ServiceMetrics = "metrics"
-	ServicePool    = "pool"
-	ServiceJournal = "journal"
-	ServiceRole    = "role"
-	ServiceRPC     = "rpc"
-	ServiceHTTP    = "http"
-	ServiceDrain   = "drain"
-	ServiceSettle  = "settle"
+	ServiceMetrics   = "metrics"
+	ServicePool      = "pool"
+	ServiceJournal   = "journal"
+	ServiceRole      = "role"
+	ServiceRPC       = "rpc"
+	ServiceHTTP      = "http"
+	ServiceDrain     = "drain"
+	ServiceClaimEnds = "settle"
 )
 
 // Daemon is one running role.
@@ -75,28 +75,28 @@
 	return err
 }
 
-// background is a service that runs until it is stopped.
-type background struct {
+// backgroundLoop is a service that runs until it is stopped.
+type backgroundLoop struct {
 	cancel context.CancelFunc
-	done   sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
-func (loop *background) start(run func(ctx context.Context)) {
+func (loop *backgroundLoop) start(run func(ctx context.Context)) {
 	var ctx context.Context
 	ctx, loop.cancel = context.WithCancel(context.Background())
-	loop.done.Go(func() {
-		defer logFault()
+	loop.wg.Go(func() {
+		defer logPanic()
 		run(ctx)
 	})
 }
 
 // stop has the service end and waits for it, within the bound of ctx: one that does not
 // heed its own context must not keep the process from ending in time.
-func (loop *background) stop(ctx context.Context) error {
+func (loop *backgroundLoop) stop(ctx context.Context) error {
 	loop.cancel()
 	ended := make(chan struct{})
 	go func() {
-		loop.done.Wait()
+		loop.wg.Wait()
 		close(ended)
 	}()
 	select {
@@ -109,7 +109,7 @@
 
 // runService runs a function from the service's start to its stop.
 func runService(name string, run func(ctx context.Context), provides any, needs ...string) kernel.Service {
-	loop := &background{}
+	loop := &backgroundLoop{}
 	return kernel.Service{
 		Name:     name,
 		Needs:    needs,
@@ -133,12 +133,12 @@
 func httpService(name string, needs []string, address string, handler http.Handler) kernel.Service {
 	server := &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerTimeout,
-		ReadTimeout:       bodyTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	loop := &background{}
+	loop := &backgroundLoop{}
 	return kernel.Service{
 		Name:  name,
 		Needs: needs,
@@ -165,21 +165,21 @@
 	return kernel.Service{Name: ServiceMetrics, Provides: metering, Stop: metering.Shutdown}
 }
 
-// platformClient is the HTTP client towards the platform's log and list.
-func platformClient() *http.Client {
-	transport := &http.Transport{MaxIdleConnsPerHost: platformIdleConns, IdleConnTimeout: idleTimeout}
+// newPlatformClient is the HTTP client towards the platform's log and list.
+func newPlatformClient() *http.Client {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: idleTimeout}
 	return &http.Client{Transport: transport, Timeout: platformTimeout}
 }
 
-// pause waits, or until ctx ends.
-func pause(ctx context.Context, wait time.Duration) {
+// sleep waits, or until ctx ends.
+func sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
 	}
 }
 
-func adminMux(metering *telemetry.Metrics, ready func() bool) *http.ServeMux {
+func newAdminMux(metering *telemetry.Metrics, ready func() bool) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", metering.Handler())
 	mux.HandleFunc("GET /healthz", func(writer http.ResponseWriter, _ *http.Request) {
@@ -195,9 +195,9 @@
 	return mux
 }
 
-// leaseClock returns the clock that entries and guards reckon leases with: an offer, or the
+// newLeaseClock returns the clock that entries and guards reckon leases with: an offer, or the
 // last word from the log, also grows old while the machine is suspended.
-func leaseClock() (clockwork.Clock, error) {
+func newLeaseClock() (clockwork.Clock, error) {
 	clocks, err := uptime.New()
 	if err != nil {
 		return nil, err
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -50,11 +50,11 @@
 	if err != nil {
 		return nil, err
 	}
-	clock, err := leaseClock()
+	clock, err := newLeaseClock()
 	if err != nil {
 		return nil, err
 	}
-	client := platformClient()
+	client := newPlatformClient()
 	log := changelog.New(logservice.NewClient(options.PlatformURL, client), changelog.Options{
 		Writer:           options.Name,
 		AppendsPerSecond: options.AppendsPerSecond,
@@ -84,8 +84,8 @@
 		runService(ServiceJournal, log.Run, log),
 		roleService(role.Run, role, ServicePool, ServiceJournal, ServiceMetrics),
 		entryRPCService(role, options.RPCAddress),
-		settleService(role),
-		httpService(ServiceHTTP, []string{ServiceSettle}, options.HTTPAddress, withMetrics(handler, metering)),
+		claimEndsService(role),
+		httpService(ServiceHTTP, []string{ServiceClaimEnds}, options.HTTPAddress, withMetricsEndpoint(handler, metering)),
 		entryDrainService(role, options.LeaveDelay),
 	)
 }
@@ -99,7 +99,7 @@
 }
 
 func rpcService(address string, register func(mux *drpcmux.Mux) error) kernel.Service {
-	loop := &background{}
+	loop := &backgroundLoop{}
 	return kernel.Service{
 		Name:  ServiceRPC,
 		Needs: []string{ServiceRole},
@@ -115,11 +115,11 @@
 	}
 }
 
-// settleService stops after the listener for callers has finished the requests
+// claimEndsService stops after the listener for callers has finished the requests
 // in flight, and records the ends of their claims.
-func settleService(role *entry.Entry) kernel.Service {
+func claimEndsService(role *entry.Entry) kernel.Service {
 	return kernel.Service{
-		Name:  ServiceSettle,
+		Name:  ServiceClaimEnds,
 		Needs: []string{ServiceRole, ServiceRPC},
 		Stop: func(ctx context.Context) error {
 			return errors.Wrap(role.WaitClaims(ctx), "record the ends of requests")
@@ -136,13 +136,13 @@
 		Needs: []string{ServiceHTTP},
 		Stop: func(ctx context.Context) error {
 			role.BeginShutdown()
-			pause(ctx, delay)
+			sleep(ctx, delay)
 			return nil
 		},
 	}
 }
 
-func withMetrics(handler http.Handler, metering *telemetry.Metrics) http.Handler {
+func withMetricsEndpoint(handler http.Handler, metering *telemetry.Metrics) http.Handler {
 	scrape := metering.Handler()
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/metrics" {
--- a/daemon/fault.go
+++ b/daemon/fault.go
@@ -11,30 +11,30 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// faultFrames is how many callers of a fault are logged: enough to get from the
+// maxPanicFrames is how many callers of a fault are logged: enough to get from the
 // runtime to the decision that failed.
-const faultFrames = 16
+const maxPanicFrames = 16
 
-// logFault is deferred by goroutines that must not fail: it logs a fault of the
+// logPanic is deferred by goroutines that must not fail: it logs a fault of the
 // program as one line before the process ends of it. The line goes straight to
 // standard output, since what passes lines on otherwise ends with the process.
-func logFault() {
+func logPanic() {
 	fault := recover()
 	if fault == nil {
 		return
 	}
 	if events, err := event.Open(os.Stdout, "json", "info"); err == nil {
-		events.Log(context.Background(), event.ProcessFailed, slog.String("fault", fmt.Sprint(fault)), slog.Any("frames", callers()))
+		events.Log(context.Background(), event.ProcessFailed, slog.String("fault", fmt.Sprint(fault)), slog.Any("frames", panicFrames()))
 	}
 	panic(fault)
 }
 
-// callers returns the places in the code that led to a fault, the nearest first.
-func callers() []string {
-	// Callers, this function and logFault say nothing, nor does the runtime, which
+// panicFrames returns the places in the code that led to a fault, the nearest first.
+func panicFrames() []string {
+	// Callers, this function and logPanic say nothing, nor does the runtime, which
 	// has raised the fault.
 	const skipped = 3
-	counters := make([]uintptr, faultFrames)
+	counters := make([]uintptr, maxPanicFrames)
 	frames := runtime.CallersFrames(counters[:runtime.Callers(skipped, counters)])
 	var places []string
 	for {
--- a/daemon/fault_test.go
+++ b/daemon/fault_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// TestFaultIsLogged: a fault leaves one line that names it and where it was, and is
+// TestPanicIsLogged: a fault leaves one line that names it and where it was, and is
 // not swallowed.
-func TestFaultIsLogged(t *testing.T) {
-	line, fault := logged(t, func() {
-		var missing *background
+func TestPanicIsLogged(t *testing.T) {
+	line, fault := captureOutput(t, func() {
+		var missing *backgroundLoop
 		missing.cancel()
 	})
 	if fault == nil {
@@ -33,16 +33,16 @@
 	}
 }
 
-// TestNoFaultIsSilent: what ends without a fault logs nothing.
-func TestNoFaultIsSilent(t *testing.T) {
-	if line, fault := logged(t, func() {}); line != "" || fault != nil {
+// TestNoPanicLogsNothing: what ends without a fault logs nothing.
+func TestNoPanicLogsNothing(t *testing.T) {
+	if line, fault := captureOutput(t, func() {}); line != "" || fault != nil {
 		t.Errorf("told %q, fault %v", line, fault)
 	}
 }
 
-// logged runs a function under logFault and returns what went to standard output and
+// captureOutput runs a function under logPanic and returns what went to standard output and
 // the fault that was passed on.
-func logged(t *testing.T, run func()) (line string, fault any) {
+func captureOutput(t *testing.T, run func()) (line string, fault any) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -52,7 +52,7 @@
 	os.Stdout = writer
 	func() {
 		defer func() { fault = recover() }()
-		defer logFault()
+		defer logPanic()
 		run()
 	}()
 	os.Stdout = output
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	clock, err := leaseClock()
+	clock, err := newLeaseClock()
 	if err != nil {
 		return nil, err
 	}
@@ -61,8 +61,8 @@
 		FailureDomain: options.FailureDomain,
 		Service:       options.Service,
 		BackendURL:    options.BackendURL,
-		Worker:        worker.NewClient(options.WorkerURL, workerClient()),
-		Instances:     instances.NewClient(options.PlatformURL, platformClient()),
+		Worker:        worker.NewClient(options.WorkerURL, newWorkerClient()),
+		Instances:     instances.NewClient(options.PlatformURL, newPlatformClient()),
 		Pool:          pool,
 		Clock:         clock,
 		Events:        events,
@@ -74,13 +74,13 @@
 		kernel.Service{Name: ServicePool, Provides: pool, Stop: func(context.Context) error { return pool.Close() }},
 		roleService(role.Run, role, ServicePool, ServiceMetrics),
 		rpcService(options.RPCAddress, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterGuard(mux, role) }),
-		httpService(ServiceHTTP, []string{ServiceRole}, options.AdminAddress, adminMux(metering, role.Ready)),
+		httpService(ServiceHTTP, []string{ServiceRole}, options.AdminAddress, newAdminMux(metering, role.Ready)),
 		guardDrainService(role, options.LeaveDelay),
 	)
 }
 
-func workerClient() *http.Client {
-	transport := &http.Transport{MaxIdleConnsPerHost: platformIdleConns, IdleConnTimeout: idleTimeout}
+func newWorkerClient() *http.Client {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: idleTimeout}
 	return &http.Client{Transport: transport}
 }
 
@@ -93,7 +93,7 @@
 		Needs: []string{ServiceRPC, ServiceHTTP},
 		Stop: func(ctx context.Context) error {
 			role.Leave(ctx)
-			pause(ctx, delay)
+			sleep(ctx, delay)
 			return errors.Wrap(role.Drain(ctx), "finish requests")
 		},
 	}
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -26,9 +26,9 @@
 
 // Names of the services that only the platform's roles have.
 const (
-	ServiceOwner     = "owner"
-	ServiceReadiness = "readiness"
-	ServiceBeats     = "beats"
+	ServiceOwner      = "owner"
+	ServiceReadiness  = "readiness"
+	ServiceHeartbeats = "beats"
 )
 
 // Which of the free ports is used for what; both roles may run on one machine.
@@ -42,18 +42,18 @@
 const metricsPort = 9464
 
 const (
-	// gatewayLeave is how long a gateway that stops takes clients after it has
+	// gatewayLeaveDelay is how long a gateway that stops takes clients after it has
 	// said that it is not ready: the platform asks once a second and acts on
 	// the second answer.
-	gatewayLeave = 2300 * time.Millisecond
-	// ownerSilent is the least time without a join after which shards pass on.
+	gatewayLeaveDelay = 2300 * time.Millisecond
+	// defaultMemberTimeout is the least time without a join after which shards pass on.
 	// It is a compromise: the shorter, the sooner another entry takes over,
 	// and the fewer joins may fail in a row; joins go out every 350 ms.
-	ownerSilent = 1500 * time.Millisecond
-	// grantMost is the longest time that runs go on without word from an
+	defaultMemberTimeout = 1500 * time.Millisecond
+	// maxGrant is the longest time that runs go on without word from an
 	// owner. Work on a machine that is lost moves after it, and another owner
 	// has to take over well within it, which takes up to 2.5 s.
-	grantMost = 5 * time.Second
+	maxGrant = 5 * time.Second
 )
 
 // Gateway is the process on an entry's machine: it answers clients and owns
@@ -62,34 +62,34 @@
 	Daemon
 }
 
-// base is what every role on the users' platform is built on.
-type base struct {
-	events   *event.Logger
-	metering *telemetry.Metrics
-	clock    clockwork.Clock
-	clocks   *uptime.Clocks
-	store    *platform.Store
+// dependencies is what every role on the users' platform is built on.
+type dependencies struct {
+	events     *event.Logger
+	metrics    *telemetry.Metrics
+	clock      clockwork.Clock
+	bootClocks *uptime.Clocks
+	store      *platform.Store
 }
 
-// newBase prepares it for a role.
-func newBase(ctx context.Context, role string, settings platform.Settings, events *event.Logger) (base, error) {
+// newDependencies prepares it for a role.
+func newDependencies(ctx context.Context, role string, settings platform.Settings, events *event.Logger) (dependencies, error) {
 	metering, err := telemetry.New(ctx, telemetry.Options{Role: role, Name: settings.Name()})
 	if err != nil {
-		return base{}, err
+		return dependencies{}, err
 	}
 	clocks, err := uptime.New()
 	if err != nil {
-		return base{}, err
+		return dependencies{}, err
 	}
-	return base{
-		events: events.With("role", role, "name", settings.Name()), metering: metering,
-		clock: clockwork.NewRealClock(), clocks: clocks, store: platform.NewStore(settings.StoreAddress(), platform.NewTransport()),
+	return dependencies{
+		events: events.With("role", role, "name", settings.Name()), metrics: metering,
+		clock: clockwork.NewRealClock(), bootClocks: clocks, store: platform.NewStore(settings.StoreAddress(), platform.NewTransport()),
 	}, nil
 }
 
 // NewGateway puts the services of a gateway together.
 func NewGateway(ctx context.Context, settings platform.Settings, events *event.Logger) (*Gateway, error) {
-	made, err := newBase(ctx, "gateway", settings, events)
+	made, err := newDependencies(ctx, "gateway", settings, events)
 	if err != nil {
 		return nil, err
 	}
@@ -98,37 +98,37 @@
 	owning := owner.New(owner.Options{
 		Name: settings.Name(), Address: address, FailureDomain: settings.FailureDomain(), Shards: settings.Partitions(),
 		Strong:        candidacy.IsStrong(settings.Cores()),
-		GrantDuration: min(grantMost, settings.MaxLease()), MemberTimeout: max(ownerSilent, settings.MinMemberTimeout()), JobRetention: settings.JobRetention(),
-		Store: made.store, Advisor: advisor(settings), Dial: rpc.DialOne, Clock: made.clock, Suspended: made.clocks.Suspended,
-		Events: made.events, Meters: made.metering.Provider(),
+		GrantDuration: min(maxGrant, settings.MaxLease()), MemberTimeout: max(defaultMemberTimeout, settings.MinMemberTimeout()), JobRetention: settings.JobRetention(),
+		Store: made.store, Advisor: newAdvisor(settings), Dial: rpc.DialOne, Clock: made.clock, Suspended: made.bootClocks.Suspended,
+		Events: made.events, Meters: made.metrics.Provider(),
 	})
 	front := gateway.New(gateway.Options{
 		Name: settings.Name(), Shards: settings.Partitions(), Store: made.store, Owner: owning,
-		MemberName: owning.MemberName(), Pool: pool, Clock: made.clock, Events: made.events, Meters: made.metering.Provider(),
+		MemberName: owning.MemberName(), Pool: pool, Clock: made.clock, Events: made.events, Meters: made.metrics.Provider(),
 	})
 	running := &Gateway{Daemon: Daemon{kern: kernel.New(), events: made.events}}
 	return running, registerAll(running.kern,
-		metricsService(made.metering),
+		metricsService(made.metrics),
 		kernel.Service{Name: ServicePool, Provides: pool, Stop: func(context.Context) error { return pool.Close() }},
 		runService(ServiceOwner, owning.Run, owning, ServicePool),
 		roleService(front.Run, front, ServiceOwner, ServiceMetrics),
 		rpcService(address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterPeer(mux, owning) }),
 		httpService(ServiceHTTP, []string{ServiceRole}, settings.ClientAddress(), front),
-		httpService(ServiceReadiness, []string{ServiceRole}, settings.ReadinessAddress(), readyHandler(front.IsReady)),
-		httpService("scrape", nil, settings.AddressWithPort(metricsPort), adminMux(made.metering, front.IsReady)),
+		httpService(ServiceReadiness, []string{ServiceRole}, settings.ReadinessAddress(), newReadinessHandler(front.IsReady)),
+		httpService("scrape", nil, settings.AddressWithPort(metricsPort), newAdminMux(made.metrics, front.IsReady)),
 		gatewayDrainService(front, owning),
 	)
 }
 
-// advisor returns a client of the advice service where there is one.
-func advisor(settings platform.Settings) *platform.Advisor {
+// newAdvisor returns a client of the advice service where there is one.
+func newAdvisor(settings platform.Settings) *platform.Advisor {
 	if settings.AdvisorAddress() == "" {
 		return nil
 	}
 	return platform.NewAdvisor(settings.AdvisorAddress(), platform.NewTransport())
 }
 
-func readyHandler(ready func() bool) http.Handler {
+func newReadinessHandler(ready func() bool) http.Handler {
 	return http.HandlerFunc(func(answer http.ResponseWriter, _ *http.Request) {
 		if !ready() {
 			answer.WriteHeader(http.StatusServiceUnavailable)
@@ -147,7 +147,7 @@
 		Stop: func(ctx context.Context) error {
 			front.BeginShutdown()
 			err := owning.Leave(ctx)
-			pause(ctx, gatewayLeave)
+			sleep(ctx, gatewayLeaveDelay)
 			return err
 		},
 	}
@@ -160,7 +160,7 @@
 
 // NewAgent puts the services of an agent together.
 func NewAgent(ctx context.Context, settings platform.Settings, events *event.Logger) (*Agent, error) {
-	made, err := newBase(ctx, "agent", settings, events)
+	made, err := newDependencies(ctx, "agent", settings, events)
 	if err != nil {
 		return nil, err
 	}
@@ -173,17 +173,17 @@
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
 			return platform.NewWorker(address, of, transport)
 		},
-		Clock: made.clock, Suspended: made.clocks.Suspended, Events: made.events, Meters: made.metering.Provider(),
+		Clock: made.clock, Suspended: made.bootClocks.Suspended, Events: made.events, Meters: made.metrics.Provider(),
 	})
 	running := &Agent{Daemon: Daemon{kern: kernel.New(), events: made.events}}
 	return running, registerAll(running.kern,
-		metricsService(made.metering),
+		metricsService(made.metrics),
 		roleService(beside.Run, beside, ServiceMetrics),
 		rpcService(address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, beside) }),
 		runService("register", func(ctx context.Context) { beside.Register(ctx, made.store, address) }, nil, ServiceRPC),
 		runService("operator", func(ctx context.Context) { beside.FollowOperator(ctx, made.store) }, nil, ServiceRole),
-		httpService(ServiceBeats, []string{ServiceRole}, settings.HeartbeatAddress(), platform.HeartbeatHandler(beside)),
-		httpService("scrape", nil, settings.AddressWithPort(metricsPort), adminMux(made.metering, func() bool { return true })),
+		httpService(ServiceHeartbeats, []string{ServiceRole}, settings.HeartbeatAddress(), platform.HeartbeatHandler(beside)),
+		httpService("scrape", nil, settings.AddressWithPort(metricsPort), newAdminMux(made.metrics, func() bool { return true })),
 	)
 }
 
--- a/daemon/stop_test.go
+++ b/daemon/stop_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestStopIsBounded: a service that does not end keeps nobody waiting for longer than the
+// TestStopReturnsWhenContextEnds: a service that does not end keeps nobody waiting for longer than the
 // planned stop may take. The case that forced it is a process that was still stopping when
 // its platform's grace was over.
-func TestStopIsBounded(t *testing.T) {
+func TestStopReturnsWhenContextEnds(t *testing.T) {
 	release := make(chan struct{})
-	loop := &background{}
+	loop := &backgroundLoop{}
 	loop.start(func(context.Context) { <-release })
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/demo/callers.go
+++ b/demo/callers.go
@@ -21,30 +21,30 @@
 	balancerTimeout  = 250 * time.Millisecond
 )
 
-// callers stands for clerks and operators behind the platform's balancer,
+// balancedClient stands for clerks and operators behind the platform's balancer,
 // which asks each entry whether it is ready and sends to the next one that is.
-type callers struct {
-	bases []string
-	ready [entries]atomic.Bool
-	next  atomic.Uint64
-	http  *http.Client
+type balancedClient struct {
+	baseURLs   []string
+	ready      [entryCount]atomic.Bool
+	next       atomic.Uint64
+	httpClient *http.Client
 }
 
-func newCallers(layout standin.Layout) *callers {
-	made := &callers{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	for index := 1; index <= entries; index++ {
-		made.bases = append(made.bases, "http://"+layout.Entry(index, standin.EntryHTTPPort))
+func newBalancedClient(layout standin.Layout) *balancedClient {
+	made := &balancedClient{httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+	for index := 1; index <= entryCount; index++ {
+		made.baseURLs = append(made.baseURLs, "http://"+layout.Entry(index, standin.EntryHTTPPort))
 		made.ready[index-1].Store(true)
 	}
 	return made
 }
 
-// balance asks the entries for their readiness until ctx ends.
-func (calling *callers) balance(ctx context.Context) {
+// pollReadiness asks the entries for their readiness until ctx ends.
+func (calling *balancedClient) pollReadiness(ctx context.Context) {
 	ticker := time.NewTicker(balancerInterval)
 	defer ticker.Stop()
 	for {
-		for index, base := range calling.bases {
+		for index, base := range calling.baseURLs {
 			calling.ready[index].Store(calling.isReady(ctx, base))
 		}
 		select {
@@ -55,26 +55,26 @@
 	}
 }
 
-func (calling *callers) isReady(ctx context.Context, base string) bool {
+func (calling *balancedClient) isReady(ctx context.Context, base string) bool {
 	ctx, cancel := context.WithTimeout(ctx, balancerTimeout)
 	defer cancel()
 	status, _, _, err := calling.send(ctx, http.MethodGet, base+"/readyz", nil, nil)
 	return err == nil && status == http.StatusOK
 }
 
-// base returns the next entry that is ready.
-func (calling *callers) base() string {
-	for range calling.bases {
-		index := int(calling.next.Add(1)) % len(calling.bases)
+// nextBaseURL returns the next entry that is ready.
+func (calling *balancedClient) nextBaseURL() string {
+	for range calling.baseURLs {
+		index := int(calling.next.Add(1)) % len(calling.baseURLs)
 		if calling.ready[index].Load() {
-			return calling.bases[index]
+			return calling.baseURLs[index]
 		}
 	}
-	return calling.bases[0]
+	return calling.baseURLs[0]
 }
 
 // send sends one request and reads its whole answer.
-func (calling *callers) send(ctx context.Context, method, url string, header http.Header, body []byte) (int, http.Header, []byte, error) {
+func (calling *balancedClient) send(ctx context.Context, method, url string, header http.Header, body []byte) (int, http.Header, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, errors.Wrap(err, "make request")
@@ -82,7 +82,7 @@
 	if header != nil {
 		request.Header = header
 	}
-	response, err := calling.http.Do(request)
+	response, err := calling.httpClient.Do(request)
 	if err != nil {
 		return 0, nil, nil, errors.Wrap(err, "send request")
 	}
@@ -91,8 +91,8 @@
 	return response.StatusCode, response.Header, answer, errors.Wrap(err, "read answer")
 }
 
-// call calls an operator's interface and decodes the answer.
-func (calling *callers) call(ctx context.Context, method, path string, body, into any) error {
+// callJSON calls an operator's interface and decodes the answer.
+func (calling *balancedClient) callJSON(ctx context.Context, method, path string, body, into any) error {
 	var encoded []byte
 	if body != nil {
 		var err error
@@ -100,7 +100,7 @@
 			return errors.Wrap(err, "encode")
 		}
 	}
-	status, header, answer, err := calling.send(ctx, method, calling.base()+path, nil, encoded)
+	status, header, answer, err := calling.send(ctx, method, calling.nextBaseURL()+path, nil, encoded)
 	if err != nil {
 		return err
 	}
@@ -117,9 +117,9 @@
 	return errors.Wrap(json.Unmarshal(answer, into), "decode answer")
 }
 
-// until repeats a step until it succeeds or patience ends.
-func until(ctx context.Context, step func() error) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// retry repeats a step until it succeeds or patience ends.
+func retry(ctx context.Context, step func() error) error {
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	for {
 		err := step()
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -27,13 +27,13 @@
 )
 
 const (
-	workers    = 3
-	entries    = 2
-	service    = "verbale"
-	leaveDelay = 500 * time.Millisecond
-	stopBound  = 20 * time.Second
-	patience   = 30 * time.Second
-	workTime   = 2 * time.Millisecond
+	workerCount     = 3
+	entryCount      = 2
+	service         = "verbale"
+	leaveDelay      = 500 * time.Millisecond
+	stopTimeout     = 20 * time.Second
+	stepTimeout     = 30 * time.Second
+	requestDuration = 2 * time.Millisecond
 )
 
 // Options sets up a demo.
@@ -50,14 +50,14 @@
 
 // demo is one run.
 type demo struct {
-	options  Options
-	events   *event.Logger
-	platform *standin.Platform
-	layout   standin.Layout
-	entries  [entries]*daemon.Entry
-	guards   [workers]*daemon.Guard
-	callers  *callers
-	failed   []string
+	options     Options
+	events      *event.Logger
+	platform    *standin.Platform
+	layout      standin.Layout
+	entries     [entryCount]*daemon.Entry
+	guards      [workerCount]*daemon.Guard
+	client      *balancedClient
+	failedSteps []string
 }
 
 // Run brings the roles up, walks through the steps and checks each.
@@ -68,14 +68,14 @@
 	}
 	defer running.stopAll(ctx)
 	for _, step := range running.steps() {
-		running.take(ctx, step)
+		running.runStep(ctx, step)
 	}
-	if len(running.failed) > 0 {
-		return errors.Errorf("these steps failed: %s", strings.Join(running.failed, ", "))
+	if len(running.failedSteps) > 0 {
+		return errors.Errorf("these steps failed: %s", strings.Join(running.failedSteps, ", "))
 	}
-	running.say("every step was checked")
+	running.printf("every step was checked")
 	if options.Serve {
-		running.serve(ctx)
+		running.waitForSignal(ctx)
 	}
 	return nil
 }
@@ -83,35 +83,35 @@
 // step is one thing that is shown and checked.
 type step struct {
 	name string
-	do   func(ctx context.Context) (string, error)
+	run  func(ctx context.Context) (string, error)
 }
 
 func (running *demo) steps() []step {
 	return []step{
 		{"configuration published and in force", running.publishConfig},
 		{"snippet correction answered", running.correctSnippet},
-		{"request that must not be repeated ran once", running.runOnce},
-		{"transcription submitted, placed, run and finished", running.transcribe},
+		{"request that must not be repeated ran once", running.sendDuplicate},
+		{"transcription submitted, placed, run and finished", running.runTranscription},
 		{"policy published and in effect", running.publishPolicy},
 		{"watch streams on, one guard and one entry stopped under load, nothing cut", running.stopUnderLoad},
 	}
 }
 
-func (running *demo) take(ctx context.Context, next step) {
-	ctx, cancel := context.WithTimeout(ctx, 2*patience)
+func (running *demo) runStep(ctx context.Context, next step) {
+	ctx, cancel := context.WithTimeout(ctx, 2*stepTimeout)
 	defer cancel()
 	began := time.Now()
-	figures, err := next.do(ctx)
+	figures, err := next.run(ctx)
 	took := time.Since(began).Round(time.Millisecond)
 	if err != nil {
-		running.failed = append(running.failed, next.name)
-		running.say("FAILED  %s: %v (after %s)", next.name, err, took)
+		running.failedSteps = append(running.failedSteps, next.name)
+		running.printf("FAILED  %s: %v (after %s)", next.name, err, took)
 		return
 	}
-	running.say("ok      %s: %s (%s)", next.name, figures, took)
+	running.printf("ok      %s: %s (%s)", next.name, figures, took)
 }
 
-func (running *demo) say(format string, arguments ...any) {
+func (running *demo) printf(format string, arguments ...any) {
 	// A demo whose output is closed goes on; its exit code still tells.
 	_, _ = fmt.Fprintf(running.options.Out, format+"\n", arguments...)
 }
@@ -130,25 +130,25 @@
 		return nil, errors.Wrap(err, "start the stand-in; another run may hold the network, choose one with --network")
 	}
 	running.platform = platform
-	running.callers = newCallers(running.layout)
-	for index := 1; index <= entries; index++ {
+	running.client = newBalancedClient(running.layout)
+	for index := 1; index <= entryCount; index++ {
 		if err := running.startEntry(ctx, index); err != nil {
 			running.stopAll(ctx)
 			return nil, err
 		}
 	}
-	for index := 1; index <= workers; index++ {
+	for index := 1; index <= workerCount; index++ {
 		if err := running.startGuard(ctx, index); err != nil {
 			running.stopAll(ctx)
 			return nil, err
 		}
 	}
-	running.say("started a stand-in for the platform, %d entries and %d guards on %s.0.0/16", entries, workers, options.Network)
+	running.printf("started a stand-in for the platform, %d entries and %d guards on %s.0.0/16", entryCount, workerCount, options.Network)
 	return running, nil
 }
 
 func (running *demo) platformOptions() standin.Options {
-	return standin.Options{Layout: running.layout, Workers: workers, Entries: entries, WorkTime: workTime}
+	return standin.Options{Layout: running.layout, Workers: workerCount, Entries: entryCount, WorkTime: requestDuration}
 }
 
 func (running *demo) startEntry(ctx context.Context, index int) error {
@@ -205,8 +205,8 @@
 	running.platform.Close()
 }
 
-func (running *demo) serve(ctx context.Context) {
-	running.say("serving; callers and operators reach http://%s and http://%s; stop with Ctrl-C",
+func (running *demo) waitForSignal(ctx context.Context) {
+	running.printf("serving; callers and operators reach http://%s and http://%s; stop with Ctrl-C",
 		running.layout.Entry(1, standin.EntryHTTPPort), running.layout.Entry(2, standin.EntryHTTPPort))
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/demo/load.go
+++ b/demo/load.go
@@ -18,60 +18,60 @@
 
 const (
 	loadInterval = 4 * time.Millisecond
-	loadSettle   = time.Second
-	watchSteps   = 5
+	loadMargin   = time.Second
+	watchParts   = 5
 )
 
-// tally counts how requests ended.
-type tally struct {
-	mu        sync.Mutex
-	sent      int
-	whole     int
-	notRun    int
-	unknown   int
-	broken    int
-	latencies []time.Duration
-	first     string
+// requestStats counts how requests ended.
+type requestStats struct {
+	mu           sync.Mutex
+	sent         int
+	complete     int
+	notRun       int
+	unknown      int
+	failed       int
+	latencies    []time.Duration
+	firstProblem string
 }
 
-func (counted *tally) add(took time.Duration, status int, body []byte, want string, err error) {
+func (counted *requestStats) add(took time.Duration, status int, body []byte, want string, err error) {
 	counted.mu.Lock()
 	defer counted.mu.Unlock()
 	counted.sent++
 	counted.latencies = append(counted.latencies, took)
 	switch {
 	case err != nil:
-		counted.broken++
-		counted.note("broken: " + err.Error())
+		counted.failed++
+		counted.recordProblem("broken: " + err.Error())
 	case status == http.StatusOK && string(body) == want:
-		counted.whole++
+		counted.complete++
 	case status == http.StatusOK:
-		counted.broken++
-		counted.note("wrong answer: " + string(body))
+		counted.failed++
+		counted.recordProblem("wrong answer: " + string(body))
 	case decodeProblem(body).Outcome == api.OutcomeNotRun:
 		counted.notRun++
-		counted.note(decodeProblem(body).Error())
+		counted.recordProblem(decodeProblem(body).Error())
 	default:
 		counted.unknown++
-		counted.note(decodeProblem(body).Error())
+		counted.recordProblem(decodeProblem(body).Error())
 	}
 }
 
-func (counted *tally) note(text string) {
-	if counted.first == "" {
-		counted.first = text
+func (counted *requestStats) recordProblem(text string) {
+	if counted.firstProblem == "" {
+		counted.firstProblem = text
 	}
 }
 
-func (counted *tally) quantile(part float64) time.Duration {
+func (counted *requestStats) quantile(part float64) time.Duration {
 	slices.Sort(counted.latencies)
 	return counted.latencies[int(part*float64(len(counted.latencies)-1))].Round(100 * time.Microsecond)
 }
 
-// load sends requests at a fixed rate, whatever becomes of the earlier ones,
+// sendLoad sends requests at a fixed rate, whatever becomes of the earlier ones,
 // until ctx ends, and waits for all of them.
-func (running *demo) load(ctx context.Context) *tally {
-	counted := &tally{}
+func (running *demo) sendLoad(ctx context.Context) *requestStats {
+	counted := &requestStats{}
 	var calls sync.WaitGroup
 	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
@@ -85,8 +85,8 @@
 		calls.Go(func() {
 			text := "snippet " + strconv.Itoa(number)
 			began := time.Now()
-			status, _, body, err := running.callers.send(context.WithoutCancel(ctx), http.MethodPost,
-				running.callers.base()+snippetsPath, nil, []byte(text))
+			status, _, body, err := running.client.send(context.WithoutCancel(ctx), http.MethodPost,
+				running.client.nextBaseURL()+snippetsPath, nil, []byte(text))
 			counted.add(time.Since(began), status, body, "corrected: "+text+"\n", err)
 		})
 	}
@@ -103,39 +103,39 @@
 	if err := running.waitPhase(ctx, watch, "running"); err != nil {
 		return "", err
 	}
-	watching := newWatching(running.callers, watch.ID)
+	watching := newWatchReader(running.client, watch.ID)
 	balanceCtx, stopBalance := context.WithCancel(ctx)
 	defer stopBalance()
-	go running.callers.balance(balanceCtx)
+	go running.client.pollReadiness(balanceCtx)
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	defer stopWatch()
 	go watching.run(watchCtx)
-	if err := watching.reach(ctx, watchSteps); err != nil {
+	if err := watching.waitForPart(ctx, watchParts); err != nil {
 		return "", err
 	}
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	ended := make(chan *tally, 1)
-	go func() { ended <- running.load(loadCtx) }()
-	time.Sleep(loadSettle)
-	stopErr := running.replaceOneOfEach(ctx)
-	watched := watching.reach(ctx, watching.last()+watchSteps)
-	time.Sleep(loadSettle)
+	ended := make(chan *requestStats, 1)
+	go func() { ended <- running.sendLoad(loadCtx) }()
+	time.Sleep(loadMargin)
+	stopErr := running.replaceGuardAndEntry(ctx)
+	watched := watching.waitForPart(ctx, watching.last()+watchParts)
+	time.Sleep(loadMargin)
 	stopLoad()
 	counted := <-ended
-	if err := firstError(stopErr, watched, watching.fault(), counted.fault()); err != nil {
+	if err := firstError(stopErr, watched, watching.err(), counted.err()); err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("%d requests sent, %d whole answers, 0 cut, p50 %s, p99 %s; the watch streamed %d parts without a gap",
-		counted.sent, counted.whole, counted.quantile(0.5), counted.quantile(0.99), watching.last()), nil
+		counted.sent, counted.complete, counted.quantile(0.5), counted.quantile(0.99), watching.last()), nil
 }
 
-func (counted *tally) fault() error {
-	if counted.whole == counted.sent {
+func (counted *requestStats) err() error {
+	if counted.complete == counted.sent {
 		return nil
 	}
 	return errors.Errorf("of %d requests %d had a whole answer, %d were not run, %d unknown, %d broken; the first: %s",
-		counted.sent, counted.whole, counted.notRun, counted.unknown, counted.broken, counted.first)
+		counted.sent, counted.complete, counted.notRun, counted.unknown, counted.failed, counted.firstProblem)
 }
 
 func firstError(all ...error) error {
@@ -147,9 +147,9 @@
 	return nil
 }
 
-// replaceOneOfEach stops a guard and an entry as planned and starts new ones.
-func (running *demo) replaceOneOfEach(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, stopBound)
+// replaceGuardAndEntry stops a guard and an entry as planned and starts new ones.
+func (running *demo) replaceGuardAndEntry(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	if err := running.guards[0].Stop(ctx); err != nil {
 		return errors.Wrap(err, "stop a guard")
@@ -163,36 +163,36 @@
 	return running.startEntry(ctx, 1)
 }
 
-// watching follows a watch as a caller does: when its entry leaves, it goes on
+// watchReader follows a watch as a caller does: when its entry leaves, it goes on
 // at the next one from the last part it has.
-type watching struct {
-	callers *callers
-	task    string
+type watchReader struct {
+	client *balancedClient
+	task   string
 
-	mu     sync.Mutex
-	seen   uint64
-	faults []string
+	mu             sync.Mutex
+	lastPart       uint64
+	sequenceErrors []string
 }
 
-func newWatching(calling *callers, task string) *watching {
-	return &watching{callers: calling, task: task}
+func newWatchReader(calling *balancedClient, task string) *watchReader {
+	return &watchReader{client: calling, task: task}
 }
 
-func (following *watching) run(ctx context.Context) {
+func (following *watchReader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := following.once(ctx); err != nil && ctx.Err() == nil {
+		if err := following.readStream(ctx); err != nil && ctx.Err() == nil {
 			time.Sleep(balancerInterval)
 		}
 	}
 }
 
-func (following *watching) once(ctx context.Context) error {
-	url := following.callers.base() + "/v1/tasks/" + following.task + "/stream?after=" + strconv.FormatUint(following.last(), 10)
+func (following *watchReader) readStream(ctx context.Context) error {
+	url := following.client.nextBaseURL() + "/v1/tasks/" + following.task + "/stream?after=" + strconv.FormatUint(following.last(), 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	response, err := following.callers.http.Do(request)
+	response, err := following.client.httpClient.Do(request)
 	if err != nil {
 		return err
 	}
@@ -209,39 +209,39 @@
 			}
 		}
 		if lines.Text() == "event: output" {
-			following.note(id)
+			following.addPart(id)
 		}
 	}
 	return lines.Err()
 }
 
-func (following *watching) note(id uint64) {
+func (following *watchReader) addPart(id uint64) {
 	following.mu.Lock()
 	defer following.mu.Unlock()
-	if id != following.seen+1 {
-		following.faults = append(following.faults, fmt.Sprintf("part %d came after %d", id, following.seen))
+	if id != following.lastPart+1 {
+		following.sequenceErrors = append(following.sequenceErrors, fmt.Sprintf("part %d came after %d", id, following.lastPart))
 	}
-	following.seen = id
+	following.lastPart = id
 }
 
-func (following *watching) last() uint64 {
+func (following *watchReader) last() uint64 {
 	following.mu.Lock()
 	defer following.mu.Unlock()
-	return following.seen
+	return following.lastPart
 }
 
-func (following *watching) fault() error {
+func (following *watchReader) err() error {
 	following.mu.Lock()
 	defer following.mu.Unlock()
-	if len(following.faults) == 0 {
+	if len(following.sequenceErrors) == 0 {
 		return nil
 	}
-	return errors.New("the watch's stream has faults: " + strings.Join(following.faults, ", "))
+	return errors.New("the watch's stream has faults: " + strings.Join(following.sequenceErrors, ", "))
 }
 
-// reach waits until the part of a number has come.
-func (following *watching) reach(ctx context.Context, part uint64) error {
-	return until(ctx, func() error {
+// waitForPart waits until the part of a number has come.
+func (following *watchReader) waitForPart(ctx context.Context, part uint64) error {
+	return retry(ctx, func() error {
 		if last := following.last(); last < part {
 			return errors.Errorf("the watch has streamed %d parts and not %d", last, part)
 		}
--- a/demo/steps.go
+++ b/demo/steps.go
@@ -32,21 +32,21 @@
 	}
 	asked := api.PublishRequest{Author: author, Content: string(content)}
 	var published api.Document
-	if err := until(ctx, func() error {
-		return running.callers.call(ctx, http.MethodPut, "/v1/documents/"+config.DocumentName, asked, &published)
+	if err := retry(ctx, func() error {
+		return running.client.callJSON(ctx, http.MethodPut, "/v1/documents/"+config.DocumentName, asked, &published)
 	}); err != nil {
 		return "", err
 	}
 	began := time.Now()
-	err = until(ctx, func() error { return running.inForce(ctx, config.DocumentName, published.Version) })
-	return fmt.Sprintf("version %d on all %d instances %s after it was accepted", published.Version, entries+workers, since(began)), err
+	err = retry(ctx, func() error { return running.checkInForce(ctx, config.DocumentName, published.Version) })
+	return fmt.Sprintf("version %d on all %d instances %s after it was accepted", published.Version, entryCount+workerCount, elapsedSince(began)), err
 }
 
-func since(began time.Time) time.Duration { return time.Since(began).Round(time.Millisecond) }
+func elapsedSince(began time.Time) time.Duration { return time.Since(began).Round(time.Millisecond) }
 
-func (running *demo) inForce(ctx context.Context, document string, version uint64) error {
-	var listed []api.InForce
-	if err := running.callers.call(ctx, http.MethodGet, "/v1/in-force", nil, &listed); err != nil {
+func (running *demo) checkInForce(ctx context.Context, document string, version uint64) error {
+	var listed []api.DocumentInForce
+	if err := running.client.callJSON(ctx, http.MethodGet, "/v1/in-force", nil, &listed); err != nil {
 		return err
 	}
 	count := 0
@@ -55,8 +55,8 @@
 			count++
 		}
 	}
-	if count != entries+workers {
-		return errors.Errorf("version %d of %s is in force on %d of %d instances", version, document, count, entries+workers)
+	if count != entryCount+workerCount {
+		return errors.Errorf("version %d of %s is in force on %d of %d instances", version, document, count, entryCount+workerCount)
 	}
 	return nil
 }
@@ -64,24 +64,24 @@
 func (running *demo) correctSnippet(ctx context.Context) (string, error) {
 	header := http.Header{api.HeaderRequestID: {"snippet-1"}, api.HeaderTimeout: {"2s"}}
 	began := time.Now()
-	status, answered, body, err := running.callers.send(ctx, http.MethodPost, running.callers.base()+snippetsPath, header, []byte("il sindacco apre la seduta"))
+	status, answered, body, err := running.client.send(ctx, http.MethodPost, running.client.nextBaseURL()+snippetsPath, header, []byte("il sindacco apre la seduta"))
 	if err != nil {
 		return "", err
 	}
 	if status != http.StatusOK || string(body) != "corrected: il sindacco apre la seduta\n" || answered.Get(api.HeaderRequestID) != "snippet-1" {
 		return "", errors.Errorf("status %d, answer %q", status, body)
 	}
-	return fmt.Sprintf("%q in %s", strings.TrimSpace(string(body)), since(began)), nil
+	return fmt.Sprintf("%q in %s", strings.TrimSpace(string(body)), elapsedSince(began)), nil
 }
 
-// runOnce sends the same key to both entries at once; it must run once.
-func (running *demo) runOnce(ctx context.Context) (string, error) {
-	before := running.served()
-	statuses := make(chan int, entries)
-	for _, base := range running.callers.bases {
+// sendDuplicate sends the same key to both entries at once; it must run once.
+func (running *demo) sendDuplicate(ctx context.Context) (string, error) {
+	before := running.servedRequests()
+	statuses := make(chan int, entryCount)
+	for _, base := range running.client.baseURLs {
 		go func() {
-			header := http.Header{api.HeaderKey: {"billed-1"}, api.HeaderRepeatable: {"false"}}
-			status, _, _, err := running.callers.send(ctx, http.MethodPost, base+snippetsPath, header, []byte("x"))
+			header := http.Header{api.HeaderIdempotencyKey: {"billed-1"}, api.HeaderRepeatable: {"false"}}
+			status, _, _, err := running.client.send(ctx, http.MethodPost, base+snippetsPath, header, []byte("x"))
 			if err != nil {
 				status = 0
 			}
@@ -89,19 +89,19 @@
 		}()
 	}
 	whole := 0
-	for range running.callers.bases {
+	for range running.client.baseURLs {
 		if <-statuses == http.StatusOK {
 			whole++
 		}
 	}
-	if ran := running.served() - before; ran != 1 || whole != 1 {
+	if ran := running.servedRequests() - before; ran != 1 || whole != 1 {
 		return "", errors.Errorf("it ran %d times and was answered %d times", ran, whole)
 	}
 	return "sent to both entries at once, it ran once and was answered once", nil
 }
 
-func (running *demo) served() (count int64) {
-	for index := 1; index <= workers; index++ {
+func (running *demo) servedRequests() (count int64) {
+	for index := 1; index <= workerCount; index++ {
 		count += running.platform.Backend(index).Served()
 	}
 	return count
@@ -109,12 +109,12 @@
 
 func (running *demo) submit(ctx context.Context, asked api.TaskRequest) (*api.Task, error) {
 	task := &api.Task{}
-	return task, running.callers.call(ctx, http.MethodPost, "/v1/tasks", asked, task)
+	return task, running.client.callJSON(ctx, http.MethodPost, "/v1/tasks", asked, task)
 }
 
 func (running *demo) waitPhase(ctx context.Context, task *api.Task, phase string) error {
-	return until(ctx, func() error {
-		if err := running.callers.call(ctx, http.MethodGet, "/v1/tasks/"+task.ID, nil, task); err != nil {
+	return retry(ctx, func() error {
+		if err := running.client.callJSON(ctx, http.MethodGet, "/v1/tasks/"+task.ID, nil, task); err != nil {
 			return err
 		}
 		if task.Phase != phase {
@@ -124,7 +124,7 @@
 	})
 }
 
-func (running *demo) transcribe(ctx context.Context) (string, error) {
+func (running *demo) runTranscription(ctx context.Context) (string, error) {
 	began := time.Now()
 	task, err := running.submit(ctx, api.TaskRequest{Team: team, Kind: "transcription", Processors: 4, Memory: "8GiB", RunTime: "500ms", Input: "seduta 12"})
 	if err != nil {
@@ -133,39 +133,39 @@
 	if err := running.waitPhase(ctx, task, "running"); err != nil {
 		return "", err
 	}
-	started := since(began)
+	started := elapsedSince(began)
 	if err := running.waitPhase(ctx, task, "finished"); err != nil {
 		return "", err
 	}
 	var result api.Result
-	if err := running.callers.call(ctx, http.MethodGet, "/v1/tasks/"+task.ID+"/result", nil, &result); err != nil {
+	if err := running.client.callJSON(ctx, http.MethodGet, "/v1/tasks/"+task.ID+"/result", nil, &result); err != nil {
 		return "", err
 	}
 	if !strings.Contains(result.Output, `"seduta 12"`) {
 		return "", errors.Errorf("the result is %q", result.Output)
 	}
-	return fmt.Sprintf("on %s by policy %s, running after %s, recorded as finished after %s", task.Worker, task.Policy, started, since(began)), nil
+	return fmt.Sprintf("on %s by policy %s, running after %s, recorded as finished after %s", task.Worker, task.Policy, started, elapsedSince(began)), nil
 }
 
 // publishPolicy makes one worker the best for everything and sees the next
 // task go there.
 func (running *demo) publishPolicy(ctx context.Context) (string, error) {
-	preferred := standin.WorkerName(workers)
+	preferred := standin.WorkerName(workerCount)
 	name := config.PolicyDocumentName(policy.Placement)
 	asked := api.PublishRequest{Author: author, Content: fmt.Sprintf("worker.name == %q ? 1 : 0", preferred)}
 	var report api.CheckReport
-	if err := running.callers.call(ctx, http.MethodPost, "/v1/documents/"+name+"/check", asked, &report); err != nil {
+	if err := running.client.callJSON(ctx, http.MethodPost, "/v1/documents/"+name+"/check", asked, &report); err != nil {
 		return "", err
 	}
 	var published api.Document
-	if err := running.callers.call(ctx, http.MethodPut, "/v1/documents/"+name, asked, &published); err != nil {
+	if err := running.client.callJSON(ctx, http.MethodPut, "/v1/documents/"+name, asked, &published); err != nil {
 		return "", err
 	}
 	began := time.Now()
-	if err := until(ctx, func() error { return running.inForce(ctx, name, published.Version) }); err != nil {
+	if err := retry(ctx, func() error { return running.checkInForce(ctx, name, published.Version) }); err != nil {
 		return "", err
 	}
-	everywhere := since(began)
+	everywhere := elapsedSince(began)
 	task, err := running.submit(ctx, api.TaskRequest{Team: team, Kind: "transcription", Processors: 1, RunTime: "100ms"})
 	if err != nil {
 		return "", err
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -29,7 +29,7 @@
 // claimedProblem reports the outcome of the earlier request that holds the key,
 // as far as it is known.
 func claimedProblem(takenErr *claim.TakenError) *api.Problem {
-	problem := newProblem(http.StatusConflict, api.TypeClaimed, "A request with this key was claimed before", "")
+	problem := newProblem(http.StatusConflict, api.TypeAlreadyClaimed, "A request with this key was claimed before", "")
 	problem.Outcome = api.OutcomeUnknown
 	switch takenErr.Phase() {
 	case state.ClaimFinished:
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -27,11 +27,11 @@
 // apiDocument converts a stored document. Lists leave out the content.
 func apiDocument(stored *record.Document, withContent bool) api.Document {
 	doc := api.Document{
-		Name:    stored.GetName(),
-		Version: stored.GetVersion(),
-		Author:  stored.GetAuthor(),
-		Comment: stored.GetComment(),
-		Written: time.Unix(0, stored.GetWrittenUnixNano()).UTC(),
+		Name:      stored.GetName(),
+		Version:   stored.GetVersion(),
+		Author:    stored.GetAuthor(),
+		Comment:   stored.GetComment(),
+		WrittenAt: time.Unix(0, stored.GetWrittenUnixNano()).UTC(),
 	}
 	if withContent {
 		doc.Content = string(stored.GetContent())
@@ -124,7 +124,7 @@
 			fmt.Sprintf("%s: it was based on version %d and the newest is %d; look at that one and publish again", outcome.Reason(), body.BasedOn, entry.newestVersion(name)))
 	}
 	entry.options.Events.Log(ctx, event.DocumentPublished, slog.String("document", name), slog.Uint64("version", body.BasedOn+1), slog.String("author", body.Author))
-	return &api.Document{Name: name, Version: body.BasedOn + 1, Author: body.Author, Comment: body.Comment, Written: now.UTC()}, nil
+	return &api.Document{Name: name, Version: body.BasedOn + 1, Author: body.Author, Comment: body.Comment, WrittenAt: now.UTC()}, nil
 }
 
 func (entry *Entry) newestVersion(name string) (version uint64) {
@@ -192,14 +192,14 @@
 			placementTask := entry.placer.newPlacementTask(settings, task, now)
 			before := workers.Decide(runner, entry.policies(), placementTask)
 			after := workers.Decide(runner, placement.Policies{InForce: proposed.Placement(), BuiltIn: proposed.BuiltIn()}, placementTask)
-			report.Checked++
+			report.CheckedDecisions++
 			if policyErr := after.PolicyError(); policyErr != nil {
 				report.Valid = false
 				report.Faults = append(report.Faults, api.Fault{Line: 1, Column: 1, Message: "it fails for task " + task.ID() + ": " + policyErr.Error()})
 				return
 			}
 			if before.Worker() != after.Worker() {
-				report.Changes = append(report.Changes, api.Change{Task: task.ID(), Before: before.Worker(), After: after.Worker()})
+				report.Changes = append(report.Changes, api.DecisionChange{Task: task.ID(), Before: before.Worker(), After: after.Worker()})
 			}
 		}
 	})
@@ -215,9 +215,9 @@
 			acceptedVersions[stored.GetName()] = stored.GetVersion()
 		}
 	})
-	list := []api.InForce{}
+	list := []api.DocumentInForce{}
 	for _, version := range entry.documents.Versions() {
-		list = append(list, api.InForce{Instance: entry.options.Name, Role: "entry", Document: version.Name, Version: version.Version, Accepted: acceptedVersions[version.Name]})
+		list = append(list, api.DocumentInForce{Instance: entry.options.Name, Role: "entry", Document: version.Name, Version: version.Version, Accepted: acceptedVersions[version.Name]})
 	}
 	for _, peer := range entry.view.Peers() {
 		list = append(list, inForceVersions(peer.Name, "entry", peer.Documents, acceptedVersions)...)
@@ -225,7 +225,7 @@
 	for _, guard := range entry.view.Guards() {
 		list = append(list, inForceVersions(guard.Name(), "guard", documentVersions(guard), acceptedVersions)...)
 	}
-	slices.SortStableFunc(list, func(a, b api.InForce) int {
+	slices.SortStableFunc(list, func(a, b api.DocumentInForce) int {
 		return cmp.Or(cmp.Compare(a.Document, b.Document), cmp.Compare(a.Role, b.Role), cmp.Compare(a.Instance, b.Instance))
 	})
 	writeJSON(writer, http.StatusOK, list)
@@ -239,10 +239,10 @@
 	return versions
 }
 
-func inForceVersions(name, role string, versions []document.Version, acceptedVersions map[string]uint64) []api.InForce {
-	list := make([]api.InForce, 0, len(versions))
+func inForceVersions(name, role string, versions []document.Version, acceptedVersions map[string]uint64) []api.DocumentInForce {
+	list := make([]api.DocumentInForce, 0, len(versions))
 	for _, version := range versions {
-		list = append(list, api.InForce{Instance: name, Role: role, Document: version.Name, Version: version.Version, Accepted: acceptedVersions[version.Name]})
+		list = append(list, api.DocumentInForce{Instance: name, Role: role, Document: version.Name, Version: version.Version, Accepted: acceptedVersions[version.Name]})
 	}
 	return list
 }
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -58,18 +58,18 @@
 // explainPending fills in the outcome of a placement decision that was made for
 // the explanation only.
 func explainPending(explanation *api.Explanation, decision *placement.Decision) {
-	explanation.Workers = decision.WorkerCount()
+	explanation.WorkerCount = decision.WorkerCount()
 	explanation.Policy = decision.Policy()
 	if policyErr := decision.PolicyError(); policyErr != nil {
-		explanation.PolicyFault = policyErr.Error()
+		explanation.PolicyError = policyErr.Error()
 	}
 	for _, constraint := range slices.Sorted(maps.Keys(decision.Rejected())) {
-		explanation.Constraints = append(explanation.Constraints, api.Constraint{Name: string(constraint), Workers: decision.Rejected()[constraint]})
+		explanation.Constraints = append(explanation.Constraints, api.Constraint{Name: string(constraint), ExcludedWorkers: decision.Rejected()[constraint]})
 	}
 	switch {
 	case decision.IsPlaced():
 		explanation.Candidate, explanation.Score = decision.Worker(), decision.Score()
-		explanation.Second, explanation.SecondScore = decision.RunnerUp()
+		explanation.RunnerUp, explanation.RunnerUpScore = decision.RunnerUp()
 		explanation.Summary = "the task is about to be placed on " + decision.Worker()
 	case decision.WorkerCount() == 0:
 		explanation.Summary = "the task waits: this entry has not heard of any worker"
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -35,7 +35,7 @@
 		writeProblem(ctx.ResponseWriter(), notFoundProblem("no such path: "+ctx.Path()))
 	})
 	app.OnErrorCode(iris.StatusMethodNotAllowed, func(ctx iris.Context) {
-		writeProblem(ctx.ResponseWriter(), newProblem(http.StatusMethodNotAllowed, api.TypeMethod, "The method is not allowed here", ctx.Method()+" "+ctx.Path()))
+		writeProblem(ctx.ResponseWriter(), newProblem(http.StatusMethodNotAllowed, api.TypeMethodNotAllowed, "The method is not allowed here", ctx.Method()+" "+ctx.Path()))
 	})
 	app.Configure(iris.WithFireMethodNotAllowed, iris.WithoutServerError(iris.ErrServerClosed))
 	if err := app.Build(); err != nil {
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -54,7 +54,7 @@
 // the record may still have been appended.
 func logProblem(err error) *api.Problem {
 	var unsettledErr *changelog.UnsettledError
-	problem := newProblem(http.StatusServiceUnavailable, api.TypeLog, "The platform's log does not answer", err.Error())
+	problem := newProblem(http.StatusServiceUnavailable, api.TypeLogUnavailable, "The platform's log does not answer", err.Error())
 	problem.Outcome = api.OutcomeNotRun
 	problem.RetryAfter = defaultRetryAfter.String()
 	if errors.As(err, &unsettledErr) {
--- a/entry/request.go
+++ b/entry/request.go
@@ -119,7 +119,7 @@
 func (call *serviceCall) parseHeaders(now time.Time) *api.Problem {
 	header := call.request.Header
 	call.requestID = header.Get(api.HeaderRequestID)
-	call.idempotencyKey = header.Get(api.HeaderKey)
+	call.idempotencyKey = header.Get(api.HeaderIdempotencyKey)
 	if call.idempotencyKey == "" {
 		call.idempotencyKey = call.requestID
 	}
@@ -139,7 +139,7 @@
 		return markNotRun(badRequestProblem(err.Error()))
 	}
 	if !call.repeatable && call.idempotencyKey == "" {
-		return markNotRun(badRequestProblem("a request that must not be repeated needs an " + api.HeaderKey + " or " + api.HeaderRequestID + " header; or mark it with " + api.HeaderRepeatable + ": true"))
+		return markNotRun(badRequestProblem("a request that must not be repeated needs an " + api.HeaderIdempotencyKey + " or " + api.HeaderRequestID + " header; or mark it with " + api.HeaderRepeatable + ": true"))
 	}
 	call.headers = forwardedHeaders(header)
 	return nil
--- a/entry/tasks.go
+++ b/entry/tasks.go
@@ -40,7 +40,7 @@
 		writeProblem(writer, problem)
 		return
 	}
-	created, task, problem := entry.submit(request.Context(), &body, request.Header.Get(api.HeaderKey))
+	created, task, problem := entry.submit(request.Context(), &body, request.Header.Get(api.HeaderIdempotencyKey))
 	if problem != nil {
 		writeProblem(writer, problem)
 		return
@@ -61,7 +61,7 @@
 		return false, nil, problem
 	}
 	if len(key) > maxNameBytes {
-		return false, nil, badRequestProblem(api.HeaderKey + " has at most " + strconv.Itoa(maxNameBytes) + " bytes")
+		return false, nil, badRequestProblem(api.HeaderIdempotencyKey + " has at most " + strconv.Itoa(maxNameBytes) + " bytes")
 	}
 	if key == "" {
 		key = uuid.NewString()
@@ -107,7 +107,7 @@
 			return
 		}
 		if !proto.Equal(task.Spec(), spec) {
-			problem = newProblem(http.StatusConflict, api.TypeConflict, "The key was used for another task", "task "+id+" has another specification; use another "+api.HeaderKey)
+			problem = newProblem(http.StatusConflict, api.TypeConflict, "The key was used for another task", "task "+id+" has another specification; use another "+api.HeaderIdempotencyKey)
 			return
 		}
 		result = apiTask(task)
@@ -158,7 +158,7 @@
 // and a task that exceeds its team's quota on its own.
 func (entry *Entry) checkFeasible(spec *record.TaskSpec) *api.Problem {
 	if (usageByTeam{}).exceedsQuota(entry.documents.Config(), spec) {
-		return newProblem(http.StatusUnprocessableEntity, api.TypeImpossible, "The task can never run", "it asks for more than the quota of team "+spec.GetTeam())
+		return newProblem(http.StatusUnprocessableEntity, api.TypeCanNeverRun, "The task can never run", "it asks for more than the quota of team "+spec.GetTeam())
 	}
 	var decision *placement.Decision
 	entry.journal.View(func(st *state.State) {
@@ -168,7 +168,7 @@
 	if !decision.IsImpossible() {
 		return nil
 	}
-	return newProblem(http.StatusUnprocessableEntity, api.TypeImpossible, "The task can never run",
+	return newProblem(http.StatusUnprocessableEntity, api.TypeCanNeverRun, "The task can never run",
 		fmt.Sprintf("of %d workers %d are too small and %d are in another failure domain", decision.WorkerCount(),
 			decision.Rejected()[placement.TooSmall], decision.Rejected()[placement.OtherDomain]))
 }
@@ -210,8 +210,8 @@
 		Accelerators:  spec.GetResources().GetAccelerators(),
 		Priority:      spec.GetPriority(),
 		Policy:        task.PolicyVersion(),
-		Created:       task.CreatedAt().UTC(),
-		Changed:       task.ChangedAt().UTC(),
+		CreatedAt:     task.CreatedAt().UTC(),
+		ChangedAt:     task.ChangedAt().UTC(),
 	}
 }
 
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -29,20 +29,20 @@
 func (entry *Entry) apiWorker(st *state.State, guard *membership.Guard, now time.Time) api.Worker {
 	worker := entry.placer.newPlacementWorker(st, guard, now)
 	row := api.Worker{
-		Name:          guard.Name(),
-		FailureDomain: guard.FailureDomain(),
-		Rack:          guard.Rack(),
-		Service:       guard.Service(),
-		State:         entry.workerState(st, guard, now),
-		Draining:      st.IsDraining(guard.Name()),
-		Processors:    float64(worker.Capacity.MilliCPU) / millisPerCore,
-		FreeCPU:       float64(worker.Capacity.MilliCPU-worker.Committed.MilliCPU) / millisPerCore,
-		MemoryBytes:   worker.Capacity.MemoryBytes,
-		Accelerators:  worker.Capacity.Accelerators,
-		SlotsUsed:     guard.Load().GetSlotsUsed(),
-		Slots:         guard.Load().GetSlots(),
-		Tasks:         []string{},
-		HeardAt:       guard.HeardAt().UTC(),
+		Name:           guard.Name(),
+		FailureDomain:  guard.FailureDomain(),
+		Rack:           guard.Rack(),
+		Service:        guard.Service(),
+		State:          entry.workerState(st, guard, now),
+		Draining:       st.IsDraining(guard.Name()),
+		Processors:     float64(worker.Capacity.MilliCPU) / millisPerCore,
+		FreeProcessors: float64(worker.Capacity.MilliCPU-worker.Committed.MilliCPU) / millisPerCore,
+		MemoryBytes:    worker.Capacity.MemoryBytes,
+		Accelerators:   worker.Capacity.Accelerators,
+		SlotsUsed:      guard.Load().GetSlotsUsed(),
+		Slots:          guard.Load().GetSlots(),
+		Tasks:          []string{},
+		LastReportAt:   guard.HeardAt().UTC(),
 	}
 	for _, task := range st.TasksOnWorker(guard.Name()) {
 		row.Tasks = append(row.Tasks, task.ID())
--- a/measure/fleet_test.go
+++ b/measure/fleet_test.go
@@ -117,7 +117,7 @@
 			return false
 		}
 		defer func() { _ = response.Body.Close() }()
-		var listed []api.InForce
+		var listed []api.DocumentInForce
 		return json.NewDecoder(response.Body).Decode(&listed) == nil && len(listed) == instances
 	})
 }
--- a/measure/kill_test.go
+++ b/measure/kill_test.go
@@ -106,7 +106,7 @@
 			headers, key := map[string]string{}, ""
 			if number%10 == 0 {
 				key = text
-				headers = map[string]string{api.HeaderRepeatable: "false", api.HeaderKey: key, standin.HeaderCount: key}
+				headers = map[string]string{api.HeaderRepeatable: "false", api.HeaderIdempotencyKey: key, standin.HeaderCount: key}
 			}
 			sent := time.Now()
 			status, body, err := made.exchange(made.url(number%entries+1, "/v1/services/verbale/snippets"), text, headers)
--- a/session/answer_test.go
+++ b/session/answer_test.go
@@ -206,7 +206,7 @@
 			made.startGuard("worker-01", "milano-a")
 			made.report("worker-01", "worker-02")
 			answer := made.doQuiet("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x",
-				api.HeaderRepeatable, fmt.Sprint(repeatable), api.HeaderKey, "bill-7")
+				api.HeaderRepeatable, fmt.Sprint(repeatable), api.HeaderIdempotencyKey, "bill-7")
 			if whole := answer.Code == http.StatusOK; whole != repeatable {
 				t.Errorf("status %d: %s", answer.Code, answer.Body)
 			}
--- a/session/claims_test.go
+++ b/session/claims_test.go
@@ -48,7 +48,7 @@
 
 // ServeHTTP implements http.Handler.
 func (backend *countingBackend) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	key := request.Header.Get(api.HeaderKey)
+	key := request.Header.Get(api.HeaderIdempotencyKey)
 	backend.mu.Lock()
 	backend.runs[key]++
 	broken := backend.runs[key]%2 == 1 && len(key)%2 == 0
@@ -145,7 +145,7 @@
 		for _, name := range []string{"entry-1", "entry-2", "entry-1"} {
 			callers.Go(func() {
 				key := keyOf(number)
-				answer := made.doQuiet(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderKey, key)
+				answer := made.doQuiet(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, key)
 				counts[number].add(answer.Code, answer.Body.Bytes(), "billed "+key)
 			})
 		}
--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -23,7 +23,7 @@
 			appends, bytes := made.log.Appends(), made.log.Bytes(changelog.RecordStream)
 			for number := range jobs {
 				body := `{"team":"councils","kind":"transcription","processors":1,"memory":"1GiB","run_time":"1s","input":"seduta"}`
-				if answer := made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderKey, fmt.Sprint(number)); answer.Code != http.StatusCreated {
+				if answer := made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, fmt.Sprint(number)); answer.Code != http.StatusCreated {
 					t.Fatalf("status %d: %s", answer.Code, answer.Body)
 				}
 			}
--- a/session/failure_test.go
+++ b/session/failure_test.go
@@ -41,7 +41,7 @@
 func (made *bench) submitAssigned() string {
 	made.t.Helper()
 	body := `{"team":"councils","kind":"transcription","processors":4,"run_time":"6h","input":"seduta","failure_domain":"milano-a"}`
-	id := idOf(made.t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderKey, "t-1").Body.Bytes())
+	id := idOf(made.t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, "t-1").Body.Bytes())
 	made.finish()
 	made.links.setCut("worker-01:rpc", true)
 	made.place("entry-1", "entry-2")
@@ -132,10 +132,10 @@
 	made.backend = backend
 	made.fill()
 	made.log.LoseAnswers(1)
-	first := made.doQuiet("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderKey, "bill-77")
+	first := made.doQuiet("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-77")
 	made.kill("entry-1")
 	made.catchUp()
-	second := made.doQuiet("entry-2", http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderKey, "bill-77")
+	second := made.doQuiet("entry-2", http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-77")
 	if runs := backend.count("bill-77"); runs != 1 || first.Code != http.StatusOK || second.Code != http.StatusConflict {
 		t.Errorf("%d runs, answers %d and %d", runs, first.Code, second.Code)
 	}
@@ -162,7 +162,7 @@
 		if answer := made.doQuiet(name, http.MethodPost, "/v1/services/verbale/snippets", "x"); answer.Code != http.StatusOK {
 			t.Errorf("%s answers %d: %s", name, answer.Code, answer.Body)
 		}
-		refused := made.doQuiet(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderKey, "bill-7")
+		refused := made.doQuiet(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-7")
 		if refused.Code != http.StatusServiceUnavailable {
 			t.Errorf("%s answers %d to a request that must not be repeated", name, refused.Code)
 		}
--- a/session/harness_test.go
+++ b/session/harness_test.go
@@ -315,7 +315,7 @@
 func (made *bench) placeTask(key string) string {
 	made.t.Helper()
 	body := `{"team":"councils","kind":"transcription","processors":4,"run_time":"6h","input":"seduta"}`
-	id := idOf(made.t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderKey, key).Body.Bytes())
+	id := idOf(made.t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, key).Body.Bytes())
 	made.finish()
 	made.place("entry-1", "entry-2")
 	made.report("worker-01", "worker-02")
--- a/session/soak_test.go
+++ b/session/soak_test.go
@@ -122,7 +122,7 @@
 		return
 	}
 	body := `{"team":"councils","kind":"transcription","processors":4,"run_time":"5m","input":"seduta"}`
-	answer := made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderKey, fmt.Sprint("t-", len(made.tasks)))
+	answer := made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, fmt.Sprint("t-", len(made.tasks)))
 	if answer.Code == http.StatusCreated {
 		made.tasks = append(made.tasks, idOf(made.t, answer.Body.Bytes()))
 	}
--- a/session/startfail_test.go
+++ b/session/startfail_test.go
@@ -20,7 +20,7 @@
 	made.workers["worker-01"].FailStarts(true)
 	made.report(bothWorkers...)
 	for number, attempts := range []uint64{2, 2, 2, 1, 1} {
-		id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderKey, fmt.Sprint(number)).Body.Bytes())
+		id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderIdempotencyKey, fmt.Sprint(number)).Body.Bytes())
 		made.finish()
 		made.place("entry-1")
 		made.place("entry-1")
@@ -33,7 +33,7 @@
 	made.workers["worker-01"].FailStarts(false)
 	made.pass(time.Minute)
 	made.report(bothWorkers...)
-	id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderKey, "later").Body.Bytes())
+	id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderIdempotencyKey, "later").Body.Bytes())
 	made.place("entry-1")
 	made.report(bothWorkers...)
 	if task := made.task("entry-1", id); task.Worker != "worker-01" || task.Phase != "running" {
@@ -48,7 +48,7 @@
 	for _, name := range bothWorkers {
 		made.workers[name].FailStarts(true)
 	}
-	id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderKey, "t-1").Body.Bytes())
+	id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderIdempotencyKey, "t-1").Body.Bytes())
 	for range 20 {
 		made.place(bothEntries...)
 		made.pass(20 * time.Second)
