--- a/agent/agent.go
+++ b/agent/agent.go
@@ -164,7 +164,7 @@
 	// store.
 	evacuationState   operator.EvacuationState
 	evacuationsWanted chan struct{}
-	traffic           *traffic.Sent
+	traffic           *traffic.Counter
 	metrics           metrics
 	// gaugesRecordedAt is when the gauges were last recorded.
 	gaugesRecordedAt time.Time
@@ -215,7 +215,7 @@
 	agent.pacer.mergeLearnedByAll(now)
 	agent.sendUpdates(now)
 	agent.recordGauges(now)
-	agent.traffic.Log(agent.ctx, agent.options.Events, now)
+	agent.traffic.LogIfDue(agent.ctx, agent.options.Events, now)
 }
 
 func (agent *Agent) log(code event.Code, attributes ...slog.Attr) {
--- a/agent/updates.go
+++ b/agent/updates.go
@@ -53,7 +53,7 @@
 		message := agent.nextMessage(s, status, now)
 		select {
 		case s.outbox <- message:
-			agent.traffic.NoteAgent(agent.ctx, message, s.isSameDomain)
+			agent.traffic.AddAgentMessage(agent.ctx, message, s.isSameDomain)
 		default:
 			// The owner does not read, so it is considered gone. When it attaches again, it is sent
 			// everything.
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -18,7 +18,7 @@
 // # Errors
 //
 // [*TakenError] says what became of the request that has the key. [ErrLogDown],
-// [*UnsettledError] and [ErrLost] say that this instance must not run it.
+// [*UnsettledError] and [ErrConcurrentClaim] say that this instance must not run it.
 package claim
 
 import (
@@ -38,22 +38,22 @@
 )
 
 const (
-	takeWait    = time.Second
-	releaseWait = 250 * time.Millisecond
-	recordWait  = 2 * time.Second
-	recordRetry = 500 * time.Millisecond
-	// mostEnds is how many ends are recorded in one append.
-	mostEnds = 128
-	// lateClaim is how long an append without an answer can still take effect:
+	acquireTimeout      = time.Second
+	releaseTimeout      = 250 * time.Millisecond
+	recordTimeout       = 2 * time.Second
+	recordRetryInterval = 500 * time.Millisecond
+	// maxEndsPerAppend is how many ends are recorded in one append.
+	maxEndsPerAppend = 128
+	// lateAppendWindow is how long an append without an answer can still take effect:
 	// the journal sends a batch only while somebody waits for it.
-	lateClaim = 30 * time.Second
+	lateAppendWindow = 30 * time.Second
 )
 
 // ErrLogDown says that the log can't be reached.
 var ErrLogDown = errors.New("the log, in which the request is claimed, can't be reached")
 
-// ErrLost says that another holder had the key and gave it back meanwhile.
-var ErrLost = errors.New("another request with the same key was claimed and given back meanwhile")
+// ErrConcurrentClaim says that another holder had the key and gave it back meanwhile.
+var ErrConcurrentClaim = errors.New("another request with the same key was claimed and given back meanwhile")
 
 // TakenError says that the key is claimed.
 type TakenError struct {
@@ -83,14 +83,14 @@
 // Unwrap returns the cause.
 func (unsettled *UnsettledError) Unwrap() error { return unsettled.cause }
 
-// Held is a claim that this instance holds.
-type Held struct {
+// Claim is a claim that this instance holds.
+type Claim struct {
 	key    string
 	holder string
 }
 
 // Key returns the claimed key.
-func (held *Held) Key() string { return held.key }
+func (held *Claim) Key() string { return held.key }
 
 // Options sets up Claims.
 type Options struct {
@@ -98,32 +98,32 @@
 	Journal *changelog.Journal
 	// Instance names the instance.
 	Instance string
-	// StaleLog is how old the newest whole read of the log may be before the
+	// MaxLogAge is how old the newest whole read of the log may be before the
 	// log counts as down. Default 3 s.
-	StaleLog time.Duration
+	MaxLogAge time.Duration
 	// Clock paces retries. Default the real clock.
 	Clock clockwork.Clock
 	// Events receives log lines. Default none.
 	Events *event.Logger
 }
 
-const defaultStaleLog = 3 * time.Second
+const defaultMaxLogAge = 3 * time.Second
 
-// Claims takes and ends the claims of one instance. It may be used by many
+// Manager takes and ends the claims of one instance. It may be used by many
 // goroutines.
-type Claims struct {
+type Manager struct {
 	options Options
 
-	mu    sync.Mutex
-	ends  map[string]*record.Record // by holder: what must still be recorded
-	wake  chan struct{}
-	doing sync.WaitGroup
+	mu          sync.Mutex
+	pendingEnds map[string]*record.Record // by holder: what must still be recorded
+	wake        chan struct{}
+	pending     sync.WaitGroup
 }
 
 // New returns Claims that hold nothing.
-func New(options Options) *Claims {
-	if options.StaleLog == 0 {
-		options.StaleLog = defaultStaleLog
+func New(options Options) *Manager {
+	if options.MaxLogAge == 0 {
+		options.MaxLogAge = defaultMaxLogAge
 	}
 	if options.Clock == nil {
 		options.Clock = clockwork.NewRealClock()
@@ -131,54 +131,54 @@
 	if options.Events == nil {
 		options.Events = event.Discard()
 	}
-	return &Claims{options: options, ends: map[string]*record.Record{}, wake: make(chan struct{}, 1)}
+	return &Manager{options: options, pendingEnds: map[string]*record.Record{}, wake: make(chan struct{}, 1)}
 }
 
-// Take claims a key. Without an error the caller runs the request and ends the
+// Acquire claims a key. Without an error the caller runs the request and ends the
 // claim with Release or Finish.
-func (claims *Claims) Take(ctx context.Context, key, service string, now time.Time) (*Held, error) {
+func (claims *Manager) Acquire(ctx context.Context, key, service string, now time.Time) (*Claim, error) {
 	log := claims.options.Journal
-	if log.Ready() != nil || now.Sub(log.SyncedAt()) >= claims.options.StaleLog {
+	if log.Ready() != nil || now.Sub(log.SyncedAt()) >= claims.options.MaxLogAge {
 		return nil, ErrLogDown
 	}
 	// Performance: a key whose request has ended costs no append. One that is
 	// held may have been given back since this instance last read the log, so
 	// that is for the log to say: the case is a caller who comes back at once to
 	// another instance than the one that gave the claim back.
-	if taken := claims.taken(key); taken != nil && taken.phase != state.ClaimHeld {
+	if taken := claims.takenError(key); taken != nil && taken.phase != state.ClaimHeld {
 		return nil, taken
 	}
-	held := &Held{key: key, holder: claims.options.Instance + "/" + uuid.NewString()}
+	held := &Claim{key: key, holder: claims.options.Instance + "/" + uuid.NewString()}
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_Claim{Claim: &record.Claim{Key: key, Holder: held.holder, Service: service}}
-	ctx, cancel := context.WithTimeout(ctx, takeWait)
+	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	outcomes, err := log.Append(ctx, rec)
 	if err != nil {
-		return nil, claims.unsettled(held, err, now)
+		return nil, claims.releaseUnsettled(held, err, now)
 	}
 	if !outcomes[0].IsAccepted() {
 		claims.options.Events.Log(ctx, event.ClaimLost, slog.String("key", key))
-		if taken := claims.taken(key); taken != nil {
+		if taken := claims.takenError(key); taken != nil {
 			return nil, taken
 		}
-		return nil, ErrLost
+		return nil, ErrConcurrentClaim
 	}
 	claims.options.Events.Log(ctx, event.ClaimTaken, slog.String("key", key), slog.String("holder", held.holder))
 	return held, nil
 }
 
-// unsettled makes sure that a claim which may still come is given back.
-func (claims *Claims) unsettled(held *Held, err error, now time.Time) error {
+// releaseUnsettled makes sure that a claim which may still come is given back.
+func (claims *Manager) releaseUnsettled(held *Claim, err error, now time.Time) error {
 	var open *changelog.UnsettledError
 	if errors.As(err, &open) {
-		claims.end(releaseRecord(held, now), held)
+		claims.enqueueEnd(releaseRecord(held, now), held)
 	}
 	return &UnsettledError{cause: err}
 }
 
-// taken answers from the state whether the key is claimed.
-func (claims *Claims) taken(key string) *TakenError {
+// takenError answers from the state whether the key is claimed.
+func (claims *Manager) takenError(key string) *TakenError {
 	var found *TakenError
 	claims.options.Journal.View(func(folded *state.State) {
 		if kept := folded.Claim(key); kept != nil {
@@ -188,7 +188,7 @@
 	return found
 }
 
-func releaseRecord(held *Held, now time.Time) *record.Record {
+func releaseRecord(held *Claim, now time.Time) *record.Record {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_ClaimRelease{ClaimRelease: &record.ClaimRelease{Key: held.key, Holder: held.holder}}
 	return rec
@@ -196,18 +196,18 @@
 
 // Release gives a claim back, because its request has proved not to have run.
 // It waits a little, so that the caller can come back at once.
-func (claims *Claims) Release(ctx context.Context, held *Held, now time.Time) {
+func (claims *Manager) Release(ctx context.Context, held *Claim, now time.Time) {
 	rec := releaseRecord(held, now)
 	claims.options.Events.Log(ctx, event.ClaimReleased, slog.String("key", held.key))
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	if _, err := claims.options.Journal.Append(ctx, rec); err != nil {
-		claims.end(rec, held)
+		claims.enqueueEnd(rec, held)
 	}
 }
 
 // Finish records in the background that a claimed request has run, or may have.
-func (claims *Claims) Finish(held *Held, status int, maybe bool, now time.Time) {
+func (claims *Manager) Finish(held *Claim, status int, maybe bool, now time.Time) {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_ClaimFinish{ClaimFinish: &record.ClaimFinish{
 		Key:     held.key,
@@ -215,15 +215,15 @@
 		Status:  int32(status),
 		Unknown: maybe,
 	}}
-	claims.end(rec, held)
+	claims.enqueueEnd(rec, held)
 }
 
-// end records the end of a claim in the background, until the log takes it.
-func (claims *Claims) end(rec *record.Record, held *Held) {
+// enqueueEnd records the end of a claim in the background, until the log takes it.
+func (claims *Manager) enqueueEnd(rec *record.Record, held *Claim) {
 	claims.mu.Lock()
-	claims.ends[held.holder] = rec
+	claims.pendingEnds[held.holder] = rec
 	claims.mu.Unlock()
-	claims.doing.Add(1)
+	claims.pending.Add(1)
 	select {
 	case claims.wake <- struct{}{}:
 	default:
@@ -231,44 +231,44 @@
 }
 
 // Run records the ends of claims until ctx ends.
-func (claims *Claims) Run(ctx context.Context) {
+func (claims *Manager) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-claims.wake:
 		}
-		for claims.Record(ctx, claims.options.Clock.Now()) > 0 {
+		for claims.RecordPending(ctx, claims.options.Clock.Now()) > 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-claims.options.Clock.After(recordRetry):
+			case <-claims.options.Clock.After(recordRetryInterval):
 			}
 		}
 	}
 }
 
-// Record makes one round of recording the ends that are due and returns how
+// RecordPending makes one round of recording the ends that are due and returns how
 // many are left.
-func (claims *Claims) Record(ctx context.Context, now time.Time) int {
-	holders, records := claims.due()
+func (claims *Manager) RecordPending(ctx context.Context, now time.Time) int {
+	holders, records := claims.nextBatch()
 	if len(records) == 0 {
 		return 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, recordWait)
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	outcomes, err := claims.options.Journal.Append(ctx, records...)
 	if err != nil {
 		return len(records)
 	}
-	return claims.note(holders, outcomes, now)
+	return claims.removeRecorded(holders, outcomes, now)
 }
 
-func (claims *Claims) due() (holders []string, records []*record.Record) {
+func (claims *Manager) nextBatch() (holders []string, records []*record.Record) {
 	claims.mu.Lock()
 	defer claims.mu.Unlock()
-	for holder, rec := range claims.ends {
-		if len(holders) == mostEnds {
+	for holder, rec := range claims.pendingEnds {
+		if len(holders) == maxEndsPerAppend {
 			break
 		}
 		holders = append(holders, holder)
@@ -277,25 +277,25 @@
 	return holders, records
 }
 
-// note drops what has been recorded. An end whose claim the log has not seen
+// removeRecorded drops what has been recorded. An end whose claim the log has not seen
 // stays: the claim may still come, and must then be given back.
-func (claims *Claims) note(holders []string, outcomes []state.Outcome, now time.Time) int {
+func (claims *Manager) removeRecorded(holders []string, outcomes []state.Outcome, now time.Time) int {
 	claims.mu.Lock()
 	defer claims.mu.Unlock()
 	for index, holder := range holders {
-		rec, open := claims.ends[holder]
+		rec, open := claims.pendingEnds[holder]
 		if !open {
 			continue
 		}
-		early := now.Sub(time.Unix(0, rec.GetWrittenUnixNano())) < lateClaim
+		early := now.Sub(time.Unix(0, rec.GetWrittenUnixNano())) < lateAppendWindow
 		if outcomes[index].Reason() == state.ReasonUnknown && early {
 			continue
 		}
-		delete(claims.ends, holder)
-		claims.doing.Done()
+		delete(claims.pendingEnds, holder)
+		claims.pending.Done()
 	}
-	return len(claims.ends)
+	return len(claims.pendingEnds)
 }
 
-// Settle waits until every end is recorded.
-func (claims *Claims) Settle() { claims.doing.Wait() }
+// Wait waits until every end is recorded.
+func (claims *Manager) Wait() { claims.pending.Wait() }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -202,5 +202,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return uptime.NewClock(clockwork.NewRealClock(), clocks.Suspended), nil
+	return uptime.NewSuspendAwareClock(clockwork.NewRealClock(), clocks.SuspendedFor), nil
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -67,7 +67,7 @@
 	events     *event.Logger
 	metrics    *telemetry.Metrics
 	clock      clockwork.Clock
-	bootClocks *uptime.Clocks
+	bootClocks *uptime.SystemClocks
 	store      *platform.Store
 }
 
@@ -99,7 +99,7 @@
 		Name: settings.Name(), Address: address, FailureDomain: settings.FailureDomain(), Shards: settings.Partitions(),
 		Strong:        candidacy.IsStrong(settings.Cores()),
 		GrantDuration: min(maxGrant, settings.MaxLease()), MemberTimeout: max(defaultMemberTimeout, settings.MinMemberTimeout()), JobRetention: settings.JobRetention(),
-		Store: made.store, Advisor: newAdvisor(settings), Dial: rpc.DialOne, Clock: made.clock, Suspended: made.bootClocks.Suspended,
+		Store: made.store, Advisor: newAdvisor(settings), Dial: rpc.DialUnpooled, Clock: made.clock, Suspended: made.bootClocks.SuspendedFor,
 		Events: made.events, Meters: made.metrics.Provider(),
 	})
 	front := gateway.New(gateway.Options{
@@ -173,7 +173,7 @@
 		Connect: func(address string, of incarnation.ID) *platform.Worker {
 			return platform.NewWorker(address, of, transport)
 		},
-		Clock: made.clock, Suspended: made.bootClocks.Suspended, Events: made.events, Meters: made.metrics.Provider(),
+		Clock: made.clock, Suspended: made.bootClocks.SuspendedFor, Events: made.events, Meters: made.metrics.Provider(),
 	})
 	running := &Agent{Daemon: Daemon{kern: kernel.New(), events: made.events}}
 	return running, registerAll(running.kern,
--- a/document/document.go
+++ b/document/document.go
@@ -9,7 +9,7 @@
 //
 // # Usage
 //
-//	shelf := document.NewShelf()
+//	shelf := document.NewActiveSet()
 //	changed, err := shelf.Offer(document.Copy{Name: "config", Version: 3, Content: content})
 //	settings := shelf.Config()
 package document
@@ -53,40 +53,40 @@
 // String returns the name and version, such as placement@3.
 func (inForce Policy) String() string { return fmt.Sprintf("%s@%d", inForce.name, inForce.version) }
 
-// Shelf holds the documents in force. It may be used by many goroutines.
-type Shelf struct {
-	mu       sync.RWMutex
-	copies   map[string]Copy
-	rejected map[string]uint64
-	settings *config.Config
-	policies map[string]Policy
-	builtIn  Policy
+// ActiveSet holds the documents in force. It may be used by many goroutines.
+type ActiveSet struct {
+	mu            sync.RWMutex
+	copies        map[string]Copy
+	rejected      map[string]uint64
+	settings      *config.Config
+	policies      map[string]Policy
+	builtInPolicy Policy
 }
 
-// NewShelf returns a shelf on which only the built-in placement policy stands.
-func NewShelf() *Shelf {
+// NewActiveSet returns a shelf on which only the built-in placement policy stands.
+func NewActiveSet() *ActiveSet {
 	program, err := policy.Compile(policy.BuiltInPlacement)
 	if err != nil {
 		// The built-in policy is a constant that a test compiles.
 		panic(err)
 	}
-	return &Shelf{
-		copies:   map[string]Copy{},
-		rejected: map[string]uint64{},
-		policies: map[string]Policy{},
-		builtIn:  Policy{program: program, name: "built-in", version: 0},
+	return &ActiveSet{
+		copies:        map[string]Copy{},
+		rejected:      map[string]uint64{},
+		policies:      map[string]Policy{},
+		builtInPolicy: Policy{program: program, name: "built-in", version: 0},
 	}
 }
 
-// Offer puts a copy in force if it is newer than what stands there, and
+// Activate puts a copy in force if it is newer than what stands there, and
 // reports whether it did. The error says why a newer copy can't be used.
-func (shelf *Shelf) Offer(offered Copy) (bool, error) {
+func (shelf *ActiveSet) Activate(offered Copy) (bool, error) {
 	shelf.mu.Lock()
 	defer shelf.mu.Unlock()
 	if offered.Version <= shelf.copies[offered.Name].Version || offered.Version <= shelf.rejected[offered.Name] {
 		return false, nil
 	}
-	if err := shelf.use(offered); err != nil {
+	if err := shelf.apply(offered); err != nil {
 		shelf.rejected[offered.Name] = offered.Version
 		return false, errors.Wrapf(err, "%s version %d can't be used", offered.Name, offered.Version)
 	}
@@ -94,7 +94,7 @@
 	return true, nil
 }
 
-func (shelf *Shelf) use(offered Copy) error {
+func (shelf *ActiveSet) apply(offered Copy) error {
 	if offered.Name == config.DocumentName {
 		parsed, err := config.Parse(offered.Content)
 		if err != nil {
@@ -117,33 +117,33 @@
 
 // Check reports whether a document of that name could be put in force.
 func Check(name string, content []byte) error {
-	return NewShelf().use(Copy{Name: name, Version: 1, Content: content})
+	return NewActiveSet().apply(Copy{Name: name, Version: 1, Content: content})
 }
 
 // Config returns the configuration in force, nil when there is none yet.
-func (shelf *Shelf) Config() *config.Config {
+func (shelf *ActiveSet) Config() *config.Config {
 	shelf.mu.RLock()
 	defer shelf.mu.RUnlock()
 	return shelf.settings
 }
 
-// Placement returns the placement policy in force, the built-in one when none
+// PlacementPolicy returns the placement policy in force, the built-in one when none
 // was published.
-func (shelf *Shelf) Placement() Policy {
+func (shelf *ActiveSet) PlacementPolicy() Policy {
 	shelf.mu.RLock()
 	defer shelf.mu.RUnlock()
 	inForce, published := shelf.policies[policy.Placement]
 	if !published {
-		return shelf.builtIn
+		return shelf.builtInPolicy
 	}
 	return inForce
 }
 
-// BuiltIn returns the policy that decides when another one fails.
-func (shelf *Shelf) BuiltIn() Policy { return shelf.builtIn }
+// BuiltInPolicy returns the policy that decides when another one fails.
+func (shelf *ActiveSet) BuiltInPolicy() Policy { return shelf.builtInPolicy }
 
 // Versions returns what is in force, by name.
-func (shelf *Shelf) Versions() []Version {
+func (shelf *ActiveSet) Versions() []Version {
 	shelf.mu.RLock()
 	defer shelf.mu.RUnlock()
 	versions := make([]Version, 0, len(shelf.copies))
@@ -155,7 +155,7 @@
 }
 
 // NewerThan returns the copies that one who has the given versions lacks.
-func (shelf *Shelf) NewerThan(have []Version) []Copy {
+func (shelf *ActiveSet) NewerThan(have []Version) []Copy {
 	held := map[string]uint64{}
 	for _, each := range have {
 		held[each.Name] = each.Version
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -12,7 +12,7 @@
 
 const policyName = "policy-placement"
 
-func TestOffer(t *testing.T) {
+func TestActivate(t *testing.T) {
 	tests := map[string]struct {
 		offers  []document.Copy
 		version uint64
@@ -26,10 +26,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			shelf := document.NewShelf()
+			shelf := document.NewActiveSet()
 			var last error
 			for _, offered := range test.offers {
-				_, last = shelf.Offer(offered)
+				_, last = shelf.Activate(offered)
 			}
 			var version uint64
 			for _, each := range shelf.Versions() {
@@ -42,17 +42,17 @@
 	}
 }
 
-// TestNeverBack offers copies in any order: the version in force only grows.
-func TestNeverBack(t *testing.T) {
+// TestVersionNeverDecreases offers copies in any order: the version in force only grows.
+func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shelf := document.NewShelf()
+		shelf := document.NewActiveSet()
 		var before uint64
 		for _, version := range rapid.SliceOf(rapid.Uint64Range(1, 9)).Draw(t, "versions") {
 			source := "1"
 			if rapid.Bool().Draw(t, "faulty") {
 				source = "worker.nam"
 			}
-			_, _ = shelf.Offer(document.Copy{Name: policyName, Version: version, Content: []byte(source)})
+			_, _ = shelf.Activate(document.Copy{Name: policyName, Version: version, Content: []byte(source)})
 			for _, each := range shelf.Versions() {
 				if each.Version < before {
 					t.Fatalf("went back from %d to %d", before, each.Version)
@@ -68,9 +68,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	shelf := document.NewShelf()
+	shelf := document.NewActiveSet()
 	for _, offered := range []document.Copy{{config.DocumentName, 4, content}, {policyName, 2, []byte("1")}} {
-		if _, err := shelf.Offer(offered); err != nil {
+		if _, err := shelf.Activate(offered); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/entry/apply.go
+++ b/entry/apply.go
@@ -13,7 +13,7 @@
 // and applies the limits of a new configuration. An unusable document is logged and
 // the version in force stays.
 func (entry *Entry) applyDocument(ctx context.Context, doc document.Copy) {
-	changed, err := entry.documents.Offer(doc)
+	changed, err := entry.documents.Activate(doc)
 	attributes := []slog.Attr{slog.String("document", doc.Name), slog.Uint64("version", doc.Version)}
 	if err != nil {
 		entry.options.Events.Log(ctx, event.DocumentRejected, append(attributes, slog.String("error", err.Error()))...)
@@ -26,6 +26,6 @@
 	if doc.Name == config.DocumentName {
 		limits := entry.documents.Config().Limits()
 		entry.retryBudget.SetRatio(limits.RetryRatio())
-		entry.view.SetSilent(limits.WorkerSilent())
+		entry.view.SetTimeout(limits.WorkerSilent())
 	}
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -14,8 +14,8 @@
 
 // takeClaim claims the key of a request that must not be repeated. If this entry
 // may not run the request, it returns a problem with the reason.
-func (entry *Entry) takeClaim(ctx context.Context, call *serviceCall) (*claim.Held, *api.Problem) {
-	heldClaim, err := entry.claims.Take(ctx, call.idempotencyKey, call.service, entry.now())
+func (entry *Entry) takeClaim(ctx context.Context, call *serviceCall) (*claim.Claim, *api.Problem) {
+	heldClaim, err := entry.claims.Acquire(ctx, call.idempotencyKey, call.service, entry.now())
 	var takenErr *claim.TakenError
 	switch {
 	case err == nil:
@@ -45,7 +45,7 @@
 
 // releaseClaim gives up the claim of a request that did not run. It does nothing
 // without a claim.
-func (entry *Entry) releaseClaim(ctx context.Context, heldClaim *claim.Held) {
+func (entry *Entry) releaseClaim(ctx context.Context, heldClaim *claim.Claim) {
 	if heldClaim != nil {
 		entry.claims.Release(ctx, heldClaim, entry.now())
 	}
@@ -53,7 +53,7 @@
 
 // finishClaim ends the claim of a request that ran, or that may have run. It does
 // nothing without a claim.
-func (entry *Entry) finishClaim(heldClaim *claim.Held, status int, mayHaveRun bool) {
+func (entry *Entry) finishClaim(heldClaim *claim.Claim, status int, mayHaveRun bool) {
 	if heldClaim != nil {
 		entry.claims.Finish(heldClaim, status, mayHaveRun, entry.now())
 	}
@@ -61,4 +61,4 @@
 
 // RecordClaims appends the outcomes of ended claims to the log once. Run does so
 // repeatedly.
-func (entry *Entry) RecordClaims(ctx context.Context) { entry.claims.Record(ctx, entry.now()) }
+func (entry *Entry) RecordClaims(ctx context.Context) { entry.claims.RecordPending(ctx, entry.now()) }
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -172,8 +172,8 @@
 // every task that has not ended, as if each task were submitted now. A policy that
 // fails for a task is not valid.
 func (entry *Entry) dryRun(report *api.CheckReport, source string) {
-	proposed := document.NewShelf()
-	if _, err := proposed.Offer(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
+	proposed := document.NewActiveSet()
+	if _, err := proposed.Activate(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
 		report.Faults = apiFaults(err)
 		return
 	}
@@ -191,7 +191,7 @@
 			}
 			placementTask := entry.placer.newPlacementTask(settings, task, now)
 			before := workers.Decide(runner, entry.policies(), placementTask)
-			after := workers.Decide(runner, placement.Policies{InForce: proposed.Placement(), BuiltIn: proposed.BuiltIn()}, placementTask)
+			after := workers.Decide(runner, placement.Policies{InForce: proposed.PlacementPolicy(), BuiltIn: proposed.BuiltInPolicy()}, placementTask)
 			report.CheckedDecisions++
 			if policyErr := after.PolicyError(); policyErr != nil {
 				report.Valid = false
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -95,9 +95,9 @@
 	journal         *changelog.Journal
 	view            *membership.View
 	routes          *route.Table
-	documents       *document.Shelf
+	documents       *document.ActiveSet
 	retryBudget     *budget.Budget
-	claims          *claim.Claims
+	claims          *claim.Manager
 	placer          *placer
 	metrics         *metrics
 	inFlight        atomic.Int64
@@ -127,13 +127,13 @@
 		journal:         options.Journal,
 		view:            membership.NewView(defaultGuardTimeout),
 		routes:          route.NewTable(options.FailureDomain),
-		documents:       document.NewShelf(),
+		documents:       document.NewActiveSet(),
 		retryBudget:     budget.New(defaultRetryRatio, retryBurst),
 		shutdownStarted: make(chan struct{}),
 		suspicions:      suspicionTracker{active: map[string]activeSuspicion{}, missing: map[string]time.Time{}, ended: map[string]endedSuspicion{}},
 	}
 	entry.claims = claim.New(claim.Options{
-		Journal: options.Journal, Instance: options.Name, StaleLog: maxLogAge, Clock: options.Clock, Events: options.Events,
+		Journal: options.Journal, Instance: options.Name, MaxLogAge: maxLogAge, Clock: options.Clock, Events: options.Events,
 	})
 	entry.placer = &placer{entry: entry, policyRunner: policy.NewRunner(), refusals: map[string][]refusal{}}
 	entry.metrics = newMetrics(entry)
@@ -141,7 +141,7 @@
 }
 
 // ActiveDocuments returns the configuration and policies in force on this entry.
-func (entry *Entry) ActiveDocuments() *document.Shelf { return entry.documents }
+func (entry *Entry) ActiveDocuments() *document.ActiveSet { return entry.documents }
 
 // Journal returns the entry's replica of the shared state.
 func (entry *Entry) Journal() *changelog.Journal { return entry.journal }
@@ -219,7 +219,7 @@
 func (entry *Entry) WaitClaims(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
-		entry.claims.Settle()
+		entry.claims.Wait()
 		close(done)
 	}()
 	select {
@@ -258,12 +258,12 @@
 func (entry *Entry) RefreshInstances(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
-	if list, err := entry.options.Instances.List(ctx, instances.All); err == nil {
-		entry.view.ListRead(list)
+	if list, err := entry.options.Instances.List(ctx, instances.AllRoles); err == nil {
+		entry.view.SetInstances(list)
 	}
 	now := entry.now()
 	for _, guard := range entry.view.Guards() {
-		entry.routes.Update(guard, entry.view.Silent(guard, now))
+		entry.routes.Update(guard, entry.view.HasTimedOut(guard, now))
 	}
 }
 
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -15,7 +15,7 @@
 // policies returns the placement policy in force and the built-in one, which is
 // used when the former fails.
 func (entry *Entry) policies() placement.Policies {
-	return placement.Policies{InForce: entry.documents.Placement(), BuiltIn: entry.documents.BuiltIn()}
+	return placement.Policies{InForce: entry.documents.PlacementPolicy(), BuiltIn: entry.documents.BuiltInPolicy()}
 }
 
 // serveExplain responds with the reason for a task's placement, or with the
@@ -29,7 +29,7 @@
 		if task == nil || settings == nil {
 			return
 		}
-		explanation = &api.Explanation{Task: *apiTask(task), Policy: entry.documents.Placement().String()}
+		explanation = &api.Explanation{Task: *apiTask(task), Policy: entry.documents.PlacementPolicy().String()}
 		if task.Phase() != state.PhasePending {
 			explanation.Summary = phaseSummary(task)
 			return
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -12,11 +12,11 @@
 // Entries call it to synchronise with each other. It implements the DRPC service of
 // entries.
 func (entry *Entry) Documents(ctx context.Context, request *wire.DocumentsRequest) (*wire.DocumentsReply, error) {
-	have := wire.FromVersions(request.GetHave())
+	have := wire.DecodeVersions(request.GetHave())
 	return &wire.DocumentsReply{
 		Entry:     entry.options.Name,
-		Documents: wire.Copies(entry.documents.NewerThan(have)),
-		InForce:   wire.Versions(entry.documents.Versions()),
+		Documents: wire.EncodeCopies(entry.documents.NewerThan(have)),
+		InForce:   wire.EncodeVersions(entry.documents.Versions()),
 	}, nil
 }
 
@@ -39,14 +39,14 @@
 func (entry *Entry) syncPeer(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
-	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.Versions(entry.documents.Versions())}
+	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.EncodeVersions(entry.documents.Versions())}
 	reply, err := wire.NewDRPCEntryClient(entry.options.Pool.Conn(address)).Documents(ctx, request)
 	if err != nil {
 		return
 	}
-	entry.view.PeerHeard(membership.Peer{Name: reply.GetEntry(), HeardAt: entry.now(), Documents: wire.FromVersions(reply.GetInForce())})
+	entry.view.UpdatePeer(membership.Peer{Name: reply.GetEntry(), LastAnswerAt: entry.now(), Documents: wire.DecodeVersions(reply.GetInForce())})
 	for _, doc := range reply.GetDocuments() {
-		entry.applyDocument(ctx, wire.FromCopy(doc))
+		entry.applyDocument(ctx, wire.DecodeCopy(doc))
 	}
 }
 
@@ -70,12 +70,12 @@
 func (entry *Entry) fetchDocuments(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
-	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.Versions(entry.documents.Versions())}
+	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.EncodeVersions(entry.documents.Versions())}
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(address)).Documents(ctx, request)
 	if err != nil {
 		return
 	}
 	for _, doc := range reply.GetDocuments() {
-		entry.applyDocument(ctx, wire.FromCopy(doc))
+		entry.applyDocument(ctx, wire.DecodeCopy(doc))
 	}
 }
--- a/entry/place.go
+++ b/entry/place.go
@@ -168,7 +168,7 @@
 	// The guard's clock has advanced since its last report. Adding this time keeps
 	// the offer from expiring early. It can't make it expire late, as the report
 	// was sent before it was received.
-	uptime := guard.Uptime() + now.Sub(guard.HeardAt())
+	uptime := guard.Uptime() + now.Sub(guard.LastReportAt())
 	return &assignment{
 		assign: &record.TaskAssign{
 			Task:               task.ID(),
@@ -350,11 +350,11 @@
 // there is none.
 func (p *placer) blockedBy(st *state.State, guard *membership.Guard, now time.Time) placement.Constraint {
 	switch {
-	case st.ActiveSuspicion(guard.Name()) != 0 || p.entry.view.Silent(guard, now):
+	case st.ActiveSuspicion(guard.Name()) != 0 || p.entry.view.HasTimedOut(guard, now):
 		return placement.Suspected
 	case st.IsDraining(guard.Name()):
 		return placement.Draining
-	case !guard.Ready():
+	case !guard.IsReady():
 		return placement.NotReady
 	case p.recentStartFailures(guard.Name(), now) >= maxStartFailures:
 		return placement.Recovering
--- a/entry/reconcile.go
+++ b/entry/reconcile.go
@@ -51,7 +51,7 @@
 		// The guard's previous report came before this entry's last read to the
 		// end of the log began. A task that is still missing from the state is
 		// taken to have ended and been removed.
-		grant.Recorded = !guard.HeardBefore().IsZero() && syncedAt.After(guard.HeardBefore())
+		grant.Recorded = !guard.PreviousReportAt().IsZero() && syncedAt.After(guard.PreviousReportAt())
 		grant.Stop = grant.Recorded
 	case report.GetAttempt() > task.Attempt():
 		// This entry's state lags behind the log. It leaves the attempt to entries
@@ -88,7 +88,7 @@
 		actions.records = append(actions.records, newRunningRecord(task.ID(), task.Attempt(), now))
 	case task.Phase() == state.PhaseStopping && report.GetPhase() == wire.TaskPhase_TASK_RUNNING:
 		actions.stops = append(actions.stops, newStopRequest(task, guard))
-	case task.Phase() == state.PhaseRunning && (st.IsDraining(guard.Name()) || guard.ListedLeaving()):
+	case task.Phase() == state.PhaseRunning && (st.IsDraining(guard.Name()) || guard.IsListedLeaving()):
 		actions.records = append(actions.records, newEvictRecord(task, "its worker is drained", now))
 	}
 }
--- a/entry/report.go
+++ b/entry/report.go
@@ -19,9 +19,9 @@
 	entry.fetchIfNewer(ctx, report.GetDocuments(), report.GetAddress())
 	reply := &wire.ReportReply{
 		Entry:     entry.options.Name,
-		Documents: wire.Copies(entry.documents.NewerThan(wire.FromVersions(report.GetDocuments()))),
+		Documents: wire.EncodeCopies(entry.documents.NewerThan(wire.DecodeVersions(report.GetDocuments()))),
 	}
-	guard := entry.view.Heard(report, now)
+	guard := entry.view.AddReport(report, now)
 	if guard == nil {
 		return reply, nil
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -50,7 +50,7 @@
 
 // runCall sends the request until it is answered or may not be tried again.
 // heldClaim is the claim of a request that must not be repeated, and nil for others.
-func (entry *Entry) runCall(ctx context.Context, writer http.ResponseWriter, call *serviceCall, heldClaim *claim.Held) *api.Problem {
+func (entry *Entry) runCall(ctx context.Context, writer http.ResponseWriter, call *serviceCall, heldClaim *claim.Claim) *api.Problem {
 	entry.retryBudget.Deposit()
 	var triedWorkers []string
 	// Once a backend server may have run the request, the outcome of a failed
@@ -100,7 +100,7 @@
 
 // failCall ends the claim of an unanswered request and returns the problem for the
 // caller. If the request may have run, that is a problem with unknown outcome.
-func (entry *Entry) failCall(ctx context.Context, heldClaim *claim.Held, mayHaveRun bool, problem *api.Problem) *api.Problem {
+func (entry *Entry) failCall(ctx context.Context, heldClaim *claim.Claim, mayHaveRun bool, problem *api.Problem) *api.Problem {
 	if !mayHaveRun {
 		entry.releaseClaim(ctx, heldClaim)
 		return problem
--- a/entry/suspicion.go
+++ b/entry/suspicion.go
@@ -106,7 +106,7 @@
 	}
 	guard := entry.view.Guard(worker)
 	if guard != nil {
-		return entry.view.Silent(guard, now)
+		return entry.view.HasTimedOut(guard, now)
 	}
 	return now.Sub(entry.suspicions.missingSince(worker, now)) > settings.Limits().WorkerSilent()
 }
--- a/entry/workers.go
+++ b/entry/workers.go
@@ -42,7 +42,7 @@
 		SlotsUsed:      guard.Load().GetSlotsUsed(),
 		Slots:          guard.Load().GetSlots(),
 		Tasks:          []string{},
-		LastReportAt:   guard.HeardAt().UTC(),
+		LastReportAt:   guard.LastReportAt().UTC(),
 	}
 	for _, task := range st.TasksOnWorker(guard.Name()) {
 		row.Tasks = append(row.Tasks, task.ID())
@@ -55,11 +55,11 @@
 	switch {
 	case st.ActiveSuspicion(guard.Name()) != 0:
 		return "suspected"
-	case entry.view.Silent(guard, now):
+	case entry.view.HasTimedOut(guard, now):
 		return "silent"
-	case guard.Leaving():
+	case guard.IsLeaving():
 		return "leaving"
-	case !guard.Ready():
+	case !guard.IsReady():
 		return "not ready"
 	}
 	return "ready"
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -83,7 +83,7 @@
 	incarnation string
 	began       time.Time
 	gate        *admission.Gate
-	shelf       *document.Shelf
+	shelf       *document.ActiveSet
 	backend     *http.Transport
 	latency     latency
 	wake        chan struct{}
@@ -123,7 +123,7 @@
 		incarnation: incarnation,
 		began:       options.Clock.Now(),
 		gate:        admission.NewGate(admission.Capacity{Slots: defaultSlots, Connections: defaultConnections}),
-		shelf:       document.NewShelf(),
+		shelf:       document.NewActiveSet(),
 		backend:     newTransport(),
 		wake:        make(chan struct{}, 1),
 		attempts:    map[string]*attempt{},
@@ -149,7 +149,7 @@
 func (guard *Guard) Gate() *admission.Gate { return guard.gate }
 
 // Shelf returns the documents in force.
-func (guard *Guard) Shelf() *document.Shelf { return guard.shelf }
+func (guard *Guard) Shelf() *document.ActiveSet { return guard.shelf }
 
 // Ready reports whether the guard knows its worker and may take work.
 func (guard *Guard) Ready() bool {
@@ -209,7 +209,7 @@
 // applyDocuments puts newer documents in force and follows their bounds.
 func (guard *Guard) applyDocuments(ctx context.Context, copies []*wire.DocumentCopy) {
 	for _, copied := range copies {
-		changed, err := guard.shelf.Offer(wire.FromCopy(copied))
+		changed, err := guard.shelf.Activate(wire.DecodeCopy(copied))
 		if err != nil {
 			guard.options.Events.Log(ctx, event.DocumentRejected, attrDocument(copied), attrError(err))
 			continue
--- a/guard/report.go
+++ b/guard/report.go
@@ -176,7 +176,7 @@
 		Capacity:      &wire.Resources{MilliCpu: capacity.MilliCPU, MemoryBytes: capacity.MemoryBytes, Accelerators: capacity.Accelerators},
 		Used:          &wire.Resources{MilliCpu: guard.usage.MilliCPU, MemoryBytes: guard.usage.MemoryBytes, Accelerators: usage.Resources.Accelerators},
 		Load:          guard.load(),
-		Documents:     wire.Versions(guard.shelf.Versions()),
+		Documents:     wire.EncodeVersions(guard.shelf.Versions()),
 	}
 	for _, task := range slices.Sorted(maps.Keys(guard.attempts)) {
 		each := guard.attempts[task]
@@ -255,7 +255,7 @@
 // log down. It implements the drpc service.
 func (guard *Guard) Documents(_ context.Context, request *wire.DocumentsRequest) (*wire.DocumentsReply, error) {
 	return &wire.DocumentsReply{
-		Documents: wire.Copies(guard.shelf.NewerThan(wire.FromVersions(request.GetHave()))),
-		InForce:   wire.Versions(guard.shelf.Versions()),
+		Documents: wire.EncodeCopies(guard.shelf.NewerThan(wire.DecodeVersions(request.GetHave()))),
+		InForce:   wire.EncodeVersions(guard.shelf.Versions()),
 	}, nil
 }
--- a/guard/task.go
+++ b/guard/task.go
@@ -122,8 +122,8 @@
 
 // startOf makes the message to the worker. Its lease is counted from the last
 // reading of the worker's clock before the attempt was reserved.
-func (guard *Guard) startOf(request *wire.StartRequest) worker.Start {
-	return worker.Start{
+func (guard *Guard) startOf(request *wire.StartRequest) worker.StartRequest {
+	return worker.StartRequest{
 		Task:         request.GetTask(),
 		Attempt:      request.GetAttempt(),
 		Team:         request.GetTeam(),
--- a/instances/instances.go
+++ b/instances/instances.go
@@ -51,8 +51,8 @@
 	State         State  `json:"state"`
 }
 
-// All asks for the instances of every role.
-const All Role = ""
+// AllRoles asks for the instances of every role.
+const AllRoles Role = ""
 
 // Lister returns the list, of one role or of all.
 type Lister interface {
@@ -63,35 +63,35 @@
 // at hundreds of instances the list is far larger than all else that a node
 // says and hears for control.
 type Client struct {
-	base       string
+	baseURL    string
 	httpClient *http.Client
 
-	mu   sync.Mutex
-	kept map[Role]tagged
+	mu    sync.Mutex
+	cache map[Role]cachedList
 }
 
-// tagged is a list as it was read last, and its tag.
-type tagged struct {
-	tag  string
-	list []Instance
+// cachedList is a list as it was read last, and its tag.
+type cachedList struct {
+	etag      string
+	instances []Instance
 }
 
 // NewClient returns a Client for the platform at the base URL.
 func NewClient(base string, httpClient *http.Client) *Client {
-	return &Client{base: base, httpClient: httpClient, kept: map[Role]tagged{}}
+	return &Client{baseURL: base, httpClient: httpClient, cache: map[Role]cachedList{}}
 }
 
 var _ Lister = (*Client)(nil)
 
 // List returns the list as the platform has it now.
 func (client *Client) List(ctx context.Context, role Role) ([]Instance, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, client.base+"/instances?role="+url.QueryEscape(string(role)), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, client.baseURL+"/instances?role="+url.QueryEscape(string(role)), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "read instance list")
 	}
-	kept := client.last(role)
-	if kept.tag != "" {
-		request.Header.Set("If-None-Match", kept.tag)
+	kept := client.cached(role)
+	if kept.etag != "" {
+		request.Header.Set("If-None-Match", kept.etag)
 	}
 	response, err := client.httpClient.Do(request)
 	if err != nil {
@@ -100,7 +100,7 @@
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusNotModified:
-		return slices.Clone(kept.list), nil
+		return slices.Clone(kept.instances), nil
 	case http.StatusOK:
 	default:
 		return nil, errors.Errorf("read instance list: the platform answered %s", response.Status)
@@ -109,18 +109,18 @@
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&list); err != nil {
 		return nil, errors.Wrap(err, "read instance list")
 	}
-	client.keep(role, tagged{tag: response.Header.Get("ETag"), list: list})
+	client.setCached(role, cachedList{etag: response.Header.Get("ETag"), instances: list})
 	return slices.Clone(list), nil
 }
 
-func (client *Client) last(role Role) tagged {
+func (client *Client) cached(role Role) cachedList {
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	return client.kept[role]
+	return client.cache[role]
 }
 
-func (client *Client) keep(role Role, read tagged) {
+func (client *Client) setCached(role Role, read cachedList) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	client.kept[role] = read
+	client.cache[role] = read
 }
--- a/instances/instances_test.go
+++ b/instances/instances_test.go
@@ -11,38 +11,38 @@
 
 const listBody = `[{"name":"entry-1","role":"entry","address":"127.0.0.1:1","failure_domain":"a","state":"live"}]`
 
-// platform serves one list under one tag and counts how often it sends it.
-type platform struct {
-	status int
-	tag    string
-	sent   int
-	asked  []string
+// fakePlatform serves one list under one tag and counts how often it sends it.
+type fakePlatform struct {
+	status         int
+	etag           string
+	listsSent      int
+	requestedRoles []string
 }
 
 // ServeHTTP implements http.Handler.
-func (fake *platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	fake.asked = append(fake.asked, request.URL.Query().Get("role"))
-	if fake.tag != "" {
-		writer.Header().Set("ETag", fake.tag)
+func (fake *fakePlatform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	fake.requestedRoles = append(fake.requestedRoles, request.URL.Query().Get("role"))
+	if fake.etag != "" {
+		writer.Header().Set("ETag", fake.etag)
 	}
-	if fake.tag != "" && request.Header.Get("If-None-Match") == fake.tag {
+	if fake.etag != "" && request.Header.Get("If-None-Match") == fake.etag {
 		writer.WriteHeader(http.StatusNotModified)
 		return
 	}
-	fake.sent++
+	fake.listsSent++
 	writer.WriteHeader(fake.status)
 	_, _ = writer.Write([]byte(listBody))
 }
 
 func TestList(t *testing.T) {
 	tests := map[string]struct {
-		fake  platform
+		fake  fakePlatform
 		sent  int
 		fails bool
 	}{
-		"unchanged, with a tag": {platform{status: http.StatusOK, tag: `"1"`}, 1, false},
-		"without tags":          {platform{status: http.StatusOK}, 3, false},
-		"failing":               {platform{status: http.StatusInternalServerError}, 3, true},
+		"unchanged, with a tag": {fakePlatform{status: http.StatusOK, etag: `"1"`}, 1, false},
+		"without tags":          {fakePlatform{status: http.StatusOK}, 3, false},
+		"failing":               {fakePlatform{status: http.StatusInternalServerError}, 3, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -55,8 +55,8 @@
 					t.Fatalf("got %v, %v", list, err)
 				}
 			}
-			if test.fake.sent != test.sent || test.fake.asked[0] != "entry" {
-				t.Errorf("the list was sent %d times, asked for %v", test.fake.sent, test.fake.asked)
+			if test.fake.listsSent != test.sent || test.fake.requestedRoles[0] != "entry" {
+				t.Errorf("the list was sent %d times, asked for %v", test.fake.listsSent, test.fake.requestedRoles)
 			}
 		})
 	}
--- a/logservice/client.go
+++ b/logservice/client.go
@@ -22,19 +22,19 @@
 
 // Client speaks to the platform's log service over HTTP.
 type Client struct {
-	base       string
+	baseURL    string
 	httpClient *http.Client
 }
 
 // NewClient returns a Client for the service at the base URL.
 func NewClient(base string, httpClient *http.Client) *Client {
-	return &Client{base: base, httpClient: httpClient}
+	return &Client{baseURL: base, httpClient: httpClient}
 }
 
 var _ Service = (*Client)(nil)
 
-// AppendAnswer is the body of a successful append.
-type AppendAnswer struct {
+// AppendResponse is the body of a successful append.
+type AppendResponse struct {
 	Offset int64 `json:"offset"`
 }
 
@@ -59,7 +59,7 @@
 	if response.StatusCode != http.StatusCreated {
 		return 0, appendError(response)
 	}
-	var answer AppendAnswer
+	var answer AppendResponse
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&answer); err != nil {
 		return 0, errors.Wrap(err, "append: the answer is cut")
 	}
@@ -100,7 +100,7 @@
 }
 
 func (client *Client) recordsURL(stream string) string {
-	return client.base + "/streams/" + url.PathEscape(stream) + "/records"
+	return client.baseURL + "/streams/" + url.PathEscape(stream) + "/records"
 }
 
 func readQuery(options ReadOptions) string {
--- a/measure/capacity_test.go
+++ b/measure/capacity_test.go
@@ -87,7 +87,7 @@
 				var running sync.WaitGroup
 				for index := range guards {
 					running.Go(func() {
-						pool := rpc.NewPoolDialing(func(ctx context.Context, address string) (net.Conn, error) {
+						pool := rpc.NewPoolWithDialFunc(func(ctx context.Context, address string) (net.Conn, error) {
 							raw, err := dialer.DialContext(ctx, "tcp", address)
 							return countedConn{Conn: raw, bytes: &bytes}, err
 						})
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -31,10 +31,10 @@
 
 // Guard is what was last heard of one guard. It does not change.
 type Guard struct {
-	report  *wire.ReportRequest
-	heardAt time.Time
-	before  time.Time
-	leaving bool
+	report           *wire.ReportRequest
+	lastReportAt     time.Time
+	previousReportAt time.Time
+	listedLeaving    bool
 }
 
 // Name returns the name of the guard's worker.
@@ -58,11 +58,11 @@
 // Uptime returns the guard's own clock when it spoke.
 func (guard *Guard) Uptime() time.Duration { return time.Duration(guard.report.GetUptimeNanos()) }
 
-// HeardAt returns when the guard was heard.
-func (guard *Guard) HeardAt() time.Time { return guard.heardAt }
+// LastReportAt returns when the guard was heard.
+func (guard *Guard) LastReportAt() time.Time { return guard.lastReportAt }
 
-// HeardBefore returns when the same incarnation was heard the time before.
-func (guard *Guard) HeardBefore() time.Time { return guard.before }
+// PreviousReportAt returns when the same incarnation was heard the time before.
+func (guard *Guard) PreviousReportAt() time.Time { return guard.previousReportAt }
 
 // Capacity returns what the worker has for tasks.
 func (guard *Guard) Capacity() *wire.Resources { return guard.report.GetCapacity() }
@@ -79,29 +79,29 @@
 // Documents returns the document versions in force on the guard.
 func (guard *Guard) Documents() []*wire.DocumentVersion { return guard.report.GetDocuments() }
 
-// Ready reports whether the guard takes new work, as far as is known.
-func (guard *Guard) Ready() bool {
-	return guard.report.GetReady() && !guard.report.GetLeaving() && !guard.leaving
+// IsReady reports whether the guard takes new work, as far as is known.
+func (guard *Guard) IsReady() bool {
+	return guard.report.GetReady() && !guard.report.GetLeaving() && !guard.listedLeaving
 }
 
-// Leaving reports whether the guard or the platform's list says that it leaves.
-func (guard *Guard) Leaving() bool { return guard.report.GetLeaving() || guard.leaving }
+// IsLeaving reports whether the guard or the platform's list says that it leaves.
+func (guard *Guard) IsLeaving() bool { return guard.report.GetLeaving() || guard.listedLeaving }
 
-// ListedLeaving reports whether the platform's list says that the worker leaves
+// IsListedLeaving reports whether the platform's list says that the worker leaves
 // for good. A guard that leaves by itself may only be about to restart.
-func (guard *Guard) ListedLeaving() bool { return guard.leaving }
+func (guard *Guard) IsListedLeaving() bool { return guard.listedLeaving }
 
 // Peer is what was last heard of another entry.
 type Peer struct {
-	Name      string
-	HeardAt   time.Time
-	Documents []document.Version
+	Name         string
+	LastAnswerAt time.Time
+	Documents    []document.Version
 }
 
 // View is what one entry knows. It may be used by many goroutines.
 type View struct {
 	mu      sync.RWMutex
-	silent  time.Duration
+	timeout time.Duration
 	guards  map[string]*Guard
 	leaving map[string]bool
 	entries []instances.Instance
@@ -112,42 +112,42 @@
 // time silent no longer counts as there.
 func NewView(silent time.Duration) *View {
 	return &View{
-		silent:  silent,
+		timeout: silent,
 		guards:  map[string]*Guard{},
 		leaving: map[string]bool{},
 		peers:   map[string]Peer{},
 	}
 }
 
-// SetSilent changes how long silence may be.
-func (view *View) SetSilent(silent time.Duration) {
+// SetTimeout changes how long silence may be.
+func (view *View) SetTimeout(silent time.Duration) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
-	view.silent = silent
+	view.timeout = silent
 }
 
-// Heard takes a report in. It returns nil when the report comes from an
+// AddReport takes a report in. It returns nil when the report comes from an
 // incarnation that has been replaced.
-func (view *View) Heard(report *wire.ReportRequest, now time.Time) *Guard {
+func (view *View) AddReport(report *wire.ReportRequest, now time.Time) *Guard {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	before := view.guards[report.GetWorker()]
-	heard := &Guard{report: report, heardAt: now, leaving: view.leaving[report.GetWorker()]}
+	heard := &Guard{report: report, lastReportAt: now, listedLeaving: view.leaving[report.GetWorker()]}
 	if before != nil {
 		replaced := report.GetIncarnation() < before.Incarnation()
-		if replaced && now.Sub(before.heardAt) < view.silent {
+		if replaced && now.Sub(before.lastReportAt) < view.timeout {
 			return nil
 		}
 		if report.GetIncarnation() == before.Incarnation() {
-			heard.before = before.heardAt
+			heard.previousReportAt = before.lastReportAt
 		}
 	}
 	view.guards[report.GetWorker()] = heard
 	return heard
 }
 
-// ListRead takes the platform's list in.
-func (view *View) ListRead(list []instances.Instance) {
+// SetInstances takes the platform's list in.
+func (view *View) SetInstances(list []instances.Instance) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	view.entries = view.entries[:0:0]
@@ -161,16 +161,16 @@
 		}
 	}
 	for name, guard := range view.guards {
-		if guard.leaving != view.leaving[name] {
+		if guard.listedLeaving != view.leaving[name] {
 			changed := *guard
-			changed.leaving = view.leaving[name]
+			changed.listedLeaving = view.leaving[name]
 			view.guards[name] = &changed
 		}
 	}
 }
 
-// PeerHeard notes that another entry answered.
-func (view *View) PeerHeard(peer Peer) {
+// UpdatePeer notes that another entry answered.
+func (view *View) UpdatePeer(peer Peer) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	view.peers[peer.Name] = peer
@@ -196,7 +196,7 @@
 	defer view.mu.RUnlock()
 	var live []string
 	for name, peer := range view.peers {
-		if now.Sub(peer.HeardAt) < view.silent {
+		if now.Sub(peer.LastAnswerAt) < view.timeout {
 			live = append(live, name)
 		}
 	}
@@ -223,9 +223,9 @@
 	return guards
 }
 
-// Silent reports whether the guard has not been heard for too long.
-func (view *View) Silent(guard *Guard, now time.Time) bool {
+// HasTimedOut reports whether the guard has not been heard for too long.
+func (view *View) HasTimedOut(guard *Guard, now time.Time) bool {
 	view.mu.RLock()
 	defer view.mu.RUnlock()
-	return now.Sub(guard.heardAt) >= view.silent
+	return now.Sub(guard.lastReportAt) >= view.timeout
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -10,11 +10,11 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-var start = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-const silent = 10 * time.Second
+const guardTimeout = 10 * time.Second
 
-func report(incarnation string) *wire.ReportRequest {
+func newReport(incarnation string) *wire.ReportRequest {
 	return &wire.ReportRequest{Worker: "worker-01", Incarnation: incarnation, Ready: true}
 }
 
@@ -31,46 +31,46 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			view := membership.NewView(silent)
-			view.Heard(report(test.first), start)
-			if taken := view.Heard(report(test.then), start.Add(test.after)) != nil; taken != test.taken {
+			view := membership.NewView(guardTimeout)
+			view.AddReport(newReport(test.first), startTime)
+			if taken := view.AddReport(newReport(test.then), startTime.Add(test.after)) != nil; taken != test.taken {
 				t.Errorf("taken: %t", taken)
 			}
 		})
 	}
 }
 
-func TestListAndSilence(t *testing.T) {
-	view := membership.NewView(silent)
-	heard := view.Heard(report("i-1"), start)
-	if !heard.Ready() || view.Silent(heard, start.Add(time.Second)) || !view.Silent(heard, start.Add(silent)) {
+func TestInstanceListAndTimeout(t *testing.T) {
+	view := membership.NewView(guardTimeout)
+	heard := view.AddReport(newReport("i-1"), startTime)
+	if !heard.IsReady() || view.HasTimedOut(heard, startTime.Add(time.Second)) || !view.HasTimedOut(heard, startTime.Add(guardTimeout)) {
 		t.Error("a guard that was heard is not there, or one that is silent is")
 	}
 	list := func(state instances.State) []instances.Instance {
 		return []instances.Instance{{Name: "worker-01", Role: instances.Guard, State: state}, {Name: "entry-2", Role: instances.Entry, State: instances.Live}}
 	}
-	view.ListRead(list(instances.Leaving))
-	if guard := view.Guard("worker-01"); guard.Ready() || !guard.ListedLeaving() {
+	view.SetInstances(list(instances.Leaving))
+	if guard := view.Guard("worker-01"); guard.IsReady() || !guard.IsListedLeaving() {
 		t.Error("a guard that the list calls leaving still counts as ready")
 	}
-	if heard := view.Heard(report("i-1"), start); heard.Ready() {
+	if heard := view.AddReport(newReport("i-1"), startTime); heard.IsReady() {
 		t.Error("a report made a leaving guard ready")
 	}
-	view.ListRead(list(instances.Live))
-	if !view.Guard("worker-01").Ready() {
+	view.SetInstances(list(instances.Live))
+	if !view.Guard("worker-01").IsReady() {
 		t.Error("a guard that is live again is not ready")
 	}
-	view.ListRead(nil)
+	view.SetInstances(nil)
 	if view.Guard("worker-01") == nil {
 		t.Error("a guard that the list leaves out was forgotten")
 	}
 }
 
 func TestPeers(t *testing.T) {
-	view := membership.NewView(silent)
-	view.PeerHeard(membership.Peer{Name: "entry-2", HeardAt: start})
-	view.PeerHeard(membership.Peer{Name: "entry-3", HeardAt: start.Add(-time.Minute)})
-	if live := view.LivePeers(start); len(live) != 1 || live[0] != "entry-2" {
+	view := membership.NewView(guardTimeout)
+	view.UpdatePeer(membership.Peer{Name: "entry-2", LastAnswerAt: startTime})
+	view.UpdatePeer(membership.Peer{Name: "entry-3", LastAnswerAt: startTime.Add(-time.Minute)})
+	if live := view.LivePeers(startTime); len(live) != 1 || live[0] != "entry-2" {
 		t.Errorf("got %v", live)
 	}
 }
@@ -100,7 +100,7 @@
 func ExampleView() {
 	view := membership.NewView(10 * time.Second)
 	now := time.Unix(0, 0)
-	guard := view.Heard(&wire.ReportRequest{Worker: "worker-01", Incarnation: "i-1", Ready: true}, now)
-	fmt.Println(guard.Ready(), view.Silent(guard, now.Add(time.Minute)))
+	guard := view.AddReport(&wire.ReportRequest{Worker: "worker-01", Incarnation: "i-1", Ready: true}, now)
+	fmt.Println(guard.IsReady(), view.HasTimedOut(guard, now.Add(time.Minute)))
 	// Output: true true
 }
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -96,7 +96,7 @@
 	}
 	f.owner = owner.New(owner.Options{
 		Name: "edge-1", Strong: true, Address: "10.0.0.9:7000", Shards: fleetShards, GrantDuration: 5 * time.Second, MemberTimeout: 1500 * time.Millisecond,
-		JobRetention: time.Minute, Store: newStore(), Dial: rpc.DialOne, Clock: clock, Events: event.Discard(),
+		JobRetention: time.Minute, Store: newStore(), Dial: rpc.DialUnpooled, Clock: clock, Events: event.Discard(),
 	})
 	for number := range machineCount {
 		f.machines = append(f.machines, f.newMachine(ctx, newStore(), number, crashingTasks))
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -130,7 +130,7 @@
 	// learnedPublishedAt is when the interference estimates for agents were last recomputed.
 	learnedPublishedAt time.Time
 	advice             adviceQueue
-	traffic            *traffic.Sent
+	traffic            *traffic.Counter
 	metrics            metrics
 	gaugesRecordedAt   time.Time
 }
@@ -212,7 +212,7 @@
 		owner.sendUpdate(view, now)
 	}
 	owner.recordGauges(now)
-	owner.traffic.Log(owner.ctx, owner.options.Events, now)
+	owner.traffic.LogIfDue(owner.ctx, owner.options.Events, now)
 	owner.expireAdvice(now)
 }
 
--- a/owner/update.go
+++ b/owner/update.go
@@ -35,7 +35,7 @@
 	}
 	select {
 	case view.conn.outbox <- message:
-		owner.traffic.NoteOwner(owner.ctx, message, view.status().GetFailureDomain() == owner.options.FailureDomain)
+		owner.traffic.AddOwnerMessage(owner.ctx, message, view.status().GetFailureDomain() == owner.options.FailureDomain)
 	default:
 		// The agent does not read from the connection, so close it. A new one will be made.
 		view.conn.cancel()
--- a/route/route.go
+++ b/route/route.go
@@ -156,9 +156,9 @@
 	target.address = guard.Address()
 	target.domain = guard.FailureDomain()
 	target.incarnation = guard.Incarnation()
-	target.ready = guard.Ready() && !silent
-	target.updateLoad(guard.Load(), guard.HeardAt())
-	named.wakeWaiters(guard.HeardAt())
+	target.ready = guard.IsReady() && !silent
+	target.updateLoad(guard.Load(), guard.LastReportAt())
+	named.wakeWaiters(guard.LastReportAt())
 }
 
 func (named *service) ensureServer(name string) *server {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -17,7 +17,7 @@
 
 // newGuard makes what is known of a guard.
 func newGuard(name, domain string, used, slots int32, ready bool) *membership.Guard {
-	return membership.NewView(time.Minute).Heard(&wire.ReportRequest{
+	return membership.NewView(time.Minute).AddReport(&wire.ReportRequest{
 		Worker: name, Incarnation: "i-1", FailureDomain: domain, Service: "verbale", Address: name, Ready: ready,
 		Load: &wire.Load{SlotsUsed: used, Slots: slots, LatencyNanos: int64(10 * time.Millisecond)},
 	}, startTime)
@@ -215,7 +215,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := membership.NewView(time.Minute).Heard(&wire.ReportRequest{
+	moved := membership.NewView(time.Minute).AddReport(&wire.ReportRequest{
 		Worker: "a", Incarnation: "i-2", Service: "verbale", Address: "elsewhere", Ready: true, Load: &wire.Load{Slots: 8},
 	}, startTime)
 	table.Update(moved, false)
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -47,15 +47,15 @@
 )
 
 const (
-	dialTimeout       = time.Second
-	idleExpiration    = time.Minute
-	maxMessageBytes   = 4 << 20
-	keptBufferBytes   = 64 << 10
-	poolCapacity      = 4096
-	poolAddressMost   = 128
-	softCancelGrace   = 100 * time.Millisecond
-	writerBufferBytes = 16 << 10
-	splitFrameBytes   = 64 << 10
+	dialTimeout            = time.Second
+	idleExpiration         = time.Minute
+	maxMessageBytes        = 4 << 20
+	retainedBufferBytes    = 64 << 10
+	poolCapacity           = 4096
+	poolCapacityPerAddress = 128
+	softCancelGrace        = 100 * time.Millisecond
+	writerBufferBytes      = 16 << 10
+	splitFrameBytes        = 64 << 10
 )
 
 // DialError says that no connection could be made, so that the call was not.
@@ -76,26 +76,26 @@
 	return drpcmanager.Options{
 		WriterBufferSize: writerBufferBytes,
 		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes},
-		Stream:           drpcstream.Options{SplitSize: splitFrameBytes, MaximumBufferSize: keptBufferBytes},
+		Stream:           drpcstream.Options{SplitSize: splitFrameBytes, MaximumBufferSize: retainedBufferBytes},
 		SoftCancel:       true,
 		SoftCancelGrace:  softCancelGrace,
 	}
 }
 
-// Dial opens a connection to an address.
-type Dial func(ctx context.Context, address string) (net.Conn, error)
+// DialFunc opens a connection to an address.
+type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
 // Pool keeps client connections by address. It may be used by many goroutines.
 type Pool struct {
-	conns *drpcpool.Pool[string, drpcpool.Conn]
-	open  Dial
+	conns    *drpcpool.Pool[string, drpcpool.Conn]
+	dialFunc DialFunc
 }
 
 // NewPool returns an empty pool of TCP connections. With a nil configuration
 // they are plain.
 func NewPool(client *tls.Config) *Pool {
-	dialer := Dialer()
-	return NewPoolDialing(func(ctx context.Context, address string) (net.Conn, error) {
+	dialer := NewDialer()
+	return NewPoolWithDialFunc(func(ctx context.Context, address string) (net.Conn, error) {
 		if client == nil {
 			return dialer.DialContext(ctx, "tcp", address)
 		}
@@ -103,15 +103,15 @@
 	})
 }
 
-// NewPoolDialing returns an empty pool of connections that open makes.
-func NewPoolDialing(open Dial) *Pool {
+// NewPoolWithDialFunc returns an empty pool of connections that open makes.
+func NewPoolWithDialFunc(open DialFunc) *Pool {
 	return &Pool{
 		conns: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
 			Expiration:  idleExpiration,
 			Capacity:    poolCapacity,
-			KeyCapacity: poolAddressMost,
+			KeyCapacity: poolCapacityPerAddress,
 		}),
-		open: open,
+		dialFunc: open,
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 	if err := borrowed.Invoke(ctx, name, encoding, in, out); err != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			return borrowed.giveUp(err)
+			return borrowed.discard(err)
 		}
 		borrowed.Return()
 		return err
@@ -151,19 +151,19 @@
 // Performance: a stream on a borrowed connection costs a third of one on Conn,
 // which hands every stream to a goroutine of its own that waits to put the
 // connection back, and so comes too late for a caller who goes on at once.
-func (pool *Pool) Borrow(ctx context.Context, address string) (*Borrowed, error) {
+func (pool *Pool) Borrow(ctx context.Context, address string) (*BorrowedConn, error) {
 	if idle, found := pool.conns.Take(address); found {
-		return &Borrowed{Conn: idle, pool: pool, address: address}, nil
+		return &BorrowedConn{Conn: idle, pool: pool, address: address}, nil
 	}
 	dialled, err := pool.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return &Borrowed{Conn: dialled, pool: pool, address: address}, nil
+	return &BorrowedConn{Conn: dialled, pool: pool, address: address}, nil
 }
 
-// Borrowed is a connection out of the pool.
-type Borrowed struct {
+// BorrowedConn is a connection out of the pool.
+type BorrowedConn struct {
 	drpcpool.Conn
 	pool    *Pool
 	address string
@@ -171,19 +171,19 @@
 
 // Return puts the connection back. One that is broken is dropped, one whose
 // last call is still being cancelled is not handed out until that is done.
-func (borrowed *Borrowed) Return() { borrowed.pool.conns.Put(borrowed.address, borrowed.Conn) }
+func (borrowed *BorrowedConn) Return() { borrowed.pool.conns.Put(borrowed.address, borrowed.Conn) }
 
-// giveUp closes a connection on which a call was not answered in its time, and all idle ones
+// discard closes a connection on which a call was not answered in its time, and all idle ones
 // to its address. It returns the call's error.
-func (borrowed *Borrowed) giveUp(unanswered error) error {
+func (borrowed *BorrowedConn) discard(unanswered error) error {
 	// The call has failed already; that its connection does not close well adds nothing.
 	_ = borrowed.Close()
-	borrowed.pool.dropIdle(borrowed.address)
+	borrowed.pool.closeIdle(borrowed.address)
 	return unanswered
 }
 
-// dropIdle closes the idle connections to an address.
-func (pool *Pool) dropIdle(address string) {
+// closeIdle closes the idle connections to an address.
+func (pool *Pool) closeIdle(address string) {
 	for {
 		idle, found := pool.conns.Take(address)
 		if !found {
@@ -200,16 +200,16 @@
 }
 
 func (pool *Pool) dial(ctx context.Context, address string) (drpcpool.Conn, error) {
-	raw, err := pool.open(ctx, address)
+	raw, err := pool.dialFunc(ctx, address)
 	if err != nil {
 		return nil, &DialError{address: address, cause: err}
 	}
 	return drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-// DialOne opens a connection that belongs to its caller, for a stream that lasts.
-func DialOne(ctx context.Context, address string) (drpc.Conn, error) {
-	raw, err := Dialer().DialContext(ctx, "tcp", address)
+// DialUnpooled opens a connection that belongs to its caller, for a stream that lasts.
+func DialUnpooled(ctx context.Context, address string) (drpc.Conn, error) {
+	raw, err := NewDialer().DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, &DialError{address: address, cause: err}
 	}
--- a/rpc/silent_test.go
+++ b/rpc/silent_test.go
@@ -15,7 +15,7 @@
 // pendingServer answers questions for waiting jobs.
 type pendingServer struct {
 	wire.DRPCPeerUnimplementedServer
-	asked chan struct{} // gets one for each question that is not answered
+	unanswered chan struct{} // gets one for each question that is not answered
 }
 
 // unansweredQueue is the queue for which the server leaves questions unanswered.
@@ -23,7 +23,7 @@
 
 func (server *pendingServer) Pending(ctx context.Context, request *wire.PendingRequest) (*wire.PendingReply, error) {
 	if request.GetQueue() == unansweredQueue {
-		server.asked <- struct{}{}
+		server.unanswered <- struct{}{}
 		<-ctx.Done()
 	}
 	return &wire.PendingReply{Pending: 7}, nil
@@ -32,7 +32,7 @@
 // serveThroughRelay serves a pendingServer until ctx ends, behind a relay.
 func serveThroughRelay(ctx context.Context, t *testing.T) (*relay.Relay, *pendingServer) {
 	t.Helper()
-	answering := &pendingServer{asked: make(chan struct{}, 1)}
+	answering := &pendingServer{unanswered: make(chan struct{}, 1)}
 	server, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterPeer(mux, answering) })
 	if err != nil {
 		t.Fatal(err)
@@ -45,13 +45,13 @@
 	return between, answering
 }
 
-// unansweredFor is what a call waits in vain here: the test is longer by it for each
+// callTimeout is what a call waits in vain here: the test is longer by it for each
 // connection that has gone silent, and its verdict does not depend on it.
-const unansweredFor = 200 * time.Millisecond
+const callTimeout = 200 * time.Millisecond
 
-// TestSilentConnectionsAreLeft: after one call without an answer the next ones are made on
+// TestUnresponsiveConnectionsAreDropped: after one call without an answer the next ones are made on
 // new connections, however many idle ones had gone silent.
-func TestSilentConnectionsAreLeft(t *testing.T) {
+func TestUnresponsiveConnectionsAreDropped(t *testing.T) {
 	tests := map[string]struct{ toServer, toClient bool }{
 		"towards the server": {true, false},
 		"towards the client": {false, true},
@@ -66,10 +66,10 @@
 			pool := rpc.NewPool(nil)
 			defer pool.Close() //nolint:errcheck // nothing is on its way.
 			address := between.Address()
-			openIdle(t, pool, address, 4)
+			addIdleConns(t, pool, address, 4)
 			between.Silence(test.toServer, test.toClient)
 			client := wire.NewDRPCPeerClient(pool.Conn(address))
-			silent, done := context.WithTimeout(ctx, unansweredFor)
+			silent, done := context.WithTimeout(ctx, callTimeout)
 			if _, err := client.Pending(silent, &wire.PendingRequest{}); err == nil {
 				t.Error("a silent connection answered")
 			}
@@ -88,20 +88,20 @@
 	}
 }
 
-// TestCallGivenUpByItsCallerKeepsConnections: a caller that leaves says nothing about the
+// TestCancelledCallKeepsConnections: a caller that leaves says nothing about the
 // connections.
-func TestCallGivenUpByItsCallerKeepsConnections(t *testing.T) {
+func TestCancelledCallKeepsConnections(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	between, answering := serveThroughRelay(ctx, t)
 	defer between.Close() //nolint:errcheck // the test is over.
 	pool := rpc.NewPool(nil)
 	defer pool.Close() //nolint:errcheck // nothing is on its way.
-	openIdle(t, pool, between.Address(), 3)
+	addIdleConns(t, pool, between.Address(), 3)
 	client := wire.NewDRPCPeerClient(pool.Conn(between.Address()))
 	left, leave := context.WithCancel(ctx)
 	go func() {
-		<-answering.asked
+		<-answering.unanswered
 		leave()
 	}()
 	if _, err := client.Pending(left, &wire.PendingRequest{Queue: unansweredQueue}); err == nil {
@@ -115,10 +115,10 @@
 	}
 }
 
-// openIdle leaves some idle connections in the pool.
-func openIdle(t *testing.T, pool *rpc.Pool, address string, count int) {
+// addIdleConns leaves some idle connections in the pool.
+func addIdleConns(t *testing.T, pool *rpc.Pool, address string, count int) {
 	t.Helper()
-	var borrowed []*rpc.Borrowed
+	var borrowed []*rpc.BorrowedConn
 	for range count {
 		conn, err := pool.Borrow(context.Background(), address)
 		if err != nil {
--- a/session/harness_test.go
+++ b/session/harness_test.go
@@ -97,7 +97,7 @@
 func (made *bench) List(_ context.Context, role instances.Role) ([]instances.Instance, error) {
 	var listed []instances.Instance
 	for _, each := range made.list {
-		if role == instances.All || each.Role == role {
+		if role == instances.AllRoles || each.Role == role {
 			listed = append(listed, each)
 		}
 	}
@@ -132,7 +132,7 @@
 	go kept.Run(ctx)
 	role := entry.New(entry.Options{
 		Name: name, FailureDomain: domain, Journal: kept, Instances: made,
-		Pool: rpc.NewPoolDialing(made.links.dial), Clock: made.clock, Events: made.events(name),
+		Pool: rpc.NewPoolWithDialFunc(made.links.dial), Clock: made.clock, Events: made.events(name),
 	})
 	handler, err := role.Handler()
 	if err != nil {
@@ -178,7 +178,7 @@
 	made.t.Cleanup(backend.Close)
 	role := guard.New(guard.Options{
 		Name: name, Address: name + ":rpc", FailureDomain: domain, Service: "verbale", BackendURL: backend.URL,
-		Worker: made.workers[name].Direct(), Instances: made, Pool: rpc.NewPoolDialing(made.links.dial),
+		Worker: made.workers[name].Direct(), Instances: made, Pool: rpc.NewPoolWithDialFunc(made.links.dial),
 		Clock: made.clock, Events: made.events(name),
 	})
 	made.serve(ctx, name+":rpc", func(mux *drpcmux.Mux) error { return wire.DRPCRegisterGuard(mux, role) })
--- a/standin/direct.go
+++ b/standin/direct.go
@@ -81,13 +81,13 @@
 }
 
 // Start implements worker.Worker.
-func (direct *DirectWorker) Start(_ context.Context, start worker.Start) error {
+func (direct *DirectWorker) Start(_ context.Context, start worker.StartRequest) error {
 	stale, failure := direct.fake.start(start, time.Now())
 	switch {
 	case stale:
 		return worker.ErrStale
 	case failure != "":
-		return worker.Rejected(failure)
+		return worker.NewRejectedError(failure)
 	}
 	return nil
 }
--- a/standin/http.go
+++ b/standin/http.go
@@ -71,7 +71,7 @@
 	case result.lost:
 		panic(http.ErrAbortHandler)
 	default:
-		answer(writer, http.StatusCreated, logservice.AppendAnswer{Offset: result.offset})
+		answer(writer, http.StatusCreated, logservice.AppendResponse{Offset: result.offset})
 	}
 }
 
@@ -110,7 +110,7 @@
 // only that it has not changed to one who has it.
 func (platform *Platform) serveInstances(writer http.ResponseWriter, request *http.Request) {
 	listed := platform.Instances()
-	if role := instances.Role(request.URL.Query().Get("role")); role != instances.All {
+	if role := instances.Role(request.URL.Query().Get("role")); role != instances.AllRoles {
 		listed = slices.DeleteFunc(listed, func(each instances.Instance) bool { return each.Role != role })
 	}
 	tag := tagOf(listed)
@@ -180,7 +180,7 @@
 }
 
 func (fake *Worker) serveStart(writer http.ResponseWriter, request *http.Request) {
-	var start worker.Start
+	var start worker.StartRequest
 	if !decode(writer, request, &start) {
 		return
 	}
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -188,7 +188,7 @@
 }
 
 // start begins an attempt, or says why not: stale or an error in words.
-func (fake *Worker) start(start worker.Start, now time.Time) (stale bool, failure string) {
+func (fake *Worker) start(start worker.StartRequest, now time.Time) (stale bool, failure string) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	if start.Attempt <= fake.newest[start.Task] {
@@ -215,7 +215,7 @@
 	}
 	fake.started = append(fake.started, Run{Task: start.Task, Attempt: start.Attempt, Began: now})
 	fake.tasks[start.Task] = &running{
-		Task:     worker.Task{Start: start, Phase: worker.Running},
+		Task:     worker.Task{StartRequest: start, Phase: worker.Running},
 		progress: from.Progress,
 		sequence: from.Sequence,
 		grown:    make(chan struct{}),
--- a/uptime/clock_test.go
+++ b/uptime/clock_test.go
@@ -11,7 +11,7 @@
 func TestClockCountsSuspension(t *testing.T) {
 	below := clockwork.NewFakeClock()
 	total := time.Hour
-	clock := NewClock(below, func() time.Duration { return total })
+	clock := NewSuspendAwareClock(below, func() time.Duration { return total })
 	before := clock.Now()
 	if !before.Equal(below.Now()) {
 		t.Errorf("ahead by %v from the start", before.Sub(below.Now()))
--- a/uptime/uptime.go
+++ b/uptime/uptime.go
@@ -26,58 +26,58 @@
 )
 
 const (
-	// readTries is how often the clocks are read until nothing came between the readings.
-	readTries = 4
-	// readSpread is what two readings of the steady clock, around that of the other one, may
+	// maxReadAttempts is how often the clocks are read until nothing came between the readings.
+	maxReadAttempts = 4
+	// maxReadSpread is what two readings of the steady clock, around that of the other one, may
 	// be apart: the result is wrong by no more.
-	readSpread = time.Millisecond
+	maxReadSpread = time.Millisecond
 )
 
-// Clocks reads the machine's clocks. It may be used by many goroutines.
-type Clocks struct {
-	mu   sync.Mutex
-	last time.Duration
+// SystemClocks reads the machine's clocks. It may be used by many goroutines.
+type SystemClocks struct {
+	mu        sync.Mutex
+	lastTotal time.Duration
 }
 
 // New returns the machine's clocks, or an error if one of them can't be read.
-func New() (*Clocks, error) {
+func New() (*SystemClocks, error) {
 	for _, clock := range []int32{unix.CLOCK_MONOTONIC, unix.CLOCK_BOOTTIME} {
-		if _, err := read(clock); err != nil {
+		if _, err := readClock(clock); err != nil {
 			return nil, errors.Wrap(err, "read the clock that counts suspension; Linux 2.6.39 or a later one has it")
 		}
 	}
-	made := &Clocks{}
-	made.Suspended()
+	made := &SystemClocks{}
+	made.SuspendedFor()
 	return made, nil
 }
 
-// Suspended returns for how long the machine has been suspended since it was booted.
-func (clocks *Clocks) Suspended() time.Duration {
+// SuspendedFor returns for how long the machine has been suspended since it was booted.
+func (clocks *SystemClocks) SuspendedFor() time.Duration {
 	clocks.mu.Lock()
 	defer clocks.mu.Unlock()
-	for range readTries {
-		before, steadyErr := read(unix.CLOCK_MONOTONIC)
-		sinceBoot, bootErr := read(unix.CLOCK_BOOTTIME)
-		after, afterErr := read(unix.CLOCK_MONOTONIC)
+	for range maxReadAttempts {
+		before, steadyErr := readClock(unix.CLOCK_MONOTONIC)
+		sinceBoot, bootErr := readClock(unix.CLOCK_BOOTTIME)
+		after, afterErr := readClock(unix.CLOCK_MONOTONIC)
 		if steadyErr != nil || bootErr != nil || afterErr != nil {
 			// New has read them: this can't be, and what was read before still holds.
-			return clocks.last
+			return clocks.lastTotal
 		}
-		if total, exact := suspended(before, sinceBoot, after); exact {
-			clocks.last = max(clocks.last, total)
-			return clocks.last
+		if total, exact := suspendedTime(before, sinceBoot, after); exact {
+			clocks.lastTotal = max(clocks.lastTotal, total)
+			return clocks.lastTotal
 		}
 	}
-	return clocks.last
+	return clocks.lastTotal
 }
 
-// suspended returns what the clock since boot is ahead of the steady one, and whether the
+// suspendedTime returns what the clock since boot is ahead of the steady one, and whether the
 // readings of the steady one around it lie close together.
-func suspended(before, sinceBoot, after time.Duration) (total time.Duration, exact bool) {
-	return sinceBoot - after, after-before <= readSpread
+func suspendedTime(before, sinceBoot, after time.Duration) (total time.Duration, exact bool) {
+	return sinceBoot - after, after-before <= maxReadSpread
 }
 
-func read(clock int32) (time.Duration, error) {
+func readClock(clock int32) (time.Duration, error) {
 	var now unix.Timespec
 	if err := unix.ClockGettime(clock, &now); err != nil {
 		return 0, errors.Wrap(err, "read a clock")
--- a/uptime/uptime_test.go
+++ b/uptime/uptime_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestSuspended(t *testing.T) {
+func TestSuspendedTime(t *testing.T) {
 	tests := map[string]struct {
 		before, sinceBoot, after time.Duration
 		want                     time.Duration
@@ -17,7 +17,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got, exact := suspended(test.before, test.sinceBoot, test.after)
+			got, exact := suspendedTime(test.before, test.sinceBoot, test.after)
 			if exact != test.exact || exact && got != test.want {
 				t.Errorf("%v, exact: %v", got, exact)
 			}
@@ -25,15 +25,15 @@
 	}
 }
 
-// TestClocksAreThere: the total never sinks, whatever comes between the readings.
-func TestClocksAreThere(t *testing.T) {
+// TestSuspendedForNeverDecreases: the total never sinks, whatever comes between the readings.
+func TestSuspendedForNeverDecreases(t *testing.T) {
 	clocks, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := clocks.Suspended()
+	before := clocks.SuspendedFor()
 	for range 100 {
-		if now := clocks.Suspended(); now < before {
+		if now := clocks.SuspendedFor(); now < before {
 			t.Fatalf("%v after %v", now, before)
 		}
 	}
--- a/wire/convert.go
+++ b/wire/convert.go
@@ -11,8 +11,8 @@
 
 import "ambertiller.example/ambertiller/document"
 
-// Versions converts document versions to their message.
-func Versions(versions []document.Version) []*DocumentVersion {
+// EncodeVersions converts document versions to their message.
+func EncodeVersions(versions []document.Version) []*DocumentVersion {
 	converted := make([]*DocumentVersion, 0, len(versions))
 	for _, each := range versions {
 		converted = append(converted, &DocumentVersion{Name: each.Name, Version: each.Version})
@@ -20,8 +20,8 @@
 	return converted
 }
 
-// FromVersions converts document versions from their message.
-func FromVersions(versions []*DocumentVersion) []document.Version {
+// DecodeVersions converts document versions from their message.
+func DecodeVersions(versions []*DocumentVersion) []document.Version {
 	converted := make([]document.Version, 0, len(versions))
 	for _, each := range versions {
 		converted = append(converted, document.Version{Name: each.GetName(), Version: each.GetVersion()})
@@ -29,8 +29,8 @@
 	return converted
 }
 
-// Copies converts document copies to their message.
-func Copies(copies []document.Copy) []*DocumentCopy {
+// EncodeCopies converts document copies to their message.
+func EncodeCopies(copies []document.Copy) []*DocumentCopy {
 	converted := make([]*DocumentCopy, 0, len(copies))
 	for _, each := range copies {
 		converted = append(converted, &DocumentCopy{Name: each.Name, Version: each.Version, Content: each.Content})
@@ -38,7 +38,7 @@
 	return converted
 }
 
-// FromCopy converts a document copy from its message.
-func FromCopy(copied *DocumentCopy) document.Copy {
+// DecodeCopy converts a document copy from its message.
+func DecodeCopy(copied *DocumentCopy) document.Copy {
 	return document.Copy{Name: copied.GetName(), Version: copied.GetVersion(), Content: copied.GetContent()}
 }
--- a/worker/client.go
+++ b/worker/client.go
@@ -12,17 +12,17 @@
 	"github.com/pkg/errors"
 )
 
-const maxAnswerBytes = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // Client speaks to a worker over HTTP.
 type Client struct {
-	base       string
+	baseURL    string
 	httpClient *http.Client
 }
 
 // NewClient returns a Client for the worker at the base URL.
 func NewClient(base string, httpClient *http.Client) *Client {
-	return &Client{base: base, httpClient: httpClient}
+	return &Client{baseURL: base, httpClient: httpClient}
 }
 
 var _ Worker = (*Client)(nil)
@@ -30,27 +30,27 @@
 // Capacity returns what the worker has.
 func (client *Client) Capacity(ctx context.Context) (Capacity, error) {
 	var capacity Capacity
-	err := client.get(ctx, "/capacity", &capacity)
+	err := client.getJSON(ctx, "/capacity", &capacity)
 	return capacity, err
 }
 
 // Usage returns what the worker measured last.
 func (client *Client) Usage(ctx context.Context) (Usage, error) {
 	var usage Usage
-	err := client.get(ctx, "/usage", &usage)
+	err := client.getJSON(ctx, "/usage", &usage)
 	return usage, err
 }
 
 // Tasks returns every attempt that runs, or has ended and isn't forgotten.
 func (client *Client) Tasks(ctx context.Context) (Listing, error) {
 	var listing Listing
-	err := client.get(ctx, "/tasks", &listing)
+	err := client.getJSON(ctx, "/tasks", &listing)
 	return listing, err
 }
 
 // Start starts an attempt.
-func (client *Client) Start(ctx context.Context, start Start) error {
-	return client.send(ctx, http.MethodPut, "/tasks/"+url.PathEscape(start.Task), start)
+func (client *Client) Start(ctx context.Context, start StartRequest) error {
+	return client.sendJSON(ctx, http.MethodPut, "/tasks/"+url.PathEscape(start.Task), start)
 }
 
 // attemptBody is the body of calls on one attempt.
@@ -61,27 +61,27 @@
 
 // Stop checkpoints and stops an attempt.
 func (client *Client) Stop(ctx context.Context, task string, attempt uint64) error {
-	return client.send(ctx, http.MethodPost, "/tasks/"+url.PathEscape(task)+"/stop", attemptBody{Attempt: attempt})
+	return client.sendJSON(ctx, http.MethodPost, "/tasks/"+url.PathEscape(task)+"/stop", attemptBody{Attempt: attempt})
 }
 
 // Throttle bounds an attempt to a share of its processors.
 func (client *Client) Throttle(ctx context.Context, task string, attempt uint64, share float64) error {
-	return client.send(ctx, http.MethodPost, "/tasks/"+url.PathEscape(task)+"/throttle", attemptBody{Attempt: attempt, Share: share})
+	return client.sendJSON(ctx, http.MethodPost, "/tasks/"+url.PathEscape(task)+"/throttle", attemptBody{Attempt: attempt, Share: share})
 }
 
 // Renew extends leases.
 func (client *Client) Renew(ctx context.Context, renewals []Renewal) error {
-	return client.send(ctx, http.MethodPost, "/leases", renewals)
+	return client.sendJSON(ctx, http.MethodPost, "/leases", renewals)
 }
 
 // Forget drops an attempt that has ended.
 func (client *Client) Forget(ctx context.Context, task string, attempt uint64) error {
-	return client.send(ctx, http.MethodDelete, "/tasks/"+url.PathEscape(task), attemptBody{Attempt: attempt})
+	return client.sendJSON(ctx, http.MethodDelete, "/tasks/"+url.PathEscape(task), attemptBody{Attempt: attempt})
 }
 
 // Follow streams what a watch produces after a sequence number.
 func (client *Client) Follow(ctx context.Context, task string, after uint64) (io.ReadCloser, error) {
-	path := client.base + "/tasks/" + url.PathEscape(task) + "/stream?after=" + strconv.FormatUint(after, 10)
+	path := client.baseURL + "/tasks/" + url.PathEscape(task) + "/stream?after=" + strconv.FormatUint(after, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "follow task")
@@ -97,8 +97,8 @@
 	return response.Body, nil
 }
 
-func (client *Client) get(ctx context.Context, path string, into any) error {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, client.base+path, nil)
+func (client *Client) getJSON(ctx context.Context, path string, into any) error {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, client.baseURL+path, nil)
 	if err != nil {
 		return errors.Wrap(err, "ask worker")
 	}
@@ -106,19 +106,19 @@
 	if err != nil {
 		return errors.Wrap(err, "ask worker")
 	}
-	defer closeBody(response)
+	defer drainAndClose(response)
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("ask worker %s: it answered %s", path, response.Status)
 	}
-	return errors.Wrap(json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(into), "ask worker "+path)
+	return errors.Wrap(json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(into), "ask worker "+path)
 }
 
-func (client *Client) send(ctx context.Context, method, path string, body any) error {
+func (client *Client) sendJSON(ctx context.Context, method, path string, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrap(err, "encode")
 	}
-	request, err := http.NewRequestWithContext(ctx, method, client.base+path, bytes.NewReader(encoded))
+	request, err := http.NewRequestWithContext(ctx, method, client.baseURL+path, bytes.NewReader(encoded))
 	if err != nil {
 		return errors.Wrap(err, "tell worker")
 	}
@@ -127,22 +127,22 @@
 	if err != nil {
 		return errors.Wrap(err, "tell worker")
 	}
-	defer closeBody(response)
+	defer drainAndClose(response)
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusCreated, http.StatusAccepted, http.StatusNoContent:
 		return nil
 	case http.StatusConflict:
 		return ErrStale
 	case http.StatusUnprocessableEntity, http.StatusInsufficientStorage, http.StatusBadRequest:
-		message, _ := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
+		message, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 		return &RejectedError{message: string(bytes.TrimSpace(message))}
 	}
 	return errors.Errorf("tell worker %s: it answered %s", path, response.Status)
 }
 
-const maxMessageBytes = 1 << 10
+const maxErrorBytes = 1 << 10
 
-func closeBody(response *http.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxAnswerBytes))
+func drainAndClose(response *http.Response) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes))
 	_ = response.Body.Close()
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -11,7 +11,7 @@
 //
 //	client := worker.NewClient("http://127.0.2.1:7101", &http.Client{})
 //	listing, err := client.Tasks(ctx)
-//	err = client.Start(ctx, worker.Start{Task: id, Attempt: 1, LeaseEnd: listing.Uptime + time.Minute})
+//	err = client.Start(ctx, worker.StartRequest{Task: id, Attempt: 1, LeaseEnd: listing.Uptime + time.Minute})
 //
 // # Errors
 //
@@ -38,8 +38,8 @@
 // Error implements error.
 func (rejected *RejectedError) Error() string { return rejected.message }
 
-// Rejected returns the error of an attempt that was not started, and why.
-func Rejected(message string) error { return &RejectedError{message: message} }
+// NewRejectedError returns the error of an attempt that was not started, and why.
+func NewRejectedError(message string) error { return &RejectedError{message: message} }
 
 // Phase is what a worker says of an attempt.
 type Phase string
@@ -62,8 +62,8 @@
 	Rack         string `json:"rack"`
 }
 
-// Start asks for an attempt of a task.
-type Start struct {
+// StartRequest asks for an attempt of a task.
+type StartRequest struct {
 	Task         string        `json:"task"`
 	Attempt      uint64        `json:"attempt"`
 	Team         string        `json:"team"`
@@ -80,7 +80,7 @@
 
 // Task is one attempt on a worker.
 type Task struct {
-	Start
+	StartRequest
 	Phase    Phase   `json:"phase"`
 	Reason   string  `json:"reason,omitempty"`
 	Result   []byte  `json:"result,omitempty"`
@@ -112,7 +112,7 @@
 	Capacity(ctx context.Context) (Capacity, error)
 	Usage(ctx context.Context) (Usage, error)
 	Tasks(ctx context.Context) (Listing, error)
-	Start(ctx context.Context, start Start) error
+	Start(ctx context.Context, start StartRequest) error
 	// Stop checkpoints and stops an attempt. It returns before that is done.
 	Stop(ctx context.Context, task string, attempt uint64) error
 	// Throttle bounds an attempt to a share of its processors, 0 to 1.
