--- a/entry/claims.go
+++ b/entry/claims.go
@@ -12,9 +12,9 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// takeClaim claims the key of a request that must not be repeated. If this entry
+// acquireClaim claims the key of a request that must not be repeated. If this entry
 // may not run the request, it returns a problem with the reason.
-func (entry *Entry) takeClaim(ctx context.Context, call *serviceCall) (*claim.Claim, *api.Problem) {
+func (entry *Entry) acquireClaim(ctx context.Context, call *serviceCall) (*claim.Claim, *api.Problem) {
 	heldClaim, err := entry.claims.Acquire(ctx, call.idempotencyKey, call.service, entry.now())
 	var takenErr *claim.TakenError
 	switch {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -51,7 +51,7 @@
 	peerSyncInterval    = time.Second
 	placeInterval       = 100 * time.Millisecond
 	maintenanceInterval = 5 * time.Second
-	rpcTimeout          = 2 * time.Second
+	callTimeout         = 2 * time.Second
 	appendTimeout       = 2 * time.Second
 	retryBurst          = 20
 	defaultRetryRatio   = 0.1
@@ -256,7 +256,7 @@
 // RefreshInstances reads the platform's instance list and updates the routing
 // table, in which the servers of guards that have stopped reporting become unready.
 func (entry *Entry) RefreshInstances(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if list, err := entry.options.Instances.List(ctx, instances.AllRoles); err == nil {
 		entry.view.SetInstances(list)
@@ -279,5 +279,5 @@
 	return entry.journal.Ready() == nil && now.Sub(entry.journal.SyncedAt()) < maxLogAge
 }
 
-// Queued returns the number of requests of the service that wait for a slot.
-func (entry *Entry) Queued(service string) int { return entry.routes.QueueLength(service) }
+// QueueLength returns the number of requests of the service that wait for a slot.
+func (entry *Entry) QueueLength(service string) int { return entry.routes.QueueLength(service) }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -37,7 +37,7 @@
 // syncPeer asks one entry. An entry that does not answer is tried again in the next
 // round.
 func (entry *Entry) syncPeer(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.EncodeVersions(entry.documents.Versions())}
 	reply, err := wire.NewDRPCEntryClient(entry.options.Pool.Conn(address)).Documents(ctx, request)
@@ -68,7 +68,7 @@
 
 // fetchDocuments applies the documents of the guard that are newer than this entry's.
 func (entry *Entry) fetchDocuments(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.EncodeVersions(entry.documents.Versions())}
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(address)).Documents(ctx, request)
--- a/entry/report.go
+++ b/entry/report.go
@@ -93,7 +93,7 @@
 // stopAttempt asks the guard to stop an attempt. If the guard replies that the
 // attempt is not running and will never start, the attempt is released at once.
 func (entry *Entry) stopAttempt(ctx context.Context, guard *membership.Guard, request *wire.StopRequest) {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(guard.Address())).Stop(ctx, request)
 	if err != nil || !reply.GetRefusal().GetNotRun() {
--- a/entry/request.go
+++ b/entry/request.go
@@ -74,7 +74,7 @@
 	if call.repeatable {
 		return entry.runCall(ctx, writer, call, nil)
 	}
-	heldClaim, problem := entry.takeClaim(ctx, call)
+	heldClaim, problem := entry.acquireClaim(ctx, call)
 	if problem != nil {
 		return problem
 	}
--- a/entry/suspicion.go
+++ b/entry/suspicion.go
@@ -70,10 +70,10 @@
 	return tracker.missing[worker]
 }
 
-// checkSilence returns the records that suspect workers whose guards have stopped
+// checkTimeouts returns the records that suspect workers whose guards have stopped
 // reporting, and that release the attempts on suspected workers after their leases
 // have certainly expired.
-func (entry *Entry) checkSilence(st *state.State, now time.Time) []*record.Record {
+func (entry *Entry) checkTimeouts(st *state.State, now time.Time) []*record.Record {
 	var records []*record.Record
 	for _, worker := range st.Workers() {
 		if !entry.isResponsibleFor(worker, now) {
@@ -81,7 +81,7 @@
 		}
 		suspicion := st.ActiveSuspicion(worker)
 		if suspicion == 0 {
-			if entry.isSilent(worker, st.SuspicionCount(worker), now) {
+			if entry.hasTimedOut(worker, st.SuspicionCount(worker), now) {
 				records = append(records, newSuspectRecord(worker, now))
 			}
 			continue
@@ -96,10 +96,10 @@
 	return records
 }
 
-// isSilent reports whether the worker's guard has not reported for longer than the
+// hasTimedOut reports whether the worker's guard has not reported for longer than the
 // configured time. If a suspicion of the worker ended within this time, some entry
 // has received a report since, and the worker does not count as silent.
-func (entry *Entry) isSilent(worker string, suspicions uint64, now time.Time) bool {
+func (entry *Entry) hasTimedOut(worker string, suspicions uint64, now time.Time) bool {
 	settings := entry.documents.Config()
 	if settings == nil || now.Sub(entry.suspicions.lastEndedAt(worker, suspicions, now)) <= settings.Limits().WorkerSilent() {
 		return false
@@ -134,7 +134,7 @@
 		return
 	}
 	var records []*record.Record
-	entry.journal.View(func(st *state.State) { records = entry.checkSilence(st, now) })
+	entry.journal.View(func(st *state.State) { records = entry.checkTimeouts(st, now) })
 	if len(records) == 0 {
 		return
 	}
--- a/entry/throttle.go
+++ b/entry/throttle.go
@@ -44,7 +44,7 @@
 // throttleAttempt sends the request to the guard. Without a reply it is unknown
 // whether the limit was applied.
 func (entry *Entry) throttleAttempt(ctx context.Context, guard *membership.Guard, request *wire.ThrottleRequest) *api.Problem {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(guard.Address())).Throttle(ctx, request)
 	if err != nil {
