--- a/entry/suspicion.go
+++ b/entry/suspicion.go
@@ -98,7 +98,7 @@
 
 // hasTimedOut reports whether the worker's guard has not reported for longer than the
 // configured time. If a suspicion of the worker ended within this time, some entry
-// has received a report since, and the worker does not count as silent.
+// has received a report since, and the worker does not count as timed out.
 func (entry *Entry) hasTimedOut(worker string, suspicions uint64, now time.Time) bool {
 	settings := entry.documents.Config()
 	if settings == nil || now.Sub(entry.suspicions.lastEndedAt(worker, suspicions, now)) <= settings.Limits().WorkerSilent() {
