--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,19 +1,20 @@
-// Package membership keeps what one entry knows of the guards and of the other
-// entries, from what it hears itself and from the platform's lagging list.
+// Package membership maintains one entry's view of the guards and of the other
+// entries. The view is built from the reports and answers that the entry receives
+// and from the platform's instance list, which lags behind.
 //
-// Hearing from a guard says that it is there and what it carries. Silence says
-// nothing about what its worker runs. The list says who is leaving; that it
-// leaves an instance out proves nothing either.
+// A report proves that the guard is alive and says which tasks it runs. A missing
+// report says nothing about what the worker runs. The list says which instances
+// are leaving; an instance that is missing from the list has not necessarily ended.
 //
-// Two starts of a guard under one name are told apart by their incarnation. A
-// later incarnation replaces an earlier one; reports of the earlier one that
-// were held up are passed over, unless the later one has been silent for long.
+// Two processes of a guard under one name are distinguished by their incarnation.
+// A later incarnation replaces an earlier one. Delayed reports of the earlier one
+// are ignored, unless the later one has timed out.
 //
 // # Usage
 //
 //	view := membership.NewView(10 * time.Second)
-//	current := view.Heard(report, now)
-//	view.ListRead(list)
+//	guard := view.AddReport(report, now)
+//	view.SetInstances(list)
 //	for _, guard := range view.Guards() { ... }
 package membership
 
@@ -29,7 +30,7 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// Guard is what was last heard of one guard. It does not change.
+// Guard holds the last report of one guard. It is immutable.
 type Guard struct {
 	report           *wire.ReportRequest
 	lastReportAt     time.Time
@@ -40,65 +41,67 @@
 // Name returns the name of the guard's worker.
 func (guard *Guard) Name() string { return guard.report.GetWorker() }
 
-// Incarnation returns which start of the guard spoke.
+// Incarnation returns the incarnation of the guard that sent the report.
 func (guard *Guard) Incarnation() string { return guard.report.GetIncarnation() }
 
-// Address returns where the guard is reached.
+// Address returns the guard's RPC address.
 func (guard *Guard) Address() string { return guard.report.GetAddress() }
 
-// FailureDomain returns where the worker is.
+// FailureDomain returns the worker's failure domain.
 func (guard *Guard) FailureDomain() string { return guard.report.GetFailureDomain() }
 
 // Rack returns the worker's rack.
 func (guard *Guard) Rack() string { return guard.report.GetRack() }
 
-// Service returns the service that the backend server runs.
+// Service returns the service that the worker's backend server runs.
 func (guard *Guard) Service() string { return guard.report.GetService() }
 
-// Uptime returns the guard's own clock when it spoke.
+// Uptime returns the guard's own clock when it sent the report.
 func (guard *Guard) Uptime() time.Duration { return time.Duration(guard.report.GetUptimeNanos()) }
 
-// LastReportAt returns when the guard was heard.
+// LastReportAt returns when the report was received.
 func (guard *Guard) LastReportAt() time.Time { return guard.lastReportAt }
 
-// PreviousReportAt returns when the same incarnation was heard the time before.
+// PreviousReportAt returns when the report before this one of the same incarnation
+// was received, the zero time if there was none.
 func (guard *Guard) PreviousReportAt() time.Time { return guard.previousReportAt }
 
-// Capacity returns what the worker has for tasks.
+// Capacity returns the resources that the worker has for tasks.
 func (guard *Guard) Capacity() *wire.Resources { return guard.report.GetCapacity() }
 
-// Used returns what the worker's tasks were measured to use, a while ago.
+// Used returns the measured usage of the worker's tasks. The measurement lags.
 func (guard *Guard) Used() *wire.Resources { return guard.report.GetUsed() }
 
 // Load returns the load of the backend server.
 func (guard *Guard) Load() *wire.Load { return guard.report.GetLoad() }
 
-// Tasks returns the attempts that the guard answers for.
+// Tasks returns the attempts that the guard is responsible for.
 func (guard *Guard) Tasks() []*wire.TaskReport { return guard.report.GetTasks() }
 
-// Documents returns the document versions in force on the guard.
+// Documents returns the document versions that are active on the guard.
 func (guard *Guard) Documents() []*wire.DocumentVersion { return guard.report.GetDocuments() }
 
-// IsReady reports whether the guard takes new work, as far as is known.
+// IsReady reports whether the guard accepts new work, as far as the entry knows.
 func (guard *Guard) IsReady() bool {
 	return guard.report.GetReady() && !guard.report.GetLeaving() && !guard.listedLeaving
 }
 
-// IsLeaving reports whether the guard or the platform's list says that it leaves.
+// IsLeaving reports whether the guard or the platform's list says that the guard is leaving.
 func (guard *Guard) IsLeaving() bool { return guard.report.GetLeaving() || guard.listedLeaving }
 
-// IsListedLeaving reports whether the platform's list says that the worker leaves
-// for good. A guard that leaves by itself may only be about to restart.
+// IsListedLeaving reports whether the platform's list says that the worker is being
+// removed. A guard that only reports itself as leaving may be about to restart.
 func (guard *Guard) IsListedLeaving() bool { return guard.listedLeaving }
 
-// Peer is what was last heard of another entry.
+// Peer holds the last answer of another entry.
 type Peer struct {
 	Name         string
 	LastAnswerAt time.Time
 	Documents    []document.Version
 }
 
-// View is what one entry knows. It may be used by many goroutines.
+// View is one entry's view of the guards and of the other entries. It is safe for
+// concurrent use.
 type View struct {
 	mu      sync.RWMutex
 	timeout time.Duration
@@ -108,75 +111,75 @@
 	peers   map[string]Peer
 }
 
-// NewView returns an empty view. A guard or entry that is not heard for the
-// time silent no longer counts as there.
-func NewView(silent time.Duration) *View {
+// NewView returns an empty view. A guard or entry from which nothing was received
+// for the timeout counts as unresponsive.
+func NewView(timeout time.Duration) *View {
 	return &View{
-		timeout: silent,
+		timeout: timeout,
 		guards:  map[string]*Guard{},
 		leaving: map[string]bool{},
 		peers:   map[string]Peer{},
 	}
 }
 
-// SetTimeout changes how long silence may be.
-func (view *View) SetTimeout(silent time.Duration) {
+// SetTimeout changes the time after which a guard or entry counts as unresponsive.
+func (view *View) SetTimeout(timeout time.Duration) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
-	view.timeout = silent
+	view.timeout = timeout
 }
 
-// AddReport takes a report in. It returns nil when the report comes from an
+// AddReport records a guard's report. It returns nil if the report comes from an
 // incarnation that has been replaced.
 func (view *View) AddReport(report *wire.ReportRequest, now time.Time) *Guard {
 	view.mu.Lock()
 	defer view.mu.Unlock()
-	before := view.guards[report.GetWorker()]
-	heard := &Guard{report: report, lastReportAt: now, listedLeaving: view.leaving[report.GetWorker()]}
-	if before != nil {
-		replaced := report.GetIncarnation() < before.Incarnation()
-		if replaced && now.Sub(before.lastReportAt) < view.timeout {
+	previous := view.guards[report.GetWorker()]
+	guard := &Guard{report: report, lastReportAt: now, listedLeaving: view.leaving[report.GetWorker()]}
+	if previous != nil {
+		replaced := report.GetIncarnation() < previous.Incarnation()
+		if replaced && now.Sub(previous.lastReportAt) < view.timeout {
 			return nil
 		}
-		if report.GetIncarnation() == before.Incarnation() {
-			heard.previousReportAt = before.lastReportAt
+		if report.GetIncarnation() == previous.Incarnation() {
+			guard.previousReportAt = previous.lastReportAt
 		}
 	}
-	view.guards[report.GetWorker()] = heard
-	return heard
+	view.guards[report.GetWorker()] = guard
+	return guard
 }
 
-// SetInstances takes the platform's list in.
+// SetInstances updates the view from the platform's instance list.
 func (view *View) SetInstances(list []instances.Instance) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	view.entries = view.entries[:0:0]
 	clear(view.leaving)
-	for _, each := range list {
-		switch each.Role {
+	for _, instance := range list {
+		switch instance.Role {
 		case instances.Entry:
-			view.entries = append(view.entries, each)
+			view.entries = append(view.entries, instance)
 		case instances.Guard:
-			view.leaving[each.Name] = each.State == instances.Leaving
+			view.leaving[instance.Name] = instance.State == instances.Leaving
 		}
 	}
 	for name, guard := range view.guards {
 		if guard.listedLeaving != view.leaving[name] {
-			changed := *guard
-			changed.listedLeaving = view.leaving[name]
-			view.guards[name] = &changed
+			updated := *guard
+			updated.listedLeaving = view.leaving[name]
+			view.guards[name] = &updated
 		}
 	}
 }
 
-// UpdatePeer notes that another entry answered.
+// UpdatePeer records an answer of another entry.
 func (view *View) UpdatePeer(peer Peer) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	view.peers[peer.Name] = peer
 }
 
-// Peers returns the entries that were ever heard, by name.
+// Peers returns every entry that has ever answered, ordered by name.
 func (view *View) Peers() []Peer {
 	view.mu.RLock()
 	defer view.mu.RUnlock()
@@ -190,7 +193,7 @@
 	return slices.Clone(view.entries)
 }
 
-// LivePeers returns the names of the other entries that were heard lately.
+// LivePeers returns the sorted names of the other entries that answered within the timeout.
 func (view *View) LivePeers(now time.Time) []string {
 	view.mu.RLock()
 	defer view.mu.RUnlock()
@@ -204,14 +207,14 @@
 	return live
 }
 
-// Guard returns what was last heard of a guard, nil when nothing was.
+// Guard returns the last report of a guard, or nil if it has never reported.
 func (view *View) Guard(name string) *Guard {
 	view.mu.RLock()
 	defer view.mu.RUnlock()
 	return view.guards[name]
 }
 
-// Guards returns every guard that was ever heard, by name.
+// Guards returns every guard that has ever reported, ordered by name.
 func (view *View) Guards() []*Guard {
 	view.mu.RLock()
 	defer view.mu.RUnlock()
@@ -223,7 +226,7 @@
 	return guards
 }
 
-// HasTimedOut reports whether the guard has not been heard for too long.
+// HasTimedOut reports whether no report of the guard was received within the timeout.
 func (view *View) HasTimedOut(guard *Guard, now time.Time) bool {
 	view.mu.RLock()
 	defer view.mu.RUnlock()
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -20,21 +20,21 @@
 
 func TestIncarnations(t *testing.T) {
 	tests := map[string]struct {
-		first, then string
-		after       time.Duration
-		taken       bool
+		first, second string
+		after         time.Duration
+		accepted      bool
 	}{
-		"the same":                        {"i-1", "i-1", time.Second, true},
-		"a later one replaces":            {"i-1", "i-2", time.Second, true},
-		"an earlier one is passed over":   {"i-2", "i-1", time.Second, false},
-		"unless the later one was silent": {"i-2", "i-1", time.Minute, true},
+		"same incarnation":    {"i-1", "i-1", time.Second, true},
+		"later incarnation":   {"i-1", "i-2", time.Second, true},
+		"earlier incarnation": {"i-2", "i-1", time.Second, false},
+		"earlier incarnation after the later one timed out": {"i-2", "i-1", time.Minute, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			view := membership.NewView(guardTimeout)
 			view.AddReport(newReport(test.first), startTime)
-			if taken := view.AddReport(newReport(test.then), startTime.Add(test.after)) != nil; taken != test.taken {
-				t.Errorf("taken: %t", taken)
+			if accepted := view.AddReport(newReport(test.second), startTime.Add(test.after)) != nil; accepted != test.accepted {
+				t.Errorf("report accepted: %t, want %t", accepted, test.accepted)
 			}
 		})
 	}
@@ -42,27 +42,27 @@
 
 func TestInstanceListAndTimeout(t *testing.T) {
 	view := membership.NewView(guardTimeout)
-	heard := view.AddReport(newReport("i-1"), startTime)
-	if !heard.IsReady() || view.HasTimedOut(heard, startTime.Add(time.Second)) || !view.HasTimedOut(heard, startTime.Add(guardTimeout)) {
-		t.Error("a guard that was heard is not there, or one that is silent is")
+	guard := view.AddReport(newReport("i-1"), startTime)
+	if !guard.IsReady() || view.HasTimedOut(guard, startTime.Add(time.Second)) || !view.HasTimedOut(guard, startTime.Add(guardTimeout)) {
+		t.Error("guard must be ready after its report, responsive within the timeout, and unresponsive after it")
 	}
 	list := func(state instances.State) []instances.Instance {
 		return []instances.Instance{{Name: "worker-01", Role: instances.Guard, State: state}, {Name: "entry-2", Role: instances.Entry, State: instances.Live}}
 	}
 	view.SetInstances(list(instances.Leaving))
 	if guard := view.Guard("worker-01"); guard.IsReady() || !guard.IsListedLeaving() {
-		t.Error("a guard that the list calls leaving still counts as ready")
+		t.Error("guard that is listed as leaving is ready, or not listed as leaving")
 	}
-	if heard := view.AddReport(newReport("i-1"), startTime); heard.IsReady() {
-		t.Error("a report made a leaving guard ready")
+	if guard := view.AddReport(newReport("i-1"), startTime); guard.IsReady() {
+		t.Error("report made a guard that is listed as leaving ready")
 	}
 	view.SetInstances(list(instances.Live))
 	if !view.Guard("worker-01").IsReady() {
-		t.Error("a guard that is live again is not ready")
+		t.Error("guard that is listed as live again is not ready")
 	}
 	view.SetInstances(nil)
 	if view.Guard("worker-01") == nil {
-		t.Error("a guard that the list leaves out was forgotten")
+		t.Error("guard that is missing from the list was removed")
 	}
 }
 
@@ -71,11 +71,12 @@
 	view.UpdatePeer(membership.Peer{Name: "entry-2", LastAnswerAt: startTime})
 	view.UpdatePeer(membership.Peer{Name: "entry-3", LastAnswerAt: startTime.Add(-time.Minute)})
 	if live := view.LivePeers(startTime); len(live) != 1 || live[0] != "entry-2" {
-		t.Errorf("got %v", live)
+		t.Errorf("live peers %v, want only entry-2", live)
 	}
 }
 
-// TestOwnerIsStable: when one of the names goes, only its subjects move.
+// TestOwnerIsStable checks that the removal of a name moves only the subjects that it owned,
+// and that subjects are spread evenly.
 func TestOwnerIsStable(t *testing.T) {
 	all, fewer := []string{"entry-1", "entry-2", "entry-3"}, []string{"entry-1", "entry-2"}
 	counts := map[string]int{}
@@ -89,11 +90,11 @@
 	}
 	for name, count := range counts {
 		if count < 800 || count > 1200 {
-			t.Errorf("%s has %d of 3000", name, count)
+			t.Errorf("%s owns %d of 3000 subjects, want 800 to 1200", name, count)
 		}
 	}
 	if membership.Owner("x", nil) != "" {
-		t.Error("nobody owns, and somebody did")
+		t.Error("owner without any names")
 	}
 }
 
