--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,24 +1,25 @@
-// Package claim makes sure that a request which must not be repeated is run by
-// at most one of many instances, through the log that they share.
+// Package claim ensures that a request which must not be repeated is run by at most
+// one of many instances, by means of the log that they share.
 //
-// An instance takes a claim on the request's key before it runs it. The first
-// claim in the log wins. A claim is given back when the request has proved not
-// to have run, and ended otherwise; the ends are recorded in the background
-// until the log takes them. A holder's name is used once, so a claim that the
-// log takes late, after its request was given up, is recognised and given back.
+// An instance acquires a claim on the request's key before it runs the request. The
+// first claim in the log wins. A claim is released if the request is known not to
+// have run, and finished otherwise. Both ends are appended in the background until
+// the log accepts them. Each acquisition has a holder name of its own, so a claim
+// that reaches the log after its request was abandoned is recognised and released.
 //
 // # Usage
 //
 //	claims := claim.New(claim.Options{Journal: log, Instance: "entry-1"})
 //	go claims.Run(ctx)
-//	held, err := claims.Take(ctx, "bill-7", "verbale", now)
+//	held, err := claims.Acquire(ctx, "bill-7", "verbale", now)
 //	if err != nil { ... not run by this instance ... }
-//	claims.Finish(held, http.StatusOK, false)
+//	claims.Finish(held, http.StatusOK, false, now)
 //
 // # Errors
 //
-// [*TakenError] says what became of the request that has the key. [ErrLogDown],
-// [*UnsettledError] and [ErrConcurrentClaim] say that this instance must not run it.
+// [*TakenError] says what became of the request that has claimed the key. After
+// [ErrLogDown], [*UnsettledError] and [ErrConcurrentClaim] this instance must not
+// run the request either.
 package claim
 
 import (
@@ -42,48 +43,49 @@
 	releaseTimeout      = 250 * time.Millisecond
 	recordTimeout       = 2 * time.Second
 	recordRetryInterval = 500 * time.Millisecond
-	// maxEndsPerAppend is how many ends are recorded in one append.
+	// maxEndsPerAppend bounds the number of ends in one append.
 	maxEndsPerAppend = 128
-	// lateAppendWindow is how long an append without an answer can still take effect:
-	// the journal sends a batch only while somebody waits for it.
+	// lateAppendWindow is how long an append without an answer can still take effect.
+	// It is bounded because the journal sends a batch only while a caller waits for it.
 	lateAppendWindow = 30 * time.Second
 )
 
-// ErrLogDown says that the log can't be reached.
+// ErrLogDown is returned if the instance has not read the log recently enough to claim a key.
 var ErrLogDown = errors.New("the log, in which the request is claimed, can't be reached")
 
-// ErrConcurrentClaim says that another holder had the key and gave it back meanwhile.
+// ErrConcurrentClaim is returned if another holder claimed the key first and has
+// already released it again.
 var ErrConcurrentClaim = errors.New("another request with the same key was claimed and given back meanwhile")
 
-// TakenError says that the key is claimed.
+// TakenError is returned for a key that is claimed, or whose request has ended.
 type TakenError struct {
 	phase  state.ClaimPhase
 	status int
 }
 
-// Phase returns what became of the request that has the key.
-func (taken *TakenError) Phase() state.ClaimPhase { return taken.phase }
+// Phase returns the phase of the request that claimed the key.
+func (e *TakenError) Phase() state.ClaimPhase { return e.phase }
 
-// Status returns the status of its answer, if it has one.
-func (taken *TakenError) Status() int { return taken.status }
+// Status returns the HTTP status of the answer to that request, 0 if there is none.
+func (e *TakenError) Status() int { return e.status }
 
 // Error implements error.
-func (taken *TakenError) Error() string { return "the key is claimed" }
+func (e *TakenError) Error() string { return "the key is claimed" }
 
-// UnsettledError says that the log did not settle the claim in time.
+// UnsettledError is returned if the log did not accept or reject the claim in time.
 type UnsettledError struct {
 	cause error
 }
 
 // Error implements error.
-func (unsettled *UnsettledError) Error() string {
-	return "the claim on the request was not settled: " + unsettled.cause.Error()
+func (e *UnsettledError) Error() string {
+	return "the claim on the request was not settled: " + e.cause.Error()
 }
 
-// Unwrap returns the cause.
-func (unsettled *UnsettledError) Unwrap() error { return unsettled.cause }
+// Unwrap returns the error of the append.
+func (e *UnsettledError) Unwrap() error { return e.cause }
 
-// Claim is a claim that this instance holds.
+// Claim is a claim on a key that this instance holds.
 type Claim struct {
 	key    string
 	holder string
@@ -92,35 +94,34 @@
 // Key returns the claimed key.
 func (held *Claim) Key() string { return held.key }
 
-// Options sets up Claims.
+// Options configures a Manager.
 type Options struct {
 	// Journal is the instance's copy of the shared state.
 	Journal *changelog.Journal
-	// Instance names the instance.
+	// Instance is the name of the instance, the first part of its holder names.
 	Instance string
-	// MaxLogAge is how old the newest whole read of the log may be before the
-	// log counts as down. Default 3 s.
+	// MaxLogAge is the age of the last complete read of the log from which on the
+	// log counts as down. The default is 3 s.
 	MaxLogAge time.Duration
-	// Clock paces retries. Default the real clock.
+	// Clock times the retries. The default is the real clock.
 	Clock clockwork.Clock
-	// Events receives log lines. Default none.
+	// Events receives the log lines. By default they are discarded.
 	Events *event.Logger
 }
 
 const defaultMaxLogAge = 3 * time.Second
 
-// Manager takes and ends the claims of one instance. It may be used by many
-// goroutines.
+// Manager acquires and ends the claims of one instance. It is safe for concurrent use.
 type Manager struct {
 	options Options
 
 	mu          sync.Mutex
-	pendingEnds map[string]*record.Record // by holder: what must still be recorded
+	pendingEnds map[string]*record.Record // by holder: releases and finishes that are not in the log yet
 	wake        chan struct{}
 	pending     sync.WaitGroup
 }
 
-// New returns Claims that hold nothing.
+// New returns a Manager without claims.
 func New(options Options) *Manager {
 	if options.MaxLogAge == 0 {
 		options.MaxLogAge = defaultMaxLogAge
@@ -134,140 +135,146 @@
 	return &Manager{options: options, pendingEnds: map[string]*record.Record{}, wake: make(chan struct{}, 1)}
 }
 
-// Acquire claims a key. Without an error the caller runs the request and ends the
-// claim with Release or Finish.
-func (claims *Manager) Acquire(ctx context.Context, key, service string, now time.Time) (*Claim, error) {
-	log := claims.options.Journal
-	if log.Ready() != nil || now.Sub(log.SyncedAt()) >= claims.options.MaxLogAge {
+// Acquire claims a key. If it returns no error, the caller runs the request and ends
+// the claim with Release or Finish.
+func (manager *Manager) Acquire(ctx context.Context, key, service string, now time.Time) (*Claim, error) {
+	log := manager.options.Journal
+	if log.Ready() != nil || now.Sub(log.SyncedAt()) >= manager.options.MaxLogAge {
 		return nil, ErrLogDown
 	}
-	// Performance: a key whose request has ended costs no append. One that is
-	// held may have been given back since this instance last read the log, so
-	// that is for the log to say: the case is a caller who comes back at once to
-	// another instance than the one that gave the claim back.
-	if taken := claims.takenError(key); taken != nil && taken.phase != state.ClaimHeld {
+	// Performance: a key whose request has ended costs no append. A key that is
+	// held may have been released since this instance last read the log, so only
+	// the log can decide. That happens if a caller retries at once through another
+	// instance than the one that released the claim.
+	if taken := manager.takenError(key); taken != nil && taken.phase != state.ClaimHeld {
 		return nil, taken
 	}
-	held := &Claim{key: key, holder: claims.options.Instance + "/" + uuid.NewString()}
+	held := &Claim{key: key, holder: manager.options.Instance + "/" + uuid.NewString()}
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_Claim{Claim: &record.Claim{Key: key, Holder: held.holder, Service: service}}
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	outcomes, err := log.Append(ctx, rec)
 	if err != nil {
-		return nil, claims.releaseUnsettled(held, err, now)
+		return nil, manager.releaseUnsettled(held, err, now)
 	}
 	if !outcomes[0].IsAccepted() {
-		claims.options.Events.Log(ctx, event.ClaimLost, slog.String("key", key))
-		if taken := claims.takenError(key); taken != nil {
+		manager.options.Events.Log(ctx, event.ClaimLost, slog.String("key", key))
+		if taken := manager.takenError(key); taken != nil {
 			return nil, taken
 		}
 		return nil, ErrConcurrentClaim
 	}
-	claims.options.Events.Log(ctx, event.ClaimTaken, slog.String("key", key), slog.String("holder", held.holder))
+	manager.options.Events.Log(ctx, event.ClaimTaken, slog.String("key", key), slog.String("holder", held.holder))
 	return held, nil
 }
 
-// releaseUnsettled makes sure that a claim which may still come is given back.
-func (claims *Manager) releaseUnsettled(held *Claim, err error, now time.Time) error {
-	var open *changelog.UnsettledError
-	if errors.As(err, &open) {
-		claims.enqueueEnd(releaseRecord(held, now), held)
+// releaseUnsettled enqueues the release of a claim that may still reach the log,
+// and wraps the error of its append.
+func (manager *Manager) releaseUnsettled(held *Claim, err error, now time.Time) error {
+	var unsettled *changelog.UnsettledError
+	if errors.As(err, &unsettled) {
+		manager.enqueueEnd(releaseRecord(held, now), held)
 	}
 	return &UnsettledError{cause: err}
 }
 
-// takenError answers from the state whether the key is claimed.
-func (claims *Manager) takenError(key string) *TakenError {
+// takenError returns how the key is claimed according to the instance's copy of
+// the state, or nil if it is not.
+func (manager *Manager) takenError(key string) *TakenError {
 	var found *TakenError
-	claims.options.Journal.View(func(folded *state.State) {
-		if kept := folded.Claim(key); kept != nil {
-			found = &TakenError{phase: state.ClaimPhase(kept.GetPhase()), status: int(kept.GetStatus())}
+	manager.options.Journal.View(func(current *state.State) {
+		if claimed := current.Claim(key); claimed != nil {
+			found = &TakenError{phase: state.ClaimPhase(claimed.GetPhase()), status: int(claimed.GetStatus())}
 		}
 	})
 	return found
 }
 
+// releaseRecord returns the record that releases a claim.
 func releaseRecord(held *Claim, now time.Time) *record.Record {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_ClaimRelease{ClaimRelease: &record.ClaimRelease{Key: held.key, Holder: held.holder}}
 	return rec
 }
 
-// Release gives a claim back, because its request has proved not to have run.
-// It waits a little, so that the caller can come back at once.
-func (claims *Manager) Release(ctx context.Context, held *Claim, now time.Time) {
+// Release ends the claim of a request that is known not to have run. It waits
+// shortly for the append, so that the caller can retry at once; if that fails, the
+// release is appended in the background.
+func (manager *Manager) Release(ctx context.Context, held *Claim, now time.Time) {
 	rec := releaseRecord(held, now)
-	claims.options.Events.Log(ctx, event.ClaimReleased, slog.String("key", held.key))
+	manager.options.Events.Log(ctx, event.ClaimReleased, slog.String("key", held.key))
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
-	if _, err := claims.options.Journal.Append(ctx, rec); err != nil {
-		claims.enqueueEnd(rec, held)
+	if _, err := manager.options.Journal.Append(ctx, rec); err != nil {
+		manager.enqueueEnd(rec, held)
 	}
 }
 
-// Finish records in the background that a claimed request has run, or may have.
-func (claims *Manager) Finish(held *Claim, status int, maybe bool, now time.Time) {
+// Finish records in the background that a claimed request has run or, if unknown is
+// set, that it may have run.
+func (manager *Manager) Finish(held *Claim, status int, unknown bool, now time.Time) {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_ClaimFinish{ClaimFinish: &record.ClaimFinish{
 		Key:     held.key,
 		Holder:  held.holder,
 		Status:  int32(status),
-		Unknown: maybe,
+		Unknown: unknown,
 	}}
-	claims.enqueueEnd(rec, held)
+	manager.enqueueEnd(rec, held)
 }
 
-// enqueueEnd records the end of a claim in the background, until the log takes it.
-func (claims *Manager) enqueueEnd(rec *record.Record, held *Claim) {
-	claims.mu.Lock()
-	claims.pendingEnds[held.holder] = rec
-	claims.mu.Unlock()
-	claims.pending.Add(1)
+// enqueueEnd adds the end of a claim to those that are appended in the background
+// until the log accepts them.
+func (manager *Manager) enqueueEnd(rec *record.Record, held *Claim) {
+	manager.mu.Lock()
+	manager.pendingEnds[held.holder] = rec
+	manager.mu.Unlock()
+	manager.pending.Add(1)
 	select {
-	case claims.wake <- struct{}{}:
+	case manager.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run records the ends of claims until ctx ends.
-func (claims *Manager) Run(ctx context.Context) {
+// Run appends the ends of claims until ctx is done.
+func (manager *Manager) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-claims.wake:
+		case <-manager.wake:
 		}
-		for claims.RecordPending(ctx, claims.options.Clock.Now()) > 0 {
+		for manager.RecordPending(ctx, manager.options.Clock.Now()) > 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-claims.options.Clock.After(recordRetryInterval):
+			case <-manager.options.Clock.After(recordRetryInterval):
 			}
 		}
 	}
 }
 
-// RecordPending makes one round of recording the ends that are due and returns how
-// many are left.
-func (claims *Manager) RecordPending(ctx context.Context, now time.Time) int {
-	holders, records := claims.nextBatch()
+// RecordPending appends one batch of pending ends and returns how many are left.
+func (manager *Manager) RecordPending(ctx context.Context, now time.Time) int {
+	holders, records := manager.nextBatch()
 	if len(records) == 0 {
 		return 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	outcomes, err := claims.options.Journal.Append(ctx, records...)
+	outcomes, err := manager.options.Journal.Append(ctx, records...)
 	if err != nil {
 		return len(records)
 	}
-	return claims.removeRecorded(holders, outcomes, now)
+	return manager.removeRecorded(holders, outcomes, now)
 }
 
-func (claims *Manager) nextBatch() (holders []string, records []*record.Record) {
-	claims.mu.Lock()
-	defer claims.mu.Unlock()
-	for holder, rec := range claims.pendingEnds {
+// nextBatch returns up to maxEndsPerAppend pending ends and their holders.
+func (manager *Manager) nextBatch() (holders []string, records []*record.Record) {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	for holder, rec := range manager.pendingEnds {
 		if len(holders) == maxEndsPerAppend {
 			break
 		}
@@ -277,25 +284,26 @@
 	return holders, records
 }
 
-// removeRecorded drops what has been recorded. An end whose claim the log has not seen
-// stays: the claim may still come, and must then be given back.
-func (claims *Manager) removeRecorded(holders []string, outcomes []state.Outcome, now time.Time) int {
-	claims.mu.Lock()
-	defer claims.mu.Unlock()
-	for index, holder := range holders {
-		rec, open := claims.pendingEnds[holder]
-		if !open {
+// removeRecorded removes the ends on which the log has decided and returns how many
+// are left. An end whose claim is not in the log is kept during lateAppendWindow,
+// because the claim may still arrive and must then be released.
+func (manager *Manager) removeRecorded(holders []string, outcomes []state.Outcome, now time.Time) int {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	for i, holder := range holders {
+		rec, found := manager.pendingEnds[holder]
+		if !found {
 			continue
 		}
-		early := now.Sub(time.Unix(0, rec.GetWrittenUnixNano())) < lateAppendWindow
-		if outcomes[index].Reason() == state.ReasonUnknown && early {
+		appendMayArrive := now.Sub(time.Unix(0, rec.GetWrittenUnixNano())) < lateAppendWindow
+		if outcomes[i].Reason() == state.ReasonUnknown && appendMayArrive {
 			continue
 		}
-		delete(claims.pendingEnds, holder)
-		claims.pending.Done()
+		delete(manager.pendingEnds, holder)
+		manager.pending.Done()
 	}
-	return len(claims.pendingEnds)
+	return len(manager.pendingEnds)
 }
 
-// Wait waits until every end is recorded.
-func (claims *Manager) Wait() { claims.pending.Wait() }
+// Wait blocks until no end is pending.
+func (manager *Manager) Wait() { manager.pending.Wait() }
