--- a/rpc/dialer.go
+++ b/rpc/dialer.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// tcpUserTimeout ends a connection whose peer acknowledges nothing. A machine
-	// behind a cut sends nothing at all, and a call would hang until its own
-	// timeout; 2 s is well above what a loaded machine takes to acknowledge.
+	// tcpUserTimeout is the time without an acknowledgement after which a connection
+	// is closed. A peer behind a network partition sends nothing at all, and a call to
+	// it would hang until its own timeout. A loaded machine acknowledges in well below 2 s.
 	tcpUserTimeout    = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// NewDialer returns a dialer whose connections notice a silent peer.
+// NewDialer returns a dialer of TCP connections that fail if their peer stops
+// acknowledging, idle ones by keep-alive probes and others by TCP_USER_TIMEOUT.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
@@ -26,14 +27,15 @@
 	}
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged.
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent bytes may stay
+// unacknowledged.
+func setUserTimeout(_, _ string, rawConn syscall.RawConn) error {
+	var optionErr error
+	err := rawConn.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -1,8 +1,8 @@
 // Package rpc carries the calls between ambertiller's own processes over drpc.
 //
-// A drpc connection carries one call at a time, so a Pool keeps several to each
-// address and hands out an idle one for each call. The certificates of both
-// sides are checked when TLS is configured.
+// A drpc connection carries one call at a time, so a Pool keeps several connections
+// per address and uses an idle one for each call. If TLS is configured, client and
+// server verify each other's certificate.
 //
 // # Usage
 //
@@ -14,19 +14,20 @@
 //	pool := rpc.NewPool(nil)
 //	reply, err := wire.NewDRPCGuardClient(pool.Conn("127.0.0.1:7103")).Start(ctx, request)
 //
-// # Connections that have gone silent
+// # Unresponsive connections
 //
-// A connection may carry nothing any more, in one direction or both, while its peer's
-// kernel acknowledges and new connections work. Only an answer on that very connection
-// proves it sound. So a call that is not answered in its time takes its connection with it,
-// and all idle ones to the same address, which are as old; the next call makes a new one.
-// Whether the call may be made again is for its caller to know: it may have been carried
-// out. Streams that last are watched by those who hold them, by what they have to hear.
+// A connection can stop delivering data in one or both directions while the peer's
+// kernel still acknowledges and new connections work. Only an answer on the connection
+// itself proves that it works. So a call that exceeds its deadline closes its connection
+// and all idle connections to the same address, which are as old, and the next call
+// dials a new one. The call may have been carried out, so it is up to the caller whether
+// to retry it. The holder of a long-lived stream monitors it by the messages that it
+// expects on it.
 //
 // # Errors
 //
-// A [*DialError] proves that the call was not made. After any other error it
-// may have been.
+// A [*DialError] proves that the call was not made. After any other error the call
+// may have been carried out.
 package rpc
 
 import (
@@ -58,20 +59,22 @@
 	splitFrameBytes        = 64 << 10
 )
 
-// DialError says that no connection could be made, so that the call was not.
+// DialError is returned if no connection could be established, so that the call was
+// not made.
 type DialError struct {
 	address string
 	cause   error
 }
 
 // Error implements error.
-func (dial *DialError) Error() string {
-	return "connect to " + dial.address + ": " + dial.cause.Error()
+func (e *DialError) Error() string {
+	return "connect to " + e.address + ": " + e.cause.Error()
 }
 
-// Unwrap returns the cause.
-func (dial *DialError) Unwrap() error { return dial.cause }
+// Unwrap returns the error of the dial function.
+func (e *DialError) Unwrap() error { return e.cause }
 
+// managerOptions returns the drpc options of client and server connections.
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
 		WriterBufferSize: writerBufferBytes,
@@ -85,43 +88,42 @@
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Pool keeps client connections by address. It may be used by many goroutines.
+// Pool keeps client connections by address. It is safe for concurrent use.
 type Pool struct {
 	conns    *drpcpool.Pool[string, drpcpool.Conn]
 	dialFunc DialFunc
 }
 
-// NewPool returns an empty pool of TCP connections. With a nil configuration
-// they are plain.
-func NewPool(client *tls.Config) *Pool {
+// NewPool returns an empty pool of TCP connections. They are encrypted unless the
+// configuration is nil.
+func NewPool(config *tls.Config) *Pool {
 	dialer := NewDialer()
 	return NewPoolWithDialFunc(func(ctx context.Context, address string) (net.Conn, error) {
-		if client == nil {
+		if config == nil {
 			return dialer.DialContext(ctx, "tcp", address)
 		}
-		return (&tls.Dialer{NetDialer: dialer, Config: client}).DialContext(ctx, "tcp", address)
+		return (&tls.Dialer{NetDialer: dialer, Config: config}).DialContext(ctx, "tcp", address)
 	})
 }
 
-// NewPoolWithDialFunc returns an empty pool of connections that open makes.
-func NewPoolWithDialFunc(open DialFunc) *Pool {
+// NewPoolWithDialFunc returns an empty pool that opens its connections with dial.
+func NewPoolWithDialFunc(dial DialFunc) *Pool {
 	return &Pool{
 		conns: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
 			Expiration:  idleExpiration,
 			Capacity:    poolCapacity,
 			KeyCapacity: poolCapacityPerAddress,
 		}),
-		dialFunc: open,
+		dialFunc: dial,
 	}
 }
 
-// Conn returns a connection to the address that takes one from the pool for
-// each call.
+// Conn returns a connection to the address that uses a pooled connection for each call.
 func (pool *Pool) Conn(address string) drpc.Conn {
 	return &pooledConn{Conn: pool.conns.Get(context.Background(), address, pool.dial), pool: pool, address: address}
 }
 
-// pooledConn makes each call on a connection of its own out of the pool.
+// pooledConn makes each call on a connection borrowed from the pool.
 type pooledConn struct {
 	drpc.Conn // for streams
 	pool      *Pool
@@ -129,12 +131,12 @@
 }
 
 // Invoke implements drpc.Conn.
-func (conn *pooledConn) Invoke(ctx context.Context, name string, encoding drpc.Encoding, in, out drpc.Message) error {
+func (conn *pooledConn) Invoke(ctx context.Context, method string, encoding drpc.Encoding, in, out drpc.Message) error {
 	borrowed, err := conn.pool.Borrow(ctx, conn.address)
 	if err != nil {
 		return err
 	}
-	if err := borrowed.Invoke(ctx, name, encoding, in, out); err != nil {
+	if err := borrowed.Invoke(ctx, method, encoding, in, out); err != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			return borrowed.discard(err)
 		}
@@ -145,41 +147,41 @@
 	return nil
 }
 
-// Borrow takes an idle connection to the address out of the pool, or makes one.
-// The caller returns it once its calls on it have ended.
+// Borrow takes an idle connection to the address out of the pool, or opens a new one.
+// The caller returns it once all its calls on the connection have ended.
 //
-// Performance: a stream on a borrowed connection costs a third of one on Conn,
-// which hands every stream to a goroutine of its own that waits to put the
-// connection back, and so comes too late for a caller who goes on at once.
+// Performance: a stream on a borrowed connection costs a third of a stream on Conn.
+// Conn starts a goroutine per stream that puts the connection back after the stream,
+// which is too late for a caller that opens its next stream at once.
 func (pool *Pool) Borrow(ctx context.Context, address string) (*BorrowedConn, error) {
 	if idle, found := pool.conns.Take(address); found {
 		return &BorrowedConn{Conn: idle, pool: pool, address: address}, nil
 	}
-	dialled, err := pool.dial(ctx, address)
+	dialed, err := pool.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return &BorrowedConn{Conn: dialled, pool: pool, address: address}, nil
+	return &BorrowedConn{Conn: dialed, pool: pool, address: address}, nil
 }
 
-// BorrowedConn is a connection out of the pool.
+// BorrowedConn is a connection taken out of a pool.
 type BorrowedConn struct {
 	drpcpool.Conn
 	pool    *Pool
 	address string
 }
 
-// Return puts the connection back. One that is broken is dropped, one whose
-// last call is still being cancelled is not handed out until that is done.
+// Return puts the connection back into the pool. A broken connection is dropped. A
+// connection whose last call is still being cancelled is not reused before that ends.
 func (borrowed *BorrowedConn) Return() { borrowed.pool.conns.Put(borrowed.address, borrowed.Conn) }
 
-// discard closes a connection on which a call was not answered in its time, and all idle ones
-// to its address. It returns the call's error.
-func (borrowed *BorrowedConn) discard(unanswered error) error {
-	// The call has failed already; that its connection does not close well adds nothing.
+// discard closes a connection on which a call exceeded its deadline, and all idle
+// connections to the same address. It returns the call's error.
+func (borrowed *BorrowedConn) discard(callErr error) error {
+	// The call has already failed, so an error of Close adds nothing.
 	_ = borrowed.Close()
 	borrowed.pool.closeIdle(borrowed.address)
-	return unanswered
+	return callErr
 }
 
 // closeIdle closes the idle connections to an address.
@@ -189,7 +191,7 @@
 		if !found {
 			return
 		}
-		// Nothing is on its way on it.
+		// An idle connection has no call that an error of Close could affect.
 		_ = idle.Close()
 	}
 }
@@ -207,7 +209,7 @@
 	return drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-// DialUnpooled opens a connection that belongs to its caller, for a stream that lasts.
+// DialUnpooled opens a connection that the caller owns, for a long-lived stream.
 func DialUnpooled(ctx context.Context, address string) (drpc.Conn, error) {
 	raw, err := NewDialer().DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -222,24 +224,24 @@
 	handler  *drpcserver.Server
 }
 
-// Listen opens the address and registers services. With a nil configuration
-// connections are plain.
-func Listen(ctx context.Context, address string, server *tls.Config, register func(mux *drpcmux.Mux) error) (*Server, error) {
+// Listen listens on the address and registers services. Connections are encrypted
+// unless the configuration is nil.
+func Listen(ctx context.Context, address string, config *tls.Config, register func(mux *drpcmux.Mux) error) (*Server, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for calls")
+		return nil, errors.Wrap(err, "listen for RPC calls")
 	}
-	if server != nil {
-		listener = tls.NewListener(listener, server)
+	if config != nil {
+		listener = tls.NewListener(listener, config)
 	}
 	return NewServer(listener, register)
 }
 
-// NewServer registers services on a listener that is open.
+// NewServer returns a server on an open listener and registers services.
 func NewServer(listener net.Listener, register func(mux *drpcmux.Mux) error) (*Server, error) {
 	mux := drpcmux.New()
 	if err := register(mux); err != nil {
-		return nil, errors.Wrap(err, "register calls")
+		return nil, errors.Wrap(err, "register RPC services")
 	}
 	return &Server{
 		listener: listener,
@@ -247,10 +249,10 @@
 	}, nil
 }
 
-// Address returns the address that was opened.
+// Address returns the address that the server listens on.
 func (server *Server) Address() string { return server.listener.Addr().String() }
 
-// Serve answers calls until ctx ends; calls in flight are then broken off.
+// Serve answers calls until ctx is done. Calls in flight are then aborted.
 func (server *Server) Serve(ctx context.Context) error {
-	return errors.Wrap(server.handler.Serve(ctx, server.listener), "serve calls")
+	return errors.Wrap(server.handler.Serve(ctx, server.listener), "serve RPC calls")
 }
--- a/rpc/silent_test.go
+++ b/rpc/silent_test.go
@@ -12,13 +12,13 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// pendingServer answers questions for waiting jobs.
+// pendingServer answers Pending calls.
 type pendingServer struct {
 	wire.DRPCPeerUnimplementedServer
-	unanswered chan struct{} // gets one for each question that is not answered
+	unanswered chan struct{} // receives a value for each call that is left unanswered
 }
 
-// unansweredQueue is the queue for which the server leaves questions unanswered.
+// unansweredQueue is the queue for which the server leaves calls unanswered.
 const unansweredQueue = "unanswered"
 
 func (server *pendingServer) Pending(ctx context.Context, request *wire.PendingRequest) (*wire.PendingReply, error) {
@@ -29,28 +29,29 @@
 	return &wire.PendingReply{Pending: 7}, nil
 }
 
-// serveThroughRelay serves a pendingServer until ctx ends, behind a relay.
+// serveThroughRelay serves a pendingServer behind a relay until ctx is done.
 func serveThroughRelay(ctx context.Context, t *testing.T) (*relay.Relay, *pendingServer) {
 	t.Helper()
-	answering := &pendingServer{unanswered: make(chan struct{}, 1)}
-	server, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterPeer(mux, answering) })
+	service := &pendingServer{unanswered: make(chan struct{}, 1)}
+	server, err := rpc.Listen(ctx, "127.0.0.1:0", nil, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterPeer(mux, service) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = server.Serve(ctx) }()
-	between, err := relay.New(ctx, server.Address())
+	proxy, err := relay.New(ctx, server.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return between, answering
+	return proxy, service
 }
 
-// callTimeout is what a call waits in vain here: the test is longer by it for each
-// connection that has gone silent, and its verdict does not depend on it.
+// callTimeout is the deadline of a call on an unresponsive connection. It adds to the
+// duration of each subtest, but does not affect its result.
 const callTimeout = 200 * time.Millisecond
 
-// TestUnresponsiveConnectionsAreDropped: after one call without an answer the next ones are made on
-// new connections, however many idle ones had gone silent.
+// TestUnresponsiveConnectionsAreDropped checks that one call without an answer is enough
+// to close all idle connections that have become unresponsive at the same time, so that
+// the calls after it succeed on a single new connection.
 func TestUnresponsiveConnectionsAreDropped(t *testing.T) {
 	tests := map[string]struct{ toServer, toClient bool }{
 		"towards the server": {true, false},
@@ -61,61 +62,61 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
-			between, _ := serveThroughRelay(ctx, t)
-			defer between.Close() //nolint:errcheck // the test is over.
+			proxy, _ := serveThroughRelay(ctx, t)
+			defer proxy.Close() //nolint:errcheck // the test has ended.
 			pool := rpc.NewPool(nil)
-			defer pool.Close() //nolint:errcheck // nothing is on its way.
-			address := between.Address()
+			defer pool.Close() //nolint:errcheck // no call is in flight.
+			address := proxy.Address()
 			addIdleConns(t, pool, address, 4)
-			between.Silence(test.toServer, test.toClient)
+			proxy.Silence(test.toServer, test.toClient)
 			client := wire.NewDRPCPeerClient(pool.Conn(address))
-			silent, done := context.WithTimeout(ctx, callTimeout)
-			if _, err := client.Pending(silent, &wire.PendingRequest{}); err == nil {
-				t.Error("a silent connection answered")
+			timedCtx, release := context.WithTimeout(ctx, callTimeout)
+			if _, err := client.Pending(timedCtx, &wire.PendingRequest{}); err == nil {
+				t.Error("unresponsive connection answered")
 			}
-			done()
-			before := between.Accepted()
+			release()
+			before := proxy.Accepted()
 			for range 3 {
 				reply, err := client.Pending(ctx, &wire.PendingRequest{})
 				if err != nil || reply.GetPending() != 7 {
-					t.Fatalf("got %v, %v", reply, err)
+					t.Fatalf("call on a new connection: got %v, error %v", reply, err)
 				}
 			}
-			if made := between.Accepted() - before; made != 1 {
-				t.Errorf("%d new connections for three calls one after another", made)
+			if dialed := proxy.Accepted() - before; dialed != 1 {
+				t.Errorf("%d new connections for three consecutive calls, want 1", dialed)
 			}
 		})
 	}
 }
 
-// TestCancelledCallKeepsConnections: a caller that leaves says nothing about the
-// connections.
+// TestCancelledCallKeepsConnections checks that a call cancelled by its caller closes no
+// connection: unlike an exceeded deadline it says nothing about the peer.
 func TestCancelledCallKeepsConnections(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	between, answering := serveThroughRelay(ctx, t)
-	defer between.Close() //nolint:errcheck // the test is over.
+	proxy, service := serveThroughRelay(ctx, t)
+	defer proxy.Close() //nolint:errcheck // the test has ended.
 	pool := rpc.NewPool(nil)
-	defer pool.Close() //nolint:errcheck // nothing is on its way.
-	addIdleConns(t, pool, between.Address(), 3)
-	client := wire.NewDRPCPeerClient(pool.Conn(between.Address()))
-	left, leave := context.WithCancel(ctx)
+	defer pool.Close() //nolint:errcheck // no call is in flight.
+	addIdleConns(t, pool, proxy.Address(), 3)
+	client := wire.NewDRPCPeerClient(pool.Conn(proxy.Address()))
+	callCtx, cancelCall := context.WithCancel(ctx)
 	go func() {
-		<-answering.unanswered
-		leave()
+		<-service.unanswered
+		cancelCall()
 	}()
-	if _, err := client.Pending(left, &wire.PendingRequest{Queue: unansweredQueue}); err == nil {
-		t.Error("a question that nobody answered was answered")
+	if _, err := client.Pending(callCtx, &wire.PendingRequest{Queue: unansweredQueue}); err == nil {
+		t.Error("cancelled call returned no error")
 	}
 	if _, err := client.Pending(ctx, &wire.PendingRequest{}); err != nil {
 		t.Error(err)
 	}
-	if accepted := between.Accepted(); accepted != 3 {
-		t.Errorf("%d connections, want the 3 from before", accepted)
+	if accepted := proxy.Accepted(); accepted != 3 {
+		t.Errorf("%d connections accepted, want only the 3 idle ones", accepted)
 	}
 }
 
-// addIdleConns leaves some idle connections in the pool.
+// addIdleConns opens count connections to the address and leaves them idle in the pool.
 func addIdleConns(t *testing.T, pool *rpc.Pool, address string, count int) {
 	t.Helper()
 	var borrowed []*rpc.BorrowedConn
