--- a/document/document.go
+++ b/document/document.go
@@ -1,17 +1,17 @@
-// Package document keeps the configuration and policies that are in force on
-// one instance.
+// Package document holds the configuration and the policies that are active on one
+// instance.
 //
 // Documents reach an entry through the log and a guard through the entries. A
-// version is only ever replaced by a higher one, whatever the order in which
-// copies arrive and whoever sends them, so an instance never goes back. A
-// version that this build can't use is passed over and noted; the one before
-// it stays in force.
+// version is only ever replaced by a higher one, regardless of the order in which
+// copies arrive and of their senders, so an instance never returns to an older
+// version. A version that this build can't use is rejected and remembered as
+// rejected; the previous version stays active.
 //
 // # Usage
 //
-//	shelf := document.NewActiveSet()
-//	changed, err := shelf.Offer(document.Copy{Name: "config", Version: 3, Content: content})
-//	settings := shelf.Config()
+//	set := document.NewActiveSet()
+//	changed, err := set.Activate(document.Copy{Name: "config", Version: 3, Content: content})
+//	settings := set.Config()
 package document
 
 import (
@@ -27,20 +27,20 @@
 	"ambertiller.example/ambertiller/policy"
 )
 
-// Copy is one version of a document.
+// Copy is one version of a document with its content.
 type Copy struct {
 	Name    string
 	Version uint64
 	Content []byte
 }
 
-// Version names a version of a document.
+// Version identifies one version of a document.
 type Version struct {
 	Name    string
 	Version uint64
 }
 
-// Policy is a policy in force.
+// Policy is a compiled policy with the name and version of its document.
 type Policy struct {
 	program *policy.Program
 	name    string
@@ -48,12 +48,12 @@
 }
 
 // Program returns the compiled program.
-func (inForce Policy) Program() *policy.Program { return inForce.program }
+func (p Policy) Program() *policy.Program { return p.program }
 
 // String returns the name and version, such as placement@3.
-func (inForce Policy) String() string { return fmt.Sprintf("%s@%d", inForce.name, inForce.version) }
+func (p Policy) String() string { return fmt.Sprintf("%s@%d", p.name, p.version) }
 
-// ActiveSet holds the documents in force. It may be used by many goroutines.
+// ActiveSet holds the active documents. It is safe for concurrent use.
 type ActiveSet struct {
 	mu            sync.RWMutex
 	copies        map[string]Copy
@@ -63,11 +63,11 @@
 	builtInPolicy Policy
 }
 
-// NewActiveSet returns a shelf on which only the built-in placement policy stands.
+// NewActiveSet returns a set that contains only the built-in placement policy.
 func NewActiveSet() *ActiveSet {
 	program, err := policy.Compile(policy.BuiltInPlacement)
 	if err != nil {
-		// The built-in policy is a constant that a test compiles.
+		// The built-in policy is a constant, and a test checks that it compiles.
 		panic(err)
 	}
 	return &ActiveSet{
@@ -78,94 +78,97 @@
 	}
 }
 
-// Activate puts a copy in force if it is newer than what stands there, and
-// reports whether it did. The error says why a newer copy can't be used.
-func (shelf *ActiveSet) Activate(offered Copy) (bool, error) {
-	shelf.mu.Lock()
-	defer shelf.mu.Unlock()
-	if offered.Version <= shelf.copies[offered.Name].Version || offered.Version <= shelf.rejected[offered.Name] {
+// Activate activates a copy if it is newer than the active version and than the
+// last rejected one, and reports whether it did. The error says why a newer copy
+// can't be used.
+func (set *ActiveSet) Activate(candidate Copy) (bool, error) {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	if candidate.Version <= set.copies[candidate.Name].Version || candidate.Version <= set.rejected[candidate.Name] {
 		return false, nil
 	}
-	if err := shelf.apply(offered); err != nil {
-		shelf.rejected[offered.Name] = offered.Version
-		return false, errors.Wrapf(err, "%s version %d can't be used", offered.Name, offered.Version)
+	if err := set.apply(candidate); err != nil {
+		set.rejected[candidate.Name] = candidate.Version
+		return false, errors.Wrapf(err, "%s version %d can't be used", candidate.Name, candidate.Version)
 	}
-	shelf.copies[offered.Name] = offered
+	set.copies[candidate.Name] = candidate
 	return true, nil
 }
 
-func (shelf *ActiveSet) apply(offered Copy) error {
-	if offered.Name == config.DocumentName {
-		parsed, err := config.Parse(offered.Content)
+// apply parses a copy and replaces the settings or the policy that it defines.
+func (set *ActiveSet) apply(candidate Copy) error {
+	if candidate.Name == config.DocumentName {
+		parsed, err := config.Parse(candidate.Content)
 		if err != nil {
 			return err
 		}
-		shelf.settings = parsed
+		set.settings = parsed
 		return nil
 	}
-	name, isPolicy := strings.CutPrefix(offered.Name, config.PolicyDocumentName(""))
+	name, isPolicy := strings.CutPrefix(candidate.Name, config.PolicyDocumentName(""))
 	if !isPolicy {
 		return errors.New("no document of that name is known")
 	}
-	program, err := policy.Compile(string(offered.Content))
+	program, err := policy.Compile(string(candidate.Content))
 	if err != nil {
 		return err
 	}
-	shelf.policies[name] = Policy{program: program, name: name, version: offered.Version}
+	set.policies[name] = Policy{program: program, name: name, version: candidate.Version}
 	return nil
 }
 
-// Check reports whether a document of that name could be put in force.
+// Check returns an error if a document of that name and content can't be activated.
 func Check(name string, content []byte) error {
 	return NewActiveSet().apply(Copy{Name: name, Version: 1, Content: content})
 }
 
-// Config returns the configuration in force, nil when there is none yet.
-func (shelf *ActiveSet) Config() *config.Config {
-	shelf.mu.RLock()
-	defer shelf.mu.RUnlock()
-	return shelf.settings
+// Config returns the active configuration, or nil if there is none yet.
+func (set *ActiveSet) Config() *config.Config {
+	set.mu.RLock()
+	defer set.mu.RUnlock()
+	return set.settings
 }
 
-// PlacementPolicy returns the placement policy in force, the built-in one when none
-// was published.
-func (shelf *ActiveSet) PlacementPolicy() Policy {
-	shelf.mu.RLock()
-	defer shelf.mu.RUnlock()
-	inForce, published := shelf.policies[policy.Placement]
+// PlacementPolicy returns the active placement policy, which is the built-in one
+// until another one is published.
+func (set *ActiveSet) PlacementPolicy() Policy {
+	set.mu.RLock()
+	defer set.mu.RUnlock()
+	active, published := set.policies[policy.Placement]
 	if !published {
-		return shelf.builtInPolicy
+		return set.builtInPolicy
 	}
-	return inForce
+	return active
 }
 
-// BuiltInPolicy returns the policy that decides when another one fails.
-func (shelf *ActiveSet) BuiltInPolicy() Policy { return shelf.builtInPolicy }
+// BuiltInPolicy returns the placement policy that is used if the active one fails.
+func (set *ActiveSet) BuiltInPolicy() Policy { return set.builtInPolicy }
 
-// Versions returns what is in force, by name.
-func (shelf *ActiveSet) Versions() []Version {
-	shelf.mu.RLock()
-	defer shelf.mu.RUnlock()
-	versions := make([]Version, 0, len(shelf.copies))
-	for name, kept := range shelf.copies {
-		versions = append(versions, Version{Name: name, Version: kept.Version})
+// Versions returns the active versions, ordered by name.
+func (set *ActiveSet) Versions() []Version {
+	set.mu.RLock()
+	defer set.mu.RUnlock()
+	versions := make([]Version, 0, len(set.copies))
+	for name, document := range set.copies {
+		versions = append(versions, Version{Name: name, Version: document.Version})
 	}
 	slices.SortFunc(versions, func(a, b Version) int { return cmp.Compare(a.Name, b.Name) })
 	return versions
 }
 
-// NewerThan returns the copies that one who has the given versions lacks.
-func (shelf *ActiveSet) NewerThan(have []Version) []Copy {
-	held := map[string]uint64{}
-	for _, each := range have {
-		held[each.Name] = each.Version
+// NewerThan returns the active copies, ordered by name, whose versions are higher
+// than the given ones or whose names are missing there.
+func (set *ActiveSet) NewerThan(known []Version) []Copy {
+	knownVersions := map[string]uint64{}
+	for _, version := range known {
+		knownVersions[version.Name] = version.Version
 	}
-	shelf.mu.RLock()
-	defer shelf.mu.RUnlock()
+	set.mu.RLock()
+	defer set.mu.RUnlock()
 	var newer []Copy
-	for name, kept := range shelf.copies {
-		if kept.Version > held[name] {
-			newer = append(newer, kept)
+	for name, document := range set.copies {
+		if document.Version > knownVersions[name] {
+			newer = append(newer, document)
 		}
 	}
 	slices.SortFunc(newer, func(a, b Copy) int { return cmp.Compare(a.Name, b.Name) })
