--- a/instances/instances.go
+++ b/instances/instances.go
@@ -1,8 +1,8 @@
 // Package instances reads the platform's list of live and leaving instances.
 //
-// The list lags: an instance can be gone before the list says so, and the list
-// can call an instance gone that is not. It tells where instances are and who
-// is leaving; it never proves that a task has stopped.
+// The list lags behind: it can still contain an instance that has ended, and it can
+// lack one that is running. It tells the addresses of instances and which of them
+// are leaving. It never proves that a task has stopped.
 //
 // # Usage
 //
@@ -24,25 +24,25 @@
 
 const maxListBytes = 4 << 20
 
-// Role is what an instance runs.
+// Role says which of ambertiller's processes an instance runs.
 type Role string
 
-// The roles.
+// The roles that this package knows.
 const (
 	Entry Role = "entry"
 	Guard Role = "guard"
 )
 
-// State is what the platform says of an instance.
+// State says whether an instance is live or leaving, according to the platform.
 type State string
 
-// The states.
+// The states of an instance.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// Instance is one line of the list.
+// Instance describes one instance on the platform's list.
 type Instance struct {
 	Name          string `json:"name"`
 	Role          Role   `json:"role"`
@@ -51,17 +51,17 @@
 	State         State  `json:"state"`
 }
 
-// AllRoles asks for the instances of every role.
+// AllRoles selects the instances of every role.
 const AllRoles Role = ""
 
-// Lister returns the list, of one role or of all.
+// Lister returns the instances of one role, or of all roles.
 type Lister interface {
 	List(ctx context.Context, role Role) ([]Instance, error)
 }
 
-// Client reads the list over HTTP. It asks for a list only if it has changed:
-// at hundreds of instances the list is far larger than all else that a node
-// says and hears for control.
+// Client reads the list over HTTP. It caches lists and uses conditional requests,
+// because with hundreds of instances the list is far larger than all other control
+// traffic of a node. It is safe for concurrent use.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
@@ -70,7 +70,7 @@
 	cache map[Role]cachedList
 }
 
-// cachedList is a list as it was read last, and its tag.
+// cachedList is the last list that was read for a role, and its entity tag.
 type cachedList struct {
 	etag      string
 	instances []Instance
@@ -83,15 +83,15 @@
 
 var _ Lister = (*Client)(nil)
 
-// List returns the list as the platform has it now.
+// List returns the platform's current list.
 func (client *Client) List(ctx context.Context, role Role) ([]Instance, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, client.baseURL+"/instances?role="+url.QueryEscape(string(role)), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "read instance list")
 	}
-	kept := client.cached(role)
-	if kept.etag != "" {
-		request.Header.Set("If-None-Match", kept.etag)
+	cached := client.cached(role)
+	if cached.etag != "" {
+		request.Header.Set("If-None-Match", cached.etag)
 	}
 	response, err := client.httpClient.Do(request)
 	if err != nil {
@@ -100,7 +100,7 @@
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusNotModified:
-		return slices.Clone(kept.instances), nil
+		return slices.Clone(cached.instances), nil
 	case http.StatusOK:
 	default:
 		return nil, errors.Errorf("read instance list: the platform answered %s", response.Status)
@@ -113,14 +113,16 @@
 	return slices.Clone(list), nil
 }
 
+// cached returns the cached list of a role, the zero value if there is none.
 func (client *Client) cached(role Role) cachedList {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.cache[role]
 }
 
-func (client *Client) setCached(role Role, read cachedList) {
+// setCached replaces the cached list of a role.
+func (client *Client) setCached(role Role, list cachedList) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	client.cache[role] = read
+	client.cache[role] = list
 }
--- a/instances/instances_test.go
+++ b/instances/instances_test.go
@@ -11,7 +11,7 @@
 
 const listBody = `[{"name":"entry-1","role":"entry","address":"127.0.0.1:1","failure_domain":"a","state":"live"}]`
 
-// fakePlatform serves one list under one tag and counts how often it sends it.
+// fakePlatform serves one list under one entity tag and counts how often it sends the list.
 type fakePlatform struct {
 	status         int
 	etag           string
@@ -34,15 +34,16 @@
 	_, _ = writer.Write([]byte(listBody))
 }
 
+// TestList checks that an unchanged list with an entity tag is transferred only once.
 func TestList(t *testing.T) {
 	tests := map[string]struct {
-		fake  fakePlatform
-		sent  int
-		fails bool
+		fake        fakePlatform
+		listsSent   int
+		expectError bool
 	}{
 		"unchanged, with a tag": {fakePlatform{status: http.StatusOK, etag: `"1"`}, 1, false},
 		"without tags":          {fakePlatform{status: http.StatusOK}, 3, false},
-		"failing":               {fakePlatform{status: http.StatusInternalServerError}, 3, true},
+		"server error":          {fakePlatform{status: http.StatusInternalServerError}, 3, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -51,12 +52,12 @@
 			client := instances.NewClient(server.URL, http.DefaultClient)
 			for range 3 {
 				list, err := client.List(context.Background(), instances.Entry)
-				if (err != nil) != test.fails || (!test.fails && (len(list) != 1 || list[0].Name != "entry-1")) {
-					t.Fatalf("got %v, %v", list, err)
+				if (err != nil) != test.expectError || (!test.expectError && (len(list) != 1 || list[0].Name != "entry-1")) {
+					t.Fatalf("list %v, error %v, want an error: %t", list, err, test.expectError)
 				}
 			}
-			if test.fake.listsSent != test.sent || test.fake.requestedRoles[0] != "entry" {
-				t.Errorf("the list was sent %d times, asked for %v", test.fake.listsSent, test.fake.requestedRoles)
+			if test.fake.listsSent != test.listsSent || test.fake.requestedRoles[0] != "entry" {
+				t.Errorf("list sent %d times, want %d; requested roles %v, want entry", test.fake.listsSent, test.listsSent, test.fake.requestedRoles)
 			}
 		})
 	}
