--- a/uptime/clock.go
+++ b/uptime/clock.go
@@ -6,20 +6,21 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// SuspendAwareClock is a clock whose times also count what the machine was suspended since the clock was
-// made: any two of them are apart by what has passed between, so that a lease that is reckoned
-// with them is never taken for younger than it is. Their time of day is ahead of the
-// machine's by that much. Its timers are those of the clock below and fire later by it.
+// SuspendAwareClock is a clock whose times include the time for which the machine has been
+// suspended since the clock was created. The difference of two of its times is the time that
+// has really passed, so the age of a lease computed from them is never underestimated. Their
+// time of day is ahead of the machine's by the suspended time. Its timers are those of the
+// underlying clock and fire late by the time of a suspension.
 type SuspendAwareClock struct {
 	clockwork.Clock
 	suspendedFor       func() time.Duration
 	initiallySuspended time.Duration
 }
 
-// NewSuspendAwareClock returns a clock over another one and what tells for how long the machine has been
-// suspended.
-func NewSuspendAwareClock(below clockwork.Clock, suspended func() time.Duration) *SuspendAwareClock {
-	return &SuspendAwareClock{Clock: below, suspendedFor: suspended, initiallySuspended: suspended()}
+// NewSuspendAwareClock returns a clock on top of another one. The function suspendedFor
+// returns for how long the machine has been suspended.
+func NewSuspendAwareClock(clock clockwork.Clock, suspendedFor func() time.Duration) *SuspendAwareClock {
+	return &SuspendAwareClock{Clock: clock, suspendedFor: suspendedFor, initiallySuspended: suspendedFor()}
 }
 
 // Now implements clockwork.Clock.
--- a/uptime/clock_test.go
+++ b/uptime/clock_test.go
@@ -7,21 +7,21 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// TestClockCountsSuspension: what passes while the machine is suspended lies between two times.
+// TestClockCountsSuspension checks that the time of a suspension counts as passed.
 func TestClockCountsSuspension(t *testing.T) {
-	below := clockwork.NewFakeClock()
-	total := time.Hour
-	clock := NewSuspendAwareClock(below, func() time.Duration { return total })
+	underlying := clockwork.NewFakeClock()
+	suspended := time.Hour
+	clock := NewSuspendAwareClock(underlying, func() time.Duration { return suspended })
 	before := clock.Now()
-	if !before.Equal(below.Now()) {
-		t.Errorf("ahead by %v from the start", before.Sub(below.Now()))
+	if !before.Equal(underlying.Now()) {
+		t.Errorf("new clock is ahead of the underlying one by %v", before.Sub(underlying.Now()))
 	}
-	below.Advance(time.Second)
-	total += 5 * time.Second
+	underlying.Advance(time.Second)
+	suspended += 5 * time.Second
 	if got := clock.Since(before); got != 6*time.Second {
-		t.Errorf("since then %v", got)
+		t.Errorf("Since: got %v, want 6s", got)
 	}
 	if got := clock.Until(before); got != -6*time.Second {
-		t.Errorf("until then %v", got)
+		t.Errorf("Until: got %v, want -6s", got)
 	}
 }
--- a/uptime/uptime.go
+++ b/uptime/uptime.go
@@ -1,20 +1,21 @@
-// Package uptime tells for how long the machine has been suspended.
+// Package uptime measures for how long the machine has been suspended.
 //
-// The steady clock that package time reads stands still while a machine is suspended, and so
-// do its timers. A process that reckons how old a lease or a grant is by that clock alone
-// takes it for younger than it is, by seconds or more. The clock of the time since boot goes
-// on; what it is ahead of the steady clock is the time that the machine was suspended.
+// The monotonic clock that package time reads stops while a machine is suspended, and so
+// do timers. A process that computes the age of a lease or a grant from that clock alone
+// underestimates it, by seconds or more. CLOCK_BOOTTIME continues during suspension. Its
+// lead over CLOCK_MONOTONIC is the total time for which the machine was suspended.
 //
 // # Usage
 //
 //	clocks, err := uptime.New()
-//	before := clocks.Suspended()
+//	before := clocks.SuspendedFor()
 //	...
-//	slept := clocks.Suspended() - before
+//	slept := clocks.SuspendedFor() - before
 //
 // # Errors
 //
-// New fails where the system has no such clock. One that was there at the start stays.
+// New fails if the system lacks one of the clocks. A clock that New could read stays
+// available.
 package uptime
 
 import (
@@ -26,14 +27,15 @@
 )
 
 const (
-	// maxReadAttempts is how often the clocks are read until nothing came between the readings.
+	// maxReadAttempts bounds how often the clocks are read until their readings are
+	// close together.
 	maxReadAttempts = 4
-	// maxReadSpread is what two readings of the steady clock, around that of the other one, may
-	// be apart: the result is wrong by no more.
+	// maxReadSpread bounds the difference between the readings of the monotonic clock
+	// before and after that of the boot-time clock, and so the error of the result.
 	maxReadSpread = time.Millisecond
 )
 
-// SystemClocks reads the machine's clocks. It may be used by many goroutines.
+// SystemClocks reads the machine's clocks. It is safe for concurrent use.
 type SystemClocks struct {
 	mu        sync.Mutex
 	lastTotal time.Duration
@@ -41,29 +43,31 @@
 
 // New returns the machine's clocks, or an error if one of them can't be read.
 func New() (*SystemClocks, error) {
-	for _, clock := range []int32{unix.CLOCK_MONOTONIC, unix.CLOCK_BOOTTIME} {
-		if _, err := readClock(clock); err != nil {
-			return nil, errors.Wrap(err, "read the clock that counts suspension; Linux 2.6.39 or a later one has it")
+	for _, clockID := range []int32{unix.CLOCK_MONOTONIC, unix.CLOCK_BOOTTIME} {
+		if _, err := readClock(clockID); err != nil {
+			return nil, errors.Wrap(err, "read CLOCK_MONOTONIC and CLOCK_BOOTTIME, which needs Linux 2.6.39 or later")
 		}
 	}
-	made := &SystemClocks{}
-	made.SuspendedFor()
-	return made, nil
+	clocks := &SystemClocks{}
+	clocks.SuspendedFor()
+	return clocks, nil
 }
 
 // SuspendedFor returns for how long the machine has been suspended since it was booted.
+// The result never decreases. If no exact reading succeeds, it is the previous one.
 func (clocks *SystemClocks) SuspendedFor() time.Duration {
 	clocks.mu.Lock()
 	defer clocks.mu.Unlock()
 	for range maxReadAttempts {
-		before, steadyErr := readClock(unix.CLOCK_MONOTONIC)
-		sinceBoot, bootErr := readClock(unix.CLOCK_BOOTTIME)
+		before, beforeErr := readClock(unix.CLOCK_MONOTONIC)
+		bootTime, bootErr := readClock(unix.CLOCK_BOOTTIME)
 		after, afterErr := readClock(unix.CLOCK_MONOTONIC)
-		if steadyErr != nil || bootErr != nil || afterErr != nil {
-			// New has read them: this can't be, and what was read before still holds.
+		if beforeErr != nil || bootErr != nil || afterErr != nil {
+			// New has read these clocks, so this is not expected. The last total is still
+			// a lower bound.
 			return clocks.lastTotal
 		}
-		if total, exact := suspendedTime(before, sinceBoot, after); exact {
+		if total, exact := suspendedTime(before, bootTime, after); exact {
 			clocks.lastTotal = max(clocks.lastTotal, total)
 			return clocks.lastTotal
 		}
@@ -71,16 +75,17 @@
 	return clocks.lastTotal
 }
 
-// suspendedTime returns what the clock since boot is ahead of the steady one, and whether the
-// readings of the steady one around it lie close together.
-func suspendedTime(before, sinceBoot, after time.Duration) (total time.Duration, exact bool) {
-	return sinceBoot - after, after-before <= maxReadSpread
+// suspendedTime returns the lead of the boot-time clock over the monotonic clock, and
+// whether the two readings of the monotonic clock around it are close enough together.
+func suspendedTime(before, bootTime, after time.Duration) (total time.Duration, exact bool) {
+	return bootTime - after, after-before <= maxReadSpread
 }
 
-func readClock(clock int32) (time.Duration, error) {
+// readClock returns the time of a clock of the kernel.
+func readClock(clockID int32) (time.Duration, error) {
 	var now unix.Timespec
-	if err := unix.ClockGettime(clock, &now); err != nil {
-		return 0, errors.Wrap(err, "read a clock")
+	if err := unix.ClockGettime(clockID, &now); err != nil {
+		return 0, errors.Wrap(err, "clock_gettime")
 	}
 	return time.Duration(now.Nano()), nil
 }
--- a/uptime/uptime_test.go
+++ b/uptime/uptime_test.go
@@ -7,25 +7,26 @@
 
 func TestSuspendedTime(t *testing.T) {
 	tests := map[string]struct {
-		before, sinceBoot, after time.Duration
-		want                     time.Duration
-		exact                    bool
+		before, bootTime, after time.Duration
+		want                    time.Duration
+		exact                   bool
 	}{
 		"never suspended":              {time.Second, time.Second, time.Second, 0, true},
 		"suspended for five seconds":   {time.Second, 6 * time.Second, time.Second, 5 * time.Second, true},
-		"held up between the readings": {time.Second, 2 * time.Second, 2 * time.Second, 0, false},
+		"delayed between the readings": {time.Second, 2 * time.Second, 2 * time.Second, 0, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got, exact := suspendedTime(test.before, test.sinceBoot, test.after)
+			got, exact := suspendedTime(test.before, test.bootTime, test.after)
 			if exact != test.exact || exact && got != test.want {
-				t.Errorf("%v, exact: %v", got, exact)
+				t.Errorf("got %v, exact: %t; want %v, exact: %t", got, exact, test.want, test.exact)
 			}
 		})
 	}
 }
 
-// TestSuspendedForNeverDecreases: the total never sinks, whatever comes between the readings.
+// TestSuspendedForNeverDecreases checks that the total never decreases, whatever happens
+// between the readings of the clocks.
 func TestSuspendedForNeverDecreases(t *testing.T) {
 	clocks, err := New()
 	if err != nil {
@@ -34,7 +35,7 @@
 	before := clocks.SuspendedFor()
 	for range 100 {
 		if now := clocks.SuspendedFor(); now < before {
-			t.Fatalf("%v after %v", now, before)
+			t.Fatalf("suspended time decreased from %v to %v", before, now)
 		}
 	}
 }
