--- a/traffic/message.go
+++ b/traffic/message.go
@@ -8,32 +8,32 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// AddAgentMessage counts a message of an agent to an owner.
-func (sent *Counter) AddAgentMessage(ctx context.Context, message *wire.AgentMessage, near bool) {
-	rest := proto.Size(message)
-	note := func(kind Kind, part *wire.AgentMessage) {
+// AddAgentMessage counts the parts of a message from an agent to an owner.
+func (counter *Counter) AddAgentMessage(ctx context.Context, message *wire.AgentMessage, sameDomain bool) {
+	remaining := proto.Size(message)
+	addPart := func(kind Kind, part *wire.AgentMessage) {
 		size := proto.Size(part)
-		rest -= size
-		sent.Add(ctx, kind, near, size)
+		remaining -= size
+		counter.Add(ctx, kind, sameDomain, size)
 	}
-	note(KindStatus, &wire.AgentMessage{Status: message.GetStatus()})
-	note(KindStatusChange, &wire.AgentMessage{Change: message.GetChange()})
-	note(KindRuns, &wire.AgentMessage{Runs: message.GetRuns()})
-	note(KindRunEnds, &wire.AgentMessage{Ends: message.GetEnds(), Results: message.GetResults()})
-	note(KindLearned, &wire.AgentMessage{Learned: message.GetLearned()})
-	sent.Add(ctx, KindOther, near, rest)
+	addPart(KindStatus, &wire.AgentMessage{Status: message.GetStatus()})
+	addPart(KindStatusChange, &wire.AgentMessage{Change: message.GetChange()})
+	addPart(KindRuns, &wire.AgentMessage{Runs: message.GetRuns()})
+	addPart(KindRunEnds, &wire.AgentMessage{Ends: message.GetEnds(), Results: message.GetResults()})
+	addPart(KindLearned, &wire.AgentMessage{Learned: message.GetLearned()})
+	counter.Add(ctx, KindOther, sameDomain, remaining)
 }
 
-// AddOwnerMessage counts a message of an owner to an agent.
-func (sent *Counter) AddOwnerMessage(ctx context.Context, message *wire.OwnerMessage, near bool) {
-	rest := proto.Size(message)
-	note := func(kind Kind, part *wire.OwnerMessage) {
+// AddOwnerMessage counts the parts of a message from an owner to an agent.
+func (counter *Counter) AddOwnerMessage(ctx context.Context, message *wire.OwnerMessage, sameDomain bool) {
+	remaining := proto.Size(message)
+	addPart := func(kind Kind, part *wire.OwnerMessage) {
 		size := proto.Size(part)
-		rest -= size
-		sent.Add(ctx, kind, near, size)
+		remaining -= size
+		counter.Add(ctx, kind, sameDomain, size)
 	}
-	note(KindOrders, &wire.OwnerMessage{Starts: message.GetStarts(), Stops: message.GetStops(), Preempts: message.GetPreempts(), Seen: message.GetSeen(), Runs: message.GetRuns()})
-	note(KindClaims, &wire.OwnerMessage{Shards: message.GetShards()})
-	note(KindLearned, &wire.OwnerMessage{Learned: message.GetLearned(), LearnedByAll: message.GetLearnedByAll()})
-	sent.Add(ctx, KindOther, near, rest)
+	addPart(KindOrders, &wire.OwnerMessage{Starts: message.GetStarts(), Stops: message.GetStops(), Preempts: message.GetPreempts(), Seen: message.GetSeen(), Runs: message.GetRuns()})
+	addPart(KindClaims, &wire.OwnerMessage{Shards: message.GetShards()})
+	addPart(KindLearned, &wire.OwnerMessage{Learned: message.GetLearned(), LearnedByAll: message.GetLearnedByAll()})
+	counter.Add(ctx, KindOther, sameDomain, remaining)
 }
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -1,15 +1,16 @@
-// Package traffic counts what a process sends to other processes of ambertiller: messages
-// and bytes by kind of content, and whether they stay in its failure domain. Bytes that
-// cross failure domains are dear, and what grows with the fleet shows here first.
+// Package traffic counts the messages and bytes that a process sends to other processes of
+// ambertiller, by kind of content and by whether they stay in its failure domain. Traffic
+// across failure domains is expensive, and growth with the size of the fleet shows up in
+// these counts first.
 //
-// A message is counted by its parts, since most carry several. Bytes are those of the
-// encoded parts; frames and what TCP adds are left out.
+// A message is counted by its parts, since most messages carry several. The size is that
+// of the encoded parts, without RPC framing and TCP overhead.
 //
 // # Usage
 //
-//	sent := traffic.New(meters)
-//	sent.Note(ctx, traffic.KindRuns, near, proto.Size(part))
-//	sent.Log(ctx, events, now)
+//	counter := traffic.New(provider)
+//	counter.Add(ctx, traffic.KindRuns, sameDomain, proto.Size(part))
+//	counter.LogIfDue(ctx, events, now)
 package traffic
 
 import (
@@ -26,31 +27,32 @@
 	"ambertiller.example/ambertiller/telemetry"
 )
 
-// logInterval is how often a process logs what it has sent: a handful of lines each time.
+// logInterval is the interval at which a process logs its counts, a few lines each time.
 const logInterval = 10 * time.Second
 
-// Kind is what a part of a message is about.
+// Kind is the kind of content of a part of a message.
 type Kind string
 
-// The kinds.
+// The kinds of content.
 const (
-	KindStatus       Kind = "state"   // of a worker, whole
-	KindStatusChange Kind = "change"  // of a worker since the last message
-	KindRuns         Kind = "runs"    // all runs of an owner
-	KindRunEnds      Kind = "ends"    // of runs, and whether starts were carried out
-	KindLearned      Kind = "learned" // of interference
-	KindOrders       Kind = "orders"  // to start, to stop, to make room, to forget ends
-	KindClaims       Kind = "claims"  // of shards
-	KindOther        Kind = "rest"    // grants, and what each message carries
+	KindStatus       Kind = "state"   // full status of a worker
+	KindStatusChange Kind = "change"  // changes of a worker's status since the last message
+	KindRuns         Kind = "runs"    // list of all runs of an owner
+	KindRunEnds      Kind = "ends"    // ends of runs, and results of start orders
+	KindLearned      Kind = "learned" // learned interference between tasks
+	KindOrders       Kind = "orders"  // orders to start, stop and preempt runs, and acknowledgements of their ends
+	KindClaims       Kind = "claims"  // claims of shards
+	KindOther        Kind = "rest"    // grants and the fields that each message carries
 )
 
-// countKey is where messages of a kind went.
+// countKey identifies a count.
 type countKey struct {
 	kind       Kind
 	sameDomain bool
 }
 
-// Count is what was sent of one kind, within the failure domain or out of it.
+// Count holds the number and size of the parts of one kind that were sent within the
+// failure domain, or out of it.
 type Count struct {
 	kind       Kind
 	sameDomain bool
@@ -58,7 +60,7 @@
 	bytes      int64
 }
 
-// LogAttributes returns what a log line says of a count.
+// LogAttributes returns the attributes of the count's log line.
 func (count Count) LogAttributes() []slog.Attr {
 	return []slog.Attr{
 		slog.String("kind", string(count.kind)), slog.Bool("near", count.sameDomain),
@@ -66,7 +68,7 @@
 	}
 }
 
-// Counter counts what one process sends. It is not for use by several goroutines at once.
+// Counter counts what one process sends. It is not safe for concurrent use.
 type Counter struct {
 	counts         map[countKey]Count
 	loggedAt       time.Time
@@ -74,53 +76,54 @@
 	byteCounter    metric.Int64Counter
 }
 
-// New returns an empty count. The names of its instruments are constants that the library
-// accepts, so its errors can't occur. A nil provider makes none that are served.
+// New returns an empty counter that also records its counts as metrics, unless the provider
+// is nil. Errors of the instruments are ignored: their names are valid constants.
 func New(provider metric.MeterProvider) *Counter {
 	meter := telemetry.Meter(provider, "traffic")
-	sent := &Counter{counts: map[countKey]Count{}}
-	sent.messageCounter, _ = meter.Int64Counter("ambertiller.message.sent", metric.WithDescription("Messages to other processes, by kind of content and failure domain."))
-	sent.byteCounter, _ = meter.Int64Counter("ambertiller.message.size", metric.WithUnit("By"), metric.WithDescription("Bytes of messages to other processes, by kind of content and failure domain."))
-	return sent
+	counter := &Counter{counts: map[countKey]Count{}}
+	counter.messageCounter, _ = meter.Int64Counter("ambertiller.message.sent", metric.WithDescription("Messages to other processes, by kind of content and failure domain."))
+	counter.byteCounter, _ = meter.Int64Counter("ambertiller.message.size", metric.WithUnit("By"), metric.WithDescription("Bytes of messages to other processes, by kind of content and failure domain."))
+	return counter
 }
 
-// Add counts a part of a message to a process in the same failure domain, or in another. A
-// part of no bytes is none.
-func (sent *Counter) Add(ctx context.Context, kind Kind, near bool, size int) {
+// Add counts one part of a message; sameDomain says whether the receiving process is in the
+// same failure domain. Empty parts are not counted.
+func (counter *Counter) Add(ctx context.Context, kind Kind, sameDomain bool, size int) {
 	if size <= 0 {
 		return
 	}
-	at := countKey{kind: kind, sameDomain: near}
-	count := sent.counts[at]
-	count.kind, count.sameDomain = kind, near
+	key := countKey{kind: kind, sameDomain: sameDomain}
+	count := counter.counts[key]
+	count.kind, count.sameDomain = kind, sameDomain
 	count.messages++
 	count.bytes += int64(size)
-	sent.counts[at] = count
-	labels := metric.WithAttributes(attribute.String("kind", string(kind)), attribute.Bool("near", near))
-	sent.messageCounter.Add(ctx, 1, labels)
-	sent.byteCounter.Add(ctx, int64(size), labels)
+	counter.counts[key] = count
+	labels := metric.WithAttributes(attribute.String("kind", string(kind)), attribute.Bool("near", sameDomain))
+	counter.messageCounter.Add(ctx, 1, labels)
+	counter.byteCounter.Add(ctx, int64(size), labels)
 }
 
-// LogIfDue logs what has been sent since it was last logged, if that is due.
-func (sent *Counter) LogIfDue(ctx context.Context, events *event.Logger, now time.Time) {
-	if now.Sub(sent.loggedAt) < logInterval {
+// LogIfDue logs and resets the counts if logInterval has passed since the last time.
+func (counter *Counter) LogIfDue(ctx context.Context, events *event.Logger, now time.Time) {
+	if now.Sub(counter.loggedAt) < logInterval {
 		return
 	}
-	sent.loggedAt = now
-	for _, count := range sent.TakeCounts() {
+	counter.loggedAt = now
+	for _, count := range counter.TakeCounts() {
 		events.Log(ctx, event.MessagesSent, count.LogAttributes()...)
 	}
 }
 
-// TakeCounts returns what has been sent since it was last called, the most bytes first.
-func (sent *Counter) TakeCounts() []Count {
-	taken := make([]Count, 0, len(sent.counts))
-	for _, count := range sent.counts {
-		taken = append(taken, count)
+// TakeCounts returns the counts since its last call, ordered by decreasing size, and resets
+// them.
+func (counter *Counter) TakeCounts() []Count {
+	counts := make([]Count, 0, len(counter.counts))
+	for _, count := range counter.counts {
+		counts = append(counts, count)
 	}
-	slices.SortFunc(taken, func(a, b Count) int {
+	slices.SortFunc(counts, func(a, b Count) int {
 		return cmp.Or(cmp.Compare(b.bytes, a.bytes), cmp.Compare(a.kind, b.kind))
 	})
-	sent.counts = map[countKey]Count{}
-	return taken
+	counter.counts = map[countKey]Count{}
+	return counts
 }
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -11,26 +11,28 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// loggedCount is what the attributes of a count say.
+// loggedCount holds the attributes of a count's log line.
 type loggedCount struct {
 	kind            string
 	sameDomain      bool
 	messages, bytes int64
 }
 
-func takeCounts(sent *traffic.Counter) (counts []loggedCount, bytes int64) {
-	for _, count := range sent.TakeCounts() {
+// takeCounts returns the logged counts of a counter and the sum of their bytes.
+func takeCounts(counter *traffic.Counter) (counts []loggedCount, bytes int64) {
+	for _, count := range counter.TakeCounts() {
 		attributes := count.LogAttributes()
-		one := loggedCount{
+		logged := loggedCount{
 			kind: attributes[0].Value.String(), sameDomain: attributes[1].Value.Bool(),
 			messages: attributes[2].Value.Int64(), bytes: attributes[3].Value.Int64(),
 		}
-		counts = append(counts, one)
-		bytes += one.bytes
+		counts = append(counts, logged)
+		bytes += logged.bytes
 	}
 	return counts, bytes
 }
 
+// TestMessagesAreCountedByPart checks that the sizes of the parts add up to that of the message.
 func TestMessagesAreCountedByPart(t *testing.T) {
 	agentMessage := &wire.AgentMessage{
 		Agent: "a", UptimeNanos: 5, Status: &wire.WorkerStatus{Worker: "i-1"}, Change: &wire.StatusChange{FreeMilliCpu: 7},
@@ -41,36 +43,38 @@
 		LearnedByAll: []*job.Interference{{Serving: "s"}},
 	}
 	tests := map[string]struct {
-		note  func(sent *traffic.Counter)
+		add   func(counter *traffic.Counter)
 		kinds int
 		bytes int
 	}{
-		"of an agent":  {func(sent *traffic.Counter) { sent.AddAgentMessage(context.Background(), agentMessage, true) }, 6, proto.Size(agentMessage)},
-		"of an owner":  {func(sent *traffic.Counter) { sent.AddOwnerMessage(context.Background(), ownerMessage, true) }, 4, proto.Size(ownerMessage)},
-		"an empty one": {func(sent *traffic.Counter) { sent.AddOwnerMessage(context.Background(), &wire.OwnerMessage{}, true) }, 0, 0},
+		"agent message": {func(counter *traffic.Counter) { counter.AddAgentMessage(context.Background(), agentMessage, true) }, 6, proto.Size(agentMessage)},
+		"owner message": {func(counter *traffic.Counter) { counter.AddOwnerMessage(context.Background(), ownerMessage, true) }, 4, proto.Size(ownerMessage)},
+		"empty message": {func(counter *traffic.Counter) {
+			counter.AddOwnerMessage(context.Background(), &wire.OwnerMessage{}, true)
+		}, 0, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			sent := traffic.New(nil)
-			test.note(sent)
-			counts, bytes := takeCounts(sent)
+			counter := traffic.New(nil)
+			test.add(counter)
+			counts, bytes := takeCounts(counter)
 			if len(counts) != test.kinds || bytes != int64(test.bytes) {
-				t.Errorf("%d bytes of %v, want %d of %d kinds", bytes, counts, test.bytes, test.kinds)
+				t.Errorf("counted %d bytes in %v, want %d bytes of %d kinds", bytes, counts, test.bytes, test.kinds)
 			}
 		})
 	}
 }
 
 func TestTakeCountsResets(t *testing.T) {
-	sent := traffic.New(nil)
-	for _, near := range []bool{true, false, false} {
-		sent.Add(context.Background(), traffic.KindRuns, near, 10)
+	counter := traffic.New(nil)
+	for _, sameDomain := range []bool{true, false, false} {
+		counter.Add(context.Background(), traffic.KindRuns, sameDomain, 10)
 	}
-	counts, _ := takeCounts(sent)
+	counts, _ := takeCounts(counter)
 	if len(counts) != 2 || counts[0] != (loggedCount{"runs", false, 2, 20}) || counts[1] != (loggedCount{"runs", true, 1, 10}) {
-		t.Errorf("counted %v", counts)
+		t.Errorf("counts %v, want 20 bytes to another domain, then 10 bytes in the same one", counts)
 	}
-	if again, _ := takeCounts(sent); len(again) > 0 {
-		t.Errorf("counted twice: %v", again)
+	if again, _ := takeCounts(counter); len(again) > 0 {
+		t.Errorf("counts after a reset: %v", again)
 	}
 }
