--- a/worker/client.go
+++ b/worker/client.go
@@ -14,7 +14,7 @@
 
 const maxResponseBytes = 16 << 20
 
-// Client speaks to a worker over HTTP.
+// Client implements Worker over HTTP.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
@@ -27,21 +27,21 @@
 
 var _ Worker = (*Client)(nil)
 
-// Capacity returns what the worker has.
+// Capacity returns the worker's resources.
 func (client *Client) Capacity(ctx context.Context) (Capacity, error) {
 	var capacity Capacity
 	err := client.getJSON(ctx, "/capacity", &capacity)
 	return capacity, err
 }
 
-// Usage returns what the worker measured last.
+// Usage returns the worker's last measurement of its usage.
 func (client *Client) Usage(ctx context.Context) (Usage, error) {
 	var usage Usage
 	err := client.getJSON(ctx, "/usage", &usage)
 	return usage, err
 }
 
-// Tasks returns every attempt that runs, or has ended and isn't forgotten.
+// Tasks returns every attempt that runs, or has ended and is not forgotten.
 func (client *Client) Tasks(ctx context.Context) (Listing, error) {
 	var listing Listing
 	err := client.getJSON(ctx, "/tasks", &listing)
@@ -53,18 +53,18 @@
 	return client.sendJSON(ctx, http.MethodPut, "/tasks/"+url.PathEscape(start.Task), start)
 }
 
-// attemptBody is the body of calls on one attempt.
+// attemptBody is the request body of calls on one attempt.
 type attemptBody struct {
 	Attempt uint64  `json:"attempt"`
 	Share   float64 `json:"share,omitempty"`
 }
 
-// Stop checkpoints and stops an attempt.
+// Stop begins to checkpoint and stop an attempt. It does not wait for the end.
 func (client *Client) Stop(ctx context.Context, task string, attempt uint64) error {
 	return client.sendJSON(ctx, http.MethodPost, "/tasks/"+url.PathEscape(task)+"/stop", attemptBody{Attempt: attempt})
 }
 
-// Throttle bounds an attempt to a share of its processors.
+// Throttle limits an attempt to a share of its processors, from 0 to 1.
 func (client *Client) Throttle(ctx context.Context, task string, attempt uint64, share float64) error {
 	return client.sendJSON(ctx, http.MethodPost, "/tasks/"+url.PathEscape(task)+"/throttle", attemptBody{Attempt: attempt, Share: share})
 }
@@ -74,12 +74,12 @@
 	return client.sendJSON(ctx, http.MethodPost, "/leases", renewals)
 }
 
-// Forget drops an attempt that has ended.
+// Forget makes the worker drop an attempt that has ended.
 func (client *Client) Forget(ctx context.Context, task string, attempt uint64) error {
 	return client.sendJSON(ctx, http.MethodDelete, "/tasks/"+url.PathEscape(task), attemptBody{Attempt: attempt})
 }
 
-// Follow streams what a watch produces after a sequence number.
+// Follow streams the outputs of a watch after a sequence number.
 func (client *Client) Follow(ctx context.Context, task string, after uint64) (io.ReadCloser, error) {
 	path := client.baseURL + "/tasks/" + url.PathEscape(task) + "/stream?after=" + strconv.FormatUint(after, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
@@ -97,7 +97,8 @@
 	return response.Body, nil
 }
 
-func (client *Client) getJSON(ctx context.Context, path string, into any) error {
+// getJSON decodes the answer to a GET request.
+func (client *Client) getJSON(ctx context.Context, path string, target any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, client.baseURL+path, nil)
 	if err != nil {
 		return errors.Wrap(err, "ask worker")
@@ -110,9 +111,11 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("ask worker %s: it answered %s", path, response.Status)
 	}
-	return errors.Wrap(json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(into), "ask worker "+path)
+	return errors.Wrap(json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(target), "ask worker "+path)
 }
 
+// sendJSON sends a request with a JSON body and converts the status of the answer to
+// an error.
 func (client *Client) sendJSON(ctx context.Context, method, path string, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -142,6 +145,8 @@
 
 const maxErrorBytes = 1 << 10
 
+// drainAndClose reads the rest of the body, so that the connection can be reused, and
+// closes it.
 func drainAndClose(response *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes))
 	_ = response.Body.Close()
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,11 +1,10 @@
-// Package worker is the platform's interface to one worker: what it has, what
-// it runs, and the means to start, checkpoint, throttle and stop tasks.
+// Package worker is the platform's interface to one worker. It reports the worker's
+// resources and tasks, and starts, checkpoints, throttles and stops tasks.
 //
-// A worker runs each attempt of a task under a lease and stops an attempt whose
-// lease ends. A lease is a point of the worker's own uptime, so that a message
-// that was held up can't extend it. A worker refuses an attempt that is not
-// newer than the newest it has seen of the same task, and one whose lease has
-// ended.
+// A worker runs each attempt of a task under a lease and stops the attempt when its
+// lease ends. The end of a lease is a point of the worker's own uptime, so that a
+// delayed message can't extend it. A worker refuses an attempt that is not newer
+// than the newest one it has seen of the same task, and one whose lease has ended.
 //
 // # Usage
 //
@@ -15,8 +14,8 @@
 //
 // # Errors
 //
-// [ErrStale] and [RejectedError] say that nothing was started. After any other
-// error of Start the attempt may be running; Tasks tells.
+// After [ErrStale] and [RejectedError] nothing was started. After any other error of
+// Start the attempt may be running; Tasks shows whether it is.
 package worker
 
 import (
@@ -27,24 +26,25 @@
 	"github.com/pkg/errors"
 )
 
-// ErrStale says that the worker knows an attempt that is as new or newer.
+// ErrStale is returned if the worker already knows the same attempt or a newer one.
 var ErrStale = errors.New("the worker knows a newer attempt of the task")
 
-// RejectedError says that the worker refused or failed to start an attempt.
+// RejectedError is returned if the worker refused or failed to start an attempt. Its
+// text is the worker's reason.
 type RejectedError struct {
 	message string
 }
 
 // Error implements error.
-func (rejected *RejectedError) Error() string { return rejected.message }
+func (e *RejectedError) Error() string { return e.message }
 
-// NewRejectedError returns the error of an attempt that was not started, and why.
+// NewRejectedError returns the error of an attempt that was not started for the given reason.
 func NewRejectedError(message string) error { return &RejectedError{message: message} }
 
-// Phase is what a worker says of an attempt.
+// Phase is the phase of an attempt on a worker.
 type Phase string
 
-// The phases.
+// The phases of an attempt. A lapsed attempt was stopped because its lease ended.
 const (
 	Running  Phase = "running"
 	Stopping Phase = "stopping"
@@ -54,7 +54,7 @@
 	Lapsed   Phase = "lapsed"
 )
 
-// Capacity is what a worker has.
+// Capacity holds the resources and the rack of a worker.
 type Capacity struct {
 	MilliCPU     int64  `json:"milli_cpu"`
 	MemoryBytes  int64  `json:"memory_bytes"`
@@ -62,7 +62,8 @@
 	Rack         string `json:"rack"`
 }
 
-// StartRequest asks for an attempt of a task.
+// StartRequest is the request to start an attempt of a task. LeaseEnd is a point of the
+// worker's uptime.
 type StartRequest struct {
 	Task         string        `json:"task"`
 	Attempt      uint64        `json:"attempt"`
@@ -78,7 +79,7 @@
 	Checkpoint   []byte        `json:"checkpoint,omitempty"`
 }
 
-// Task is one attempt on a worker.
+// Task is an attempt that runs on a worker, or has ended and is not forgotten yet.
 type Task struct {
 	StartRequest
 	Phase    Phase   `json:"phase"`
@@ -87,7 +88,7 @@
 	Throttle float64 `json:"throttle"`
 }
 
-// Listing is what a worker runs, and its uptime at that moment.
+// Listing holds the attempts on a worker and its uptime when they were listed.
 type Listing struct {
 	Uptime time.Duration `json:"uptime"`
 	Tasks  []Task        `json:"tasks"`
@@ -100,7 +101,7 @@
 	LeaseEnd time.Duration `json:"lease_end"`
 }
 
-// Usage is what a worker measured, a while ago.
+// Usage is a measurement of a worker's usage. Lag is the age of the measurement.
 type Usage struct {
 	MilliCPU    int64         `json:"milli_cpu"`
 	MemoryBytes int64         `json:"memory_bytes"`
@@ -109,22 +110,27 @@
 
 // Worker is the platform's interface to one worker.
 type Worker interface {
+	// Capacity returns the worker's resources.
 	Capacity(ctx context.Context) (Capacity, error)
+	// Usage returns the worker's last measurement of its usage.
 	Usage(ctx context.Context) (Usage, error)
+	// Tasks returns every attempt that runs, or has ended and is not forgotten.
 	Tasks(ctx context.Context) (Listing, error)
+	// Start starts an attempt.
 	Start(ctx context.Context, start StartRequest) error
-	// Stop checkpoints and stops an attempt. It returns before that is done.
+	// Stop begins to checkpoint and stop an attempt. It does not wait for the end.
 	Stop(ctx context.Context, task string, attempt uint64) error
-	// Throttle bounds an attempt to a share of its processors, 0 to 1.
+	// Throttle limits an attempt to a share of its processors, from 0 to 1.
 	Throttle(ctx context.Context, task string, attempt uint64, share float64) error
+	// Renew extends leases.
 	Renew(ctx context.Context, renewals []Renewal) error
-	// Forget drops an attempt that has ended.
+	// Forget makes the worker drop an attempt that has ended.
 	Forget(ctx context.Context, task string, attempt uint64) error
-	// Follow streams what a watch produces, as JSON lines of Output.
+	// Follow streams the outputs of a watch after a sequence number, as JSON lines of Output.
 	Follow(ctx context.Context, task string, after uint64) (io.ReadCloser, error)
 }
 
-// Output is one line that a watch produced. Sequence goes on across attempts.
+// Output is one output of a watch. Sequence numbers continue across attempts.
 type Output struct {
 	Attempt  uint64 `json:"attempt"`
 	Sequence uint64 `json:"sequence"`
