--- a/logservice/client.go
+++ b/logservice/client.go
@@ -20,20 +20,20 @@
 	readResponseMargin = 5 * time.Second
 )
 
-// Client speaks to the platform's log service over HTTP.
+// Client implements Service over HTTP.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
 }
 
-// NewClient returns a Client for the service at the base URL.
+// NewClient returns a Client for the log service at the base URL.
 func NewClient(base string, httpClient *http.Client) *Client {
 	return &Client{baseURL: base, httpClient: httpClient}
 }
 
 var _ Service = (*Client)(nil)
 
-// AppendResponse is the body of a successful append.
+// AppendResponse is the response body of a successful append.
 type AppendResponse struct {
 	Offset int64 `json:"offset"`
 }
@@ -45,8 +45,8 @@
 		return 0, errors.Wrap(ErrRefused, err.Error())
 	}
 	request.Header.Set("Content-Type", contentTypeBytes)
-	// An append must not be sent twice behind our back: net/http repeats a
-	// request on a fresh connection only when it can rewind its body.
+	// Prevent net/http from silently retrying the append on a new connection, which
+	// could append the entry twice. It retries only if it can rewind the body.
 	request.GetBody = nil
 	response, err := client.httpClient.Do(request)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return answer.Offset, nil
 }
 
-// Read returns entries from an offset on.
+// Read returns the entries from an offset on.
 func (client *Client) Read(ctx context.Context, stream string, options ReadOptions) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, options.Wait+readResponseMargin)
 	defer cancel()
@@ -111,8 +111,8 @@
 	return "?" + query.Encode()
 }
 
-// appendError tells the failures that prove that nothing was appended from
-// those that don't.
+// appendError distinguishes failures that prove that nothing was appended from those
+// that leave it open.
 func appendError(response *http.Response) error {
 	switch response.StatusCode {
 	case http.StatusTooManyRequests:
@@ -123,6 +123,8 @@
 	return errors.Errorf("append: the log service answered %s", response.Status)
 }
 
+// retryAfter returns the duration in the Retry-After header, or the default if the
+// header is missing or invalid.
 func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil || seconds <= 0 {
@@ -131,7 +133,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// drain reads what is left, so that the connection can be used again.
+// drain reads the rest of the body, so that the connection can be reused.
 func drain(body io.Reader) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxResponseBytes))
 }
--- a/logservice/logservice.go
+++ b/logservice/logservice.go
@@ -1,10 +1,10 @@
-// Package logservice reaches the platform's append-only log service.
+// Package logservice is a client of the platform's append-only log service.
 //
-// The platform keeps named streams. An append adds one entry of bytes at the
-// next offset; a read returns the entries from an offset on, and can wait for
-// new ones. The platform keeps entries for a limited time, takes some hundred
-// appends a second, and has outages: an append can fail before it takes
-// effect, or lose its answer after it has.
+// The service keeps named streams. An append adds one entry of bytes at the next
+// offset. A read returns the entries from an offset on and can wait for new ones.
+// The service retains entries for a limited time, accepts a few hundred appends per
+// second, and has outages: an append can fail before it takes effect, or its answer
+// can be lost after it has taken effect.
 //
 // # Usage
 //
@@ -14,9 +14,9 @@
 //
 // # Errors
 //
-// [ThrottledError] and [TrimmedError] say that nothing was done. [ErrRefused]
-// marks an append that certainly did not take effect. Any other error of
-// Append leaves it open whether the entry is in the stream; read to find out.
+// After [ThrottledError] and [TrimmedError] nothing was done. An append that fails with
+// [ErrRefused] has not taken effect. After any other error of Append the entry may be
+// in the stream; read the stream to find out.
 package logservice
 
 import (
@@ -27,30 +27,32 @@
 	"github.com/pkg/errors"
 )
 
-// MaxEntryBytes is the largest entry that the platform takes.
+// MaxEntryBytes is the size of the largest entry that the log service accepts.
 const MaxEntryBytes = 1 << 20
 
-// ErrRefused marks an append that did not take effect.
+// ErrRefused is returned for an append that the service rejected; it has not taken effect.
 var ErrRefused = errors.New("the log service refused the append")
 
-// ThrottledError says that the platform takes no more appends for a while.
+// ThrottledError is returned if the service is limiting requests. RetryAfter is the time
+// to wait before the next try.
 type ThrottledError struct {
 	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (throttled *ThrottledError) Error() string {
-	return fmt.Sprintf("the log service is throttling; come back in %s", throttled.RetryAfter)
+func (e *ThrottledError) Error() string {
+	return fmt.Sprintf("the log service is throttling; come back in %s", e.RetryAfter)
 }
 
-// TrimmedError says that the entries asked for are no longer kept.
+// TrimmedError is returned for a read of entries that are no longer retained. Earliest is
+// the first offset that is.
 type TrimmedError struct {
 	Earliest int64
 }
 
 // Error implements error.
-func (trimmed *TrimmedError) Error() string {
-	return fmt.Sprintf("the log service keeps entries from offset %d on", trimmed.Earliest)
+func (e *TrimmedError) Error() string {
+	return fmt.Sprintf("the log service keeps entries from offset %d on", e.Earliest)
 }
 
 // Entry is one entry of a stream.
@@ -59,26 +61,28 @@
 	Data   []byte `json:"data"`
 }
 
-// Page is what one read returns.
+// Page is the result of one read.
 type Page struct {
-	// Earliest is the first offset that is still kept.
+	// Earliest is the first offset that is still retained.
 	Earliest int64 `json:"earliest"`
 	// Next is the offset that the next append will get.
 	Next int64 `json:"next"`
-	// Entries are consecutive, from the offset asked for.
+	// Entries are consecutive and begin at the requested offset.
 	Entries []Entry `json:"entries"`
 }
 
-// ReadOptions says what to read. Max bounds the number of entries; Wait is how
-// long the platform holds the read while there is nothing to return.
+// ReadOptions says what to read. From is the first offset and Max bounds the number
+// of entries. Wait is how long the service holds the request if there are no entries.
 type ReadOptions struct {
 	From int64
 	Max  int
 	Wait time.Duration
 }
 
-// Service is the platform's log, as ambertiller uses it.
+// Service is the part of the log service that ambertiller uses.
 type Service interface {
+	// Append adds one entry to a stream and returns its offset.
 	Append(ctx context.Context, stream string, data []byte) (int64, error)
+	// Read returns the entries of a stream from an offset on.
 	Read(ctx context.Context, stream string, options ReadOptions) (Page, error)
 }
