--- a/document/document_test.go
+++ b/document/document_test.go
@@ -36,7 +36,7 @@
 				version = active.Version
 			}
 			if version != test.version || (lastErr != nil) != test.expectError {
-				t.Errorf("active version %d, want %d; last error %v, want an error: %t", version, test.version, lastErr, test.expectError)
+				t.Errorf("got active version %d, last error %v", version, lastErr)
 			}
 		})
 	}
@@ -77,6 +77,6 @@
 	}
 	newer := set.NewerThan([]document.Version{{Name: config.DocumentName, Version: 4}, {Name: policyName, Version: 1}})
 	if len(newer) != 1 || newer[0].Name != policyName {
-		t.Errorf("newer copies %v, want only %s", newer, policyName)
+		t.Errorf("got newer copies %v, want only the placement policy", newer)
 	}
 }
--- a/instances/instances_test.go
+++ b/instances/instances_test.go
@@ -53,11 +53,11 @@
 			for range 3 {
 				list, err := client.List(context.Background(), instances.Entry)
 				if (err != nil) != test.expectError || (!test.expectError && (len(list) != 1 || list[0].Name != "entry-1")) {
-					t.Fatalf("list %v, error %v, want an error: %t", list, err, test.expectError)
+					t.Fatalf("got list %v, error %v", list, err)
 				}
 			}
 			if test.fake.listsSent != test.listsSent || test.fake.requestedRoles[0] != "entry" {
-				t.Errorf("list sent %d times, want %d; requested roles %v, want entry", test.fake.listsSent, test.listsSent, test.fake.requestedRoles)
+				t.Errorf("list sent %d times, requested for roles %v", test.fake.listsSent, test.fake.requestedRoles)
 			}
 		})
 	}
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -34,7 +34,7 @@
 			view := membership.NewView(guardTimeout)
 			view.AddReport(newReport(test.first), startTime)
 			if accepted := view.AddReport(newReport(test.second), startTime.Add(test.after)) != nil; accepted != test.accepted {
-				t.Errorf("report accepted: %t, want %t", accepted, test.accepted)
+				t.Errorf("got report accepted: %t", accepted)
 			}
 		})
 	}
--- a/uptime/uptime_test.go
+++ b/uptime/uptime_test.go
@@ -19,7 +19,7 @@
 		t.Run(name, func(t *testing.T) {
 			got, exact := suspendedTime(test.before, test.bootTime, test.after)
 			if exact != test.exact || exact && got != test.want {
-				t.Errorf("got %v, exact: %t; want %v, exact: %t", got, exact, test.want, test.exact)
+				t.Errorf("got %v, exact: %t", got, exact)
 			}
 		})
 	}
@@ -35,7 +35,7 @@
 	before := clocks.SuspendedFor()
 	for range 100 {
 		if now := clocks.SuspendedFor(); now < before {
-			t.Fatalf("suspended time decreased from %v to %v", before, now)
+			t.Fatalf("suspended time decreased to %v from %v", now, before)
 		}
 	}
 }
