--- a/claim/claim.go
+++ b/claim/claim.go
@@ -3,9 +3,10 @@
 //
 // An instance acquires a claim on the request's key before it runs the request. The
 // first claim in the log wins. A claim is released if the request is known not to
-// have run, and finished otherwise. Both ends are appended in the background until
-// the log accepts them. Each acquisition has a holder name of its own, so a claim
-// that reaches the log after its request was abandoned is recognised and released.
+// have run, and finished otherwise. An end that is not in the log yet is appended in
+// the background until the log accepts it. Each acquisition has a holder name of its
+// own, so a claim that reaches the log after its request was abandoned is recognised
+// and released.
 //
 // # Usage
 //
@@ -50,7 +51,8 @@
 	lateAppendWindow = 30 * time.Second
 )
 
-// ErrLogDown is returned if the instance has not read the log recently enough to claim a key.
+// ErrLogDown is returned if the instance has not read the whole log yet, or not recently
+// enough to claim a key.
 var ErrLogDown = errors.New("the log, in which the request is claimed, can't be reached")
 
 // ErrConcurrentClaim is returned if another holder claimed the key first and has
@@ -92,7 +94,7 @@
 }
 
 // Key returns the claimed key.
-func (held *Claim) Key() string { return held.key }
+func (claim *Claim) Key() string { return claim.key }
 
 // Options configures a Manager.
 type Options struct {
@@ -149,14 +151,14 @@
 	if taken := manager.takenError(key); taken != nil && taken.phase != state.ClaimHeld {
 		return nil, taken
 	}
-	held := &Claim{key: key, holder: manager.options.Instance + "/" + uuid.NewString()}
+	claim := &Claim{key: key, holder: manager.options.Instance + "/" + uuid.NewString()}
 	rec := changelog.NewRecord(now)
-	rec.Body = &record.Record_Claim{Claim: &record.Claim{Key: key, Holder: held.holder, Service: service}}
+	rec.Body = &record.Record_Claim{Claim: &record.Claim{Key: key, Holder: claim.holder, Service: service}}
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	outcomes, err := log.Append(ctx, rec)
 	if err != nil {
-		return nil, manager.releaseUnsettled(held, err, now)
+		return nil, manager.releaseUnsettled(claim, err, now)
 	}
 	if !outcomes[0].IsAccepted() {
 		manager.options.Events.Log(ctx, event.ClaimLost, slog.String("key", key))
@@ -165,16 +167,16 @@
 		}
 		return nil, ErrConcurrentClaim
 	}
-	manager.options.Events.Log(ctx, event.ClaimTaken, slog.String("key", key), slog.String("holder", held.holder))
-	return held, nil
+	manager.options.Events.Log(ctx, event.ClaimTaken, slog.String("key", key), slog.String("holder", claim.holder))
+	return claim, nil
 }
 
 // releaseUnsettled enqueues the release of a claim that may still reach the log,
 // and wraps the error of its append.
-func (manager *Manager) releaseUnsettled(held *Claim, err error, now time.Time) error {
+func (manager *Manager) releaseUnsettled(claim *Claim, err error, now time.Time) error {
 	var unsettled *changelog.UnsettledError
 	if errors.As(err, &unsettled) {
-		manager.enqueueEnd(releaseRecord(held, now), held)
+		manager.enqueueEnd(releaseRecord(claim, now), claim)
 	}
 	return &UnsettledError{cause: err}
 }
@@ -192,43 +194,43 @@
 }
 
 // releaseRecord returns the record that releases a claim.
-func releaseRecord(held *Claim, now time.Time) *record.Record {
+func releaseRecord(claim *Claim, now time.Time) *record.Record {
 	rec := changelog.NewRecord(now)
-	rec.Body = &record.Record_ClaimRelease{ClaimRelease: &record.ClaimRelease{Key: held.key, Holder: held.holder}}
+	rec.Body = &record.Record_ClaimRelease{ClaimRelease: &record.ClaimRelease{Key: claim.key, Holder: claim.holder}}
 	return rec
 }
 
 // Release ends the claim of a request that is known not to have run. It waits
-// shortly for the append, so that the caller can retry at once; if that fails, the
+// briefly for the append, so that the caller can retry at once; if that fails, the
 // release is appended in the background.
-func (manager *Manager) Release(ctx context.Context, held *Claim, now time.Time) {
-	rec := releaseRecord(held, now)
-	manager.options.Events.Log(ctx, event.ClaimReleased, slog.String("key", held.key))
+func (manager *Manager) Release(ctx context.Context, claim *Claim, now time.Time) {
+	rec := releaseRecord(claim, now)
+	manager.options.Events.Log(ctx, event.ClaimReleased, slog.String("key", claim.key))
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	if _, err := manager.options.Journal.Append(ctx, rec); err != nil {
-		manager.enqueueEnd(rec, held)
+		manager.enqueueEnd(rec, claim)
 	}
 }
 
 // Finish records in the background that a claimed request has run or, if unknown is
 // set, that it may have run.
-func (manager *Manager) Finish(held *Claim, status int, unknown bool, now time.Time) {
+func (manager *Manager) Finish(claim *Claim, status int, unknown bool, now time.Time) {
 	rec := changelog.NewRecord(now)
 	rec.Body = &record.Record_ClaimFinish{ClaimFinish: &record.ClaimFinish{
-		Key:     held.key,
-		Holder:  held.holder,
+		Key:     claim.key,
+		Holder:  claim.holder,
 		Status:  int32(status),
 		Unknown: unknown,
 	}}
-	manager.enqueueEnd(rec, held)
+	manager.enqueueEnd(rec, claim)
 }
 
 // enqueueEnd adds the end of a claim to those that are appended in the background
 // until the log accepts them.
-func (manager *Manager) enqueueEnd(rec *record.Record, held *Claim) {
+func (manager *Manager) enqueueEnd(rec *record.Record, claim *Claim) {
 	manager.mu.Lock()
-	manager.pendingEnds[held.holder] = rec
+	manager.pendingEnds[claim.holder] = rec
 	manager.mu.Unlock()
 	manager.pending.Add(1)
 	select {
--- a/instances/instances.go
+++ b/instances/instances.go
@@ -77,8 +77,8 @@
 }
 
 // NewClient returns a Client for the platform at the base URL.
-func NewClient(base string, httpClient *http.Client) *Client {
-	return &Client{baseURL: base, httpClient: httpClient, cache: map[Role]cachedList{}}
+func NewClient(baseURL string, httpClient *http.Client) *Client {
+	return &Client{baseURL: baseURL, httpClient: httpClient, cache: map[Role]cachedList{}}
 }
 
 var _ Lister = (*Client)(nil)
--- a/logservice/client.go
+++ b/logservice/client.go
@@ -27,8 +27,8 @@
 }
 
 // NewClient returns a Client for the log service at the base URL.
-func NewClient(base string, httpClient *http.Client) *Client {
-	return &Client{baseURL: base, httpClient: httpClient}
+func NewClient(baseURL string, httpClient *http.Client) *Client {
+	return &Client{baseURL: baseURL, httpClient: httpClient}
 }
 
 var _ Service = (*Client)(nil)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -6,9 +6,9 @@
 // report says nothing about what the worker runs. The list says which instances
 // are leaving; an instance that is missing from the list has not necessarily ended.
 //
-// Two processes of a guard under one name are distinguished by their incarnation.
-// A later incarnation replaces an earlier one. Delayed reports of the earlier one
-// are ignored, unless the later one has timed out.
+// Successive processes of a guard with the same name are distinguished by their
+// incarnation. A later incarnation replaces an earlier one. Delayed reports of the
+// earlier one are ignored, unless the later one has timed out.
 //
 // # Usage
 //
--- a/uptime/clock.go
+++ b/uptime/clock.go
@@ -8,9 +8,9 @@
 
 // SuspendAwareClock is a clock whose times include the time for which the machine has been
 // suspended since the clock was created. The difference of two of its times is the time that
-// has really passed, so the age of a lease computed from them is never underestimated. Their
-// time of day is ahead of the machine's by the suspended time. Its timers are those of the
-// underlying clock and fire late by the time of a suspension.
+// has really passed, so the age of a lease computed from them is never underestimated. As
+// times of day they are ahead of the machine's clock by the suspended time. The timers are
+// those of the underlying clock: a suspension delays them by its length.
 type SuspendAwareClock struct {
 	clockwork.Clock
 	suspendedFor       func() time.Duration
--- a/worker/client.go
+++ b/worker/client.go
@@ -21,8 +21,8 @@
 }
 
 // NewClient returns a Client for the worker at the base URL.
-func NewClient(base string, httpClient *http.Client) *Client {
-	return &Client{baseURL: base, httpClient: httpClient}
+func NewClient(baseURL string, httpClient *http.Client) *Client {
+	return &Client{baseURL: baseURL, httpClient: httpClient}
 }
 
 var _ Worker = (*Client)(nil)
