--- a/worker/worker.go
+++ b/worker/worker.go
@@ -101,7 +101,7 @@
 	LeaseEnd time.Duration `json:"lease_end"`
 }
 
-// Usage is a measurement of a worker's usage. Lag is the age of the measurement.
+// Usage is the measured usage of a worker. The measurement lags behind by Lag.
 type Usage struct {
 	MilliCPU    int64         `json:"milli_cpu"`
 	MemoryBytes int64         `json:"memory_bytes"`
