--- a/demo/load.go
+++ b/demo/load.go
@@ -169,9 +169,9 @@
 	client *balancedClient
 	task   string
 
-	mu       sync.Mutex
-	lastPart uint64
-	gaps     []string
+	mu             sync.Mutex
+	lastPart       uint64
+	sequenceErrors []string
 }
 
 func newWatchReader(calling *balancedClient, task string) *watchReader {
@@ -219,7 +219,7 @@
 	following.mu.Lock()
 	defer following.mu.Unlock()
 	if id != following.lastPart+1 {
-		following.gaps = append(following.gaps, fmt.Sprintf("part %d came after %d", id, following.lastPart))
+		following.sequenceErrors = append(following.sequenceErrors, fmt.Sprintf("part %d came after %d", id, following.lastPart))
 	}
 	following.lastPart = id
 }
@@ -233,10 +233,10 @@
 func (following *watchReader) err() error {
 	following.mu.Lock()
 	defer following.mu.Unlock()
-	if len(following.gaps) == 0 {
+	if len(following.sequenceErrors) == 0 {
 		return nil
 	}
-	return errors.New("the watch's stream has faults: " + strings.Join(following.gaps, ", "))
+	return errors.New("the watch's stream has faults: " + strings.Join(following.sequenceErrors, ", "))
 }
 
 // waitForPart waits until the part of a number has come.
