--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -92,9 +92,9 @@
 		Name:  ServiceDrain,
 		Needs: []string{ServiceRPC, ServiceHTTP},
 		Stop: func(ctx context.Context) error {
-			role.Leave(ctx)
+			role.BeginShutdown(ctx)
 			sleep(ctx, delay)
-			return errors.Wrap(role.Drain(ctx), "finish requests")
+			return errors.Wrap(role.WaitIdle(ctx), "finish requests")
 		},
 	}
 }
