--- a/logservice/logservice.go
+++ b/logservice/logservice.go
@@ -30,7 +30,8 @@
 // MaxEntryBytes is the size of the largest entry that the log service accepts.
 const MaxEntryBytes = 1 << 20
 
-// ErrRefused is returned for an append that the service rejected; it has not taken effect.
+// ErrRefused is returned for an append that the service rejected, or that could not be
+// sent. It has not taken effect.
 var ErrRefused = errors.New("the log service refused the append")
 
 // ThrottledError is returned if the service is limiting requests. RetryAfter is the time
