--- a/rpc/pool_test.go
+++ b/rpc/pool_test.go
@@ -68,7 +68,7 @@
 			defer pool.Close() //nolint:errcheck // no call is in flight.
 			address := proxy.Address()
 			addIdleConns(t, pool, address, 4)
-			proxy.Silence(test.toServer, test.toClient)
+			proxy.DiscardTraffic(test.toServer, test.toClient)
 			client := wire.NewDRPCPeerClient(pool.Conn(address))
 			timedCtx, release := context.WithTimeout(ctx, callTimeout)
 			if _, err := client.Pending(timedCtx, &wire.PendingRequest{}); err == nil {
