--- a/daemon/fault_test.go
+++ b/daemon/panic_test.go
@@ -28,7 +28,7 @@
 	if told.Msg != "process failed" || !strings.Contains(told.Fault, "nil pointer") {
 		t.Errorf("told %+v", told)
 	}
-	if len(told.Frames) == 0 || !strings.HasPrefix(told.Frames[0], "daemon/fault_test.go:") {
+	if len(told.Frames) == 0 || !strings.HasPrefix(told.Frames[0], "daemon/panic_test.go:") {
 		t.Errorf("it happened at %v", told.Frames)
 	}
 }
