--- a/daemon/background_test.go
+++ b/daemon/background_test.go
@@ -5,20 +5,19 @@
 	"testing"
 )
 
-// TestStopReturnsWhenContextEnds: a service that does not end keeps nobody waiting for longer than the
-// planned stop may take. The case that forced it is a process that was still stopping when
-// its platform's grace was over.
+// TestStopReturnsWhenContextEnds checks that stop doesn't wait for a function that ignores its context.
+// Otherwise the process is still stopping when the platform's grace period is over.
 func TestStopReturnsWhenContextEnds(t *testing.T) {
 	release := make(chan struct{})
 	loop := &backgroundLoop{}
 	loop.start(func(context.Context) { <-release })
-	over, cancel := context.WithCancel(context.Background())
+	endedCtx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := loop.stop(over); err == nil {
-		t.Error("a service that goes on was called ended")
+	if err := loop.stop(endedCtx); err == nil {
+		t.Error("stop returned no error for a function that is still running")
 	}
 	close(release)
 	if err := loop.stop(context.Background()); err != nil {
-		t.Errorf("a service that has ended: %v", err)
+		t.Errorf("stop of a function that has returned: %v", err)
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,18 +1,17 @@
-// Package daemon puts the roles together as services of a kernel: what an
-// `ambertiller entry` or `ambertiller guard` process runs, and what the demo
-// runs several of in one process.
+// Package daemon assembles the services of each role in a kernel. A process such as `ambertiller entry` or
+// `ambertiller guard` runs one role; the demo runs several in one process.
 //
 // # Usage
 //
-//	running, err := daemon.NewEntry(ctx, daemon.EntryOptions{Name: "entry-1", ...})
-//	if err := running.Start(ctx); err != nil { ... }
-//	defer running.Stop(stopCtx)
+//	entry, err := daemon.NewEntry(ctx, daemon.EntryOptions{Name: "entry-1", ...})
+//	if err := entry.Start(ctx); err != nil { ... }
+//	defer entry.Stop(stopCtx)
 //
 // # Stopping
 //
-// Stop is the planned stop: the role says that it leaves, waits LeaveDelay so
-// that others have heard it, finishes what is in flight, and only then closes
-// its listeners. The context given to Stop bounds all of it.
+// Stop is a planned stop. The role announces that it is leaving, waits LeaveDelay so that others notice,
+// completes the work in flight, and only then closes its listeners. The context of Stop limits the time that
+// all of this takes.
 package daemon
 
 import (
@@ -40,7 +39,7 @@
 	platformTimeout     = 40 * time.Second
 )
 
-// Names of the services of a kernel.
+// Names of the services in a kernel.
 const (
 	ServiceMetrics   = "metrics"
 	ServicePool      = "pool"
@@ -52,30 +51,30 @@
 	ServiceClaimEnds = "settle"
 )
 
-// Daemon is one running role.
+// Daemon runs the services of one role.
 type Daemon struct {
 	kern   *kernel.Kernel
 	events *event.Logger
 }
 
-// Start starts the role's services.
-func (running *Daemon) Start(ctx context.Context) error {
-	if err := running.kern.Start(ctx); err != nil {
+// Start starts the services of the role.
+func (daemon *Daemon) Start(ctx context.Context) error {
+	if err := daemon.kern.Start(ctx); err != nil {
 		return err
 	}
-	running.events.Log(ctx, event.ProcessStarted)
+	daemon.events.Log(ctx, event.ProcessStarted)
 	return nil
 }
 
-// Stop finishes what is in flight and stops, within the bound of ctx.
-func (running *Daemon) Stop(ctx context.Context) error {
-	running.events.Log(ctx, event.ProcessStopping)
-	err := running.kern.Stop(ctx)
-	running.events.Log(ctx, event.ProcessStopped)
+// Stop completes the work in flight and stops the services. It stops waiting for work when ctx ends.
+func (daemon *Daemon) Stop(ctx context.Context) error {
+	daemon.events.Log(ctx, event.ProcessStopping)
+	err := daemon.kern.Stop(ctx)
+	daemon.events.Log(ctx, event.ProcessStopped)
 	return err
 }
 
-// backgroundLoop is a service that runs until it is stopped.
+// backgroundLoop runs a function in a goroutine until it is stopped.
 type backgroundLoop struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -90,24 +89,24 @@
 	})
 }
 
-// stop has the service end and waits for it, within the bound of ctx: one that does not
-// heed its own context must not keep the process from ending in time.
+// stop cancels the function's context and waits until the function returns or ctx ends. A function that
+// ignores its own context must not keep the process from stopping in time.
 func (loop *backgroundLoop) stop(ctx context.Context) error {
 	loop.cancel()
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		loop.wg.Wait()
-		close(ended)
+		close(done)
 	}()
 	select {
-	case <-ended:
+	case <-done:
 		return nil
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "a service did not end in time")
+		return errors.Wrap(ctx.Err(), "service did not stop in time")
 	}
 }
 
-// runService runs a function from the service's start to its stop.
+// runService returns a service that runs a function from its start to its stop.
 func runService(name string, run func(ctx context.Context), provides any, needs ...string) kernel.Service {
 	loop := &backgroundLoop{}
 	return kernel.Service{
@@ -128,8 +127,8 @@
 	return nil
 }
 
-// httpService serves a handler on an address. Stop finishes the requests in
-// flight; those left when its context ends are broken off.
+// httpService returns a service that serves a handler on an address. Stop completes the requests in flight;
+// requests that are still in flight when its context ends are aborted.
 func httpService(name string, needs []string, address string, handler http.Handler) kernel.Service {
 	server := &http.Server{
 		Handler:           handler,
@@ -156,37 +155,38 @@
 				_ = server.Close()
 			}
 			_ = loop.stop(ctx)
-			return errors.Wrap(err, "finish HTTP requests")
+			return errors.Wrap(err, "complete HTTP requests in flight")
 		},
 	}
 }
 
-func metricsService(metering *telemetry.Metrics) kernel.Service {
-	return kernel.Service{Name: ServiceMetrics, Provides: metering, Stop: metering.Shutdown}
+func metricsService(metrics *telemetry.Metrics) kernel.Service {
+	return kernel.Service{Name: ServiceMetrics, Provides: metrics, Stop: metrics.Shutdown}
 }
 
-// newPlatformClient is the HTTP client towards the platform's log and list.
+// newPlatformClient returns an HTTP client for the platform's log and instance list.
 func newPlatformClient() *http.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: idleTimeout}
 	return &http.Client{Transport: transport, Timeout: platformTimeout}
 }
 
-// sleep waits, or until ctx ends.
-func sleep(ctx context.Context, wait time.Duration) {
+// sleep waits for the duration, or until ctx ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(wait):
+	case <-time.After(duration):
 	}
 }
 
-func newAdminMux(metering *telemetry.Metrics, ready func() bool) *http.ServeMux {
+// newAdminMux returns a handler for metrics, liveness and readiness.
+func newAdminMux(metrics *telemetry.Metrics, isReady func() bool) *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", metering.Handler())
+	mux.Handle("GET /metrics", metrics.Handler())
 	mux.HandleFunc("GET /healthz", func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = writer.Write([]byte("alive\n"))
 	})
 	mux.HandleFunc("GET /readyz", func(writer http.ResponseWriter, _ *http.Request) {
-		if !ready() {
+		if !isReady() {
 			http.Error(writer, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -195,12 +195,12 @@
 	return mux
 }
 
-// newLeaseClock returns the clock that entries and guards reckon leases with: an offer, or the
-// last word from the log, also grows old while the machine is suspended.
+// newLeaseClock returns the clock by which entries and guards measure leases. It also counts the time that the
+// machine is suspended, so that an offer or the last read of the log ages during a suspension.
 func newLeaseClock() (clockwork.Clock, error) {
-	clocks, err := uptime.New()
+	bootClocks, err := uptime.New()
 	if err != nil {
 		return nil, err
 	}
-	return uptime.NewSuspendAwareClock(clockwork.NewRealClock(), clocks.SuspendedFor), nil
+	return uptime.NewSuspendAwareClock(clockwork.NewRealClock(), bootClocks.SuspendedFor), nil
 }
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -18,7 +18,7 @@
 	"ambertiller.example/ambertiller/worker"
 )
 
-// GuardOptions sets up a guard's process.
+// GuardOptions configures the process of a guard.
 type GuardOptions struct {
 	Name          string
 	FailureDomain string
@@ -29,24 +29,24 @@
 	WorkerURL     string
 	BackendURL    string
 	OTLPEndpoint  string
-	// LeaveDelay is how long a planned stop waits for entries to notice.
+	// LeaveDelay is how long a planned stop waits for entries to notice that the guard accepts no new work.
 	LeaveDelay time.Duration
 	Events     *event.Logger
 }
 
-// Guard is a running guard.
+// Guard is the process of a guard.
 type Guard struct {
 	Daemon
 	role *guard.Guard
 }
 
-// Role returns the guard itself.
-func (running *Guard) Role() *guard.Guard { return running.role }
+// Role returns the guard that the process runs.
+func (daemon *Guard) Role() *guard.Guard { return daemon.role }
 
-// NewGuard puts a guard's services together.
+// NewGuard returns the process of a guard, which isn't started yet.
 func NewGuard(ctx context.Context, options GuardOptions) (*Guard, error) {
 	events := options.Events.With("role", "guard", "name", options.Name)
-	metering, err := telemetry.New(ctx, telemetry.Options{Role: "guard", Name: options.Name, OTLPEndpoint: options.OTLPEndpoint})
+	metrics, err := telemetry.New(ctx, telemetry.Options{Role: "guard", Name: options.Name, OTLPEndpoint: options.OTLPEndpoint})
 	if err != nil {
 		return nil, err
 	}
@@ -66,27 +66,29 @@
 		Pool:          pool,
 		Clock:         clock,
 		Events:        events,
-		Meters:        metering.Provider(),
+		Meters:        metrics.Provider(),
 	})
-	running := &Guard{Daemon: Daemon{kern: kernel.New(), events: events}, role: role}
-	return running, registerAll(running.kern,
-		metricsService(metering),
+	daemon := &Guard{Daemon: Daemon{kern: kernel.New(), events: events}, role: role}
+	return daemon, registerAll(daemon.kern,
+		metricsService(metrics),
 		kernel.Service{Name: ServicePool, Provides: pool, Stop: func(context.Context) error { return pool.Close() }},
 		roleService(role.Run, role, ServicePool, ServiceMetrics),
 		rpcService(options.RPCAddress, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterGuard(mux, role) }),
-		httpService(ServiceHTTP, []string{ServiceRole}, options.AdminAddress, newAdminMux(metering, role.Ready)),
+		httpService(ServiceHTTP, []string{ServiceRole}, options.AdminAddress, newAdminMux(metrics, role.Ready)),
 		guardDrainService(role, options.LeaveDelay),
 	)
 }
 
+// newWorkerClient returns an HTTP client for the worker's interface. It has no timeout, because it also
+// follows streams.
 func newWorkerClient() *http.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: idleTimeout}
 	return &http.Client{Transport: transport}
 }
 
-// guardDrainService refuses new work, gives the entries time to hear of it,
-// and finishes the requests in flight. Tasks run on under their leases: the
-// next start of the guard adopts them.
+// guardDrainService refuses new work when it stops, waits for the delay so that the entries notice, and
+// completes the requests in flight. Tasks continue to run under their leases; the guard adopts them when it
+// starts again.
 func guardDrainService(role *guard.Guard, delay time.Duration) kernel.Service {
 	return kernel.Service{
 		Name:  ServiceDrain,
@@ -94,7 +96,7 @@
 		Stop: func(ctx context.Context) error {
 			role.Leave(ctx)
 			sleep(ctx, delay)
-			return errors.Wrap(role.Drain(ctx), "finish requests")
+			return errors.Wrap(role.Drain(ctx), "complete requests in flight")
 		},
 	}
 }
--- a/daemon/panic.go
+++ b/daemon/panic.go
@@ -11,39 +11,40 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// maxPanicFrames is how many callers of a fault are logged: enough to get from the
-// runtime to the decision that failed.
+// maxPanicFrames limits the stack frames that are logged for a panic. They have to reach from the runtime to
+// the decision that failed.
 const maxPanicFrames = 16
 
-// logPanic is deferred by goroutines that must not fail: it logs a fault of the
-// program as one line before the process ends of it. The line goes straight to
-// standard output, since what passes lines on otherwise ends with the process.
+// logPanic logs a panic as one line and panics again, which ends the process. The goroutines of services defer
+// it. The line is written directly to standard output, because the goroutine that normally writes the log may
+// not get to it before the process ends.
 func logPanic() {
-	fault := recover()
-	if fault == nil {
+	value := recover()
+	if value == nil {
 		return
 	}
 	if events, err := event.Open(os.Stdout, "json", "info"); err == nil {
-		events.Log(context.Background(), event.ProcessFailed, slog.String("fault", fmt.Sprint(fault)), slog.Any("frames", panicFrames()))
+		events.Log(context.Background(), event.ProcessFailed, slog.String("fault", fmt.Sprint(value)), slog.Any("frames", panicFrames()))
 	}
-	panic(fault)
+	panic(value)
 }
 
-// panicFrames returns the places in the code that led to a fault, the nearest first.
+// panicFrames returns the code locations on the stack of a panic, innermost first. It must be called by
+// logPanic.
 func panicFrames() []string {
-	// Callers, this function and logPanic say nothing, nor does the runtime, which
-	// has raised the fault.
-	const skipped = 3
-	counters := make([]uintptr, maxPanicFrames)
-	frames := runtime.CallersFrames(counters[:runtime.Callers(skipped, counters)])
-	var places []string
+	// runtime.Callers, this function and logPanic. Frames of package runtime, which raises the panic, are
+	// left out below.
+	const skippedFrames = 3
+	pcs := make([]uintptr, maxPanicFrames)
+	frames := runtime.CallersFrames(pcs[:runtime.Callers(skippedFrames, pcs)])
+	var locations []string
 	for {
 		frame, more := frames.Next()
-		if folder := path.Base(path.Dir(frame.File)); folder != "runtime" {
-			places = append(places, fmt.Sprintf("%s/%s:%d", folder, path.Base(frame.File), frame.Line))
+		if dir := path.Base(path.Dir(frame.File)); dir != "runtime" {
+			locations = append(locations, fmt.Sprintf("%s/%s:%d", dir, path.Base(frame.File), frame.Line))
 		}
 		if !more {
-			return places
+			return locations
 		}
 	}
 }
--- a/daemon/panic_test.go
+++ b/daemon/panic_test.go
@@ -8,60 +8,60 @@
 	"testing"
 )
 
-// TestPanicIsLogged: a fault leaves one line that names it and where it was, and is
-// not swallowed.
+// TestPanicIsLogged checks that a panic is logged as one line with its value and location, and that it is
+// raised again.
 func TestPanicIsLogged(t *testing.T) {
-	line, fault := captureOutput(t, func() {
+	line, value := captureOutput(t, func() {
 		var missing *backgroundLoop
 		missing.cancel()
 	})
-	if fault == nil {
-		t.Error("the fault was swallowed")
+	if value == nil {
+		t.Error("logPanic did not panic again")
 	}
-	var told struct {
+	var logged struct {
 		Msg, Fault string
 		Frames     []string
 	}
-	if err := json.Unmarshal([]byte(line), &told); err != nil {
+	if err := json.Unmarshal([]byte(line), &logged); err != nil {
 		t.Fatal(err)
 	}
-	if told.Msg != "process failed" || !strings.Contains(told.Fault, "nil pointer") {
-		t.Errorf("told %+v", told)
+	if logged.Msg != "process failed" || !strings.Contains(logged.Fault, "nil pointer") {
+		t.Errorf("logged %+v, want message \"process failed\" and a fault with \"nil pointer\"", logged)
 	}
-	if len(told.Frames) == 0 || !strings.HasPrefix(told.Frames[0], "daemon/panic_test.go:") {
-		t.Errorf("it happened at %v", told.Frames)
+	if len(logged.Frames) == 0 || !strings.HasPrefix(logged.Frames[0], "daemon/panic_test.go:") {
+		t.Errorf("frames are %v, want the first in daemon/panic_test.go", logged.Frames)
 	}
 }
 
-// TestNoPanicLogsNothing: what ends without a fault logs nothing.
+// TestNoPanicLogsNothing checks that a function that returns normally causes no log line.
 func TestNoPanicLogsNothing(t *testing.T) {
-	if line, fault := captureOutput(t, func() {}); line != "" || fault != nil {
-		t.Errorf("told %q, fault %v", line, fault)
+	if line, value := captureOutput(t, func() {}); line != "" || value != nil {
+		t.Errorf("logged %q, panic value %v; want neither", line, value)
 	}
 }
 
-// captureOutput runs a function under logPanic and returns what went to standard output and
-// the fault that was passed on.
-func captureOutput(t *testing.T, run func()) (line string, fault any) {
+// captureOutput runs a function with logPanic deferred. It returns what was written to standard output and the
+// value of the panic that logPanic raised again.
+func captureOutput(t *testing.T, run func()) (line string, value any) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	output := os.Stdout
+	stdout := os.Stdout
 	os.Stdout = writer
 	func() {
-		defer func() { fault = recover() }()
+		defer func() { value = recover() }()
 		defer logPanic()
 		run()
 	}()
-	os.Stdout = output
+	os.Stdout = stdout
 	if err := writer.Close(); err != nil {
 		t.Fatal(err)
 	}
-	told, err := io.ReadAll(reader)
+	output, err := io.ReadAll(reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(told), fault
+	return string(output), value
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -24,45 +24,43 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// Names of the services that only the platform's roles have.
+// Names of the services that only gateways and agents have.
 const (
 	ServiceOwner      = "owner"
 	ServiceReadiness  = "readiness"
 	ServiceHeartbeats = "beats"
 )
 
-// Which of the free ports is used for what; both roles may run on one machine.
+// Indexes into the internal ports of the settings. They differ because both roles may run on one machine.
 const (
 	gatewayPort = 0
 	agentPort   = 1
 )
 
-// metricsPort is where figures are served: the port that OpenTelemetry's
-// exporter for Prometheus uses by default. deploy/system.toml names it too.
+// metricsPort is the port that serves the metrics. It is the default port of OpenTelemetry's Prometheus
+// exporter. deploy/system.toml contains it too.
 const metricsPort = 9464
 
 const (
-	// gatewayLeaveDelay is how long a gateway that stops takes clients after it has
-	// said that it is not ready: the platform asks once a second and acts on
-	// the second answer.
+	// gatewayLeaveDelay is how long a stopping gateway accepts clients after it has reported that it isn't
+	// ready. The platform checks readiness once a second and acts on the second negative response.
 	gatewayLeaveDelay = 2300 * time.Millisecond
-	// defaultMemberTimeout is the least time without a join after which shards pass on.
-	// It is a compromise: the shorter, the sooner another entry takes over,
-	// and the fewer joins may fail in a row; joins go out every 350 ms.
+	// defaultMemberTimeout is how long after an entry's last join its shards are assigned to other entries,
+	// unless the platform requires a longer time. The value is a compromise: with a shorter one, another
+	// entry takes over sooner, but fewer joins may fail in a row. Entries join every 350 ms.
 	defaultMemberTimeout = 1500 * time.Millisecond
-	// maxGrant is the longest time that runs go on without word from an
-	// owner. Work on a machine that is lost moves after it, and another owner
-	// has to take over well within it, which takes up to 2.5 s.
+	// maxGrant is the longest time that runs continue without a message from an owner. Work on a lost
+	// machine moves only after this time. Another owner has to take over well within it, which takes up to
+	// 2.5 s.
 	maxGrant = 5 * time.Second
 )
 
-// Gateway is the process on an entry's machine: it answers clients and owns
-// shards.
+// Gateway is the process on an entry's machine. It answers clients and may own shards.
 type Gateway struct {
 	Daemon
 }
 
-// dependencies is what every role on the users' platform is built on.
+// dependencies holds what gateways and agents both require.
 type dependencies struct {
 	events     *event.Logger
 	metrics    *telemetry.Metrics
@@ -71,56 +69,56 @@
 	store      *platform.Store
 }
 
-// newDependencies prepares it for a role.
+// newDependencies creates the dependencies of a role.
 func newDependencies(ctx context.Context, role string, settings platform.Settings, events *event.Logger) (dependencies, error) {
-	metering, err := telemetry.New(ctx, telemetry.Options{Role: role, Name: settings.Name()})
+	metrics, err := telemetry.New(ctx, telemetry.Options{Role: role, Name: settings.Name()})
 	if err != nil {
 		return dependencies{}, err
 	}
-	clocks, err := uptime.New()
+	bootClocks, err := uptime.New()
 	if err != nil {
 		return dependencies{}, err
 	}
 	return dependencies{
-		events: events.With("role", role, "name", settings.Name()), metrics: metering,
-		clock: clockwork.NewRealClock(), bootClocks: clocks, store: platform.NewStore(settings.StoreAddress(), platform.NewTransport()),
+		events: events.With("role", role, "name", settings.Name()), metrics: metrics,
+		clock: clockwork.NewRealClock(), bootClocks: bootClocks, store: platform.NewStore(settings.StoreAddress(), platform.NewTransport()),
 	}, nil
 }
 
-// NewGateway puts the services of a gateway together.
+// NewGateway returns the process of a gateway, which isn't started yet.
 func NewGateway(ctx context.Context, settings platform.Settings, events *event.Logger) (*Gateway, error) {
-	made, err := newDependencies(ctx, "gateway", settings, events)
+	deps, err := newDependencies(ctx, "gateway", settings, events)
 	if err != nil {
 		return nil, err
 	}
 	address := settings.InternalAddress(gatewayPort)
 	pool := rpc.NewPool(nil)
-	owning := owner.New(owner.Options{
+	shardOwner := owner.New(owner.Options{
 		Name: settings.Name(), Address: address, FailureDomain: settings.FailureDomain(), Shards: settings.Partitions(),
 		Strong:        candidacy.IsStrong(settings.Cores()),
 		GrantDuration: min(maxGrant, settings.MaxLease()), MemberTimeout: max(defaultMemberTimeout, settings.MinMemberTimeout()), JobRetention: settings.JobRetention(),
-		Store: made.store, Advisor: newAdvisor(settings), Dial: rpc.DialUnpooled, Clock: made.clock, Suspended: made.bootClocks.SuspendedFor,
-		Events: made.events, Meters: made.metrics.Provider(),
+		Store: deps.store, Advisor: newAdvisor(settings), Dial: rpc.DialUnpooled, Clock: deps.clock, Suspended: deps.bootClocks.SuspendedFor,
+		Events: deps.events, Meters: deps.metrics.Provider(),
 	})
-	front := gateway.New(gateway.Options{
-		Name: settings.Name(), Shards: settings.Partitions(), Store: made.store, Owner: owning,
-		MemberName: owning.MemberName(), Pool: pool, Clock: made.clock, Events: made.events, Meters: made.metrics.Provider(),
+	handler := gateway.New(gateway.Options{
+		Name: settings.Name(), Shards: settings.Partitions(), Store: deps.store, Owner: shardOwner,
+		MemberName: shardOwner.MemberName(), Pool: pool, Clock: deps.clock, Events: deps.events, Meters: deps.metrics.Provider(),
 	})
-	running := &Gateway{Daemon: Daemon{kern: kernel.New(), events: made.events}}
-	return running, registerAll(running.kern,
-		metricsService(made.metrics),
+	daemon := &Gateway{Daemon: Daemon{kern: kernel.New(), events: deps.events}}
+	return daemon, registerAll(daemon.kern,
+		metricsService(deps.metrics),
 		kernel.Service{Name: ServicePool, Provides: pool, Stop: func(context.Context) error { return pool.Close() }},
-		runService(ServiceOwner, owning.Run, owning, ServicePool),
-		roleService(front.Run, front, ServiceOwner, ServiceMetrics),
-		rpcService(address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterPeer(mux, owning) }),
-		httpService(ServiceHTTP, []string{ServiceRole}, settings.ClientAddress(), front),
-		httpService(ServiceReadiness, []string{ServiceRole}, settings.ReadinessAddress(), newReadinessHandler(front.IsReady)),
-		httpService("scrape", nil, settings.AddressWithPort(metricsPort), newAdminMux(made.metrics, front.IsReady)),
-		gatewayDrainService(front, owning),
+		runService(ServiceOwner, shardOwner.Run, shardOwner, ServicePool),
+		roleService(handler.Run, handler, ServiceOwner, ServiceMetrics),
+		rpcService(address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterPeer(mux, shardOwner) }),
+		httpService(ServiceHTTP, []string{ServiceRole}, settings.ClientAddress(), handler),
+		httpService(ServiceReadiness, []string{ServiceRole}, settings.ReadinessAddress(), newReadinessHandler(handler.IsReady)),
+		httpService("scrape", nil, settings.AddressWithPort(metricsPort), newAdminMux(deps.metrics, handler.IsReady)),
+		gatewayDrainService(handler, shardOwner),
 	)
 }
 
-// newAdvisor returns a client of the advice service where there is one.
+// newAdvisor returns a client of the advice service, or nil if the settings name none.
 func newAdvisor(settings platform.Settings) *platform.Advisor {
 	if settings.AdvisorAddress() == "" {
 		return nil
@@ -128,72 +126,73 @@
 	return platform.NewAdvisor(settings.AdvisorAddress(), platform.NewTransport())
 }
 
-func newReadinessHandler(ready func() bool) http.Handler {
-	return http.HandlerFunc(func(answer http.ResponseWriter, _ *http.Request) {
-		if !ready() {
-			answer.WriteHeader(http.StatusServiceUnavailable)
+func newReadinessHandler(isReady func() bool) http.Handler {
+	return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+		if !isReady() {
+			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		answer.WriteHeader(http.StatusOK)
+		writer.WriteHeader(http.StatusOK)
 	})
 }
 
-// gatewayDrainService hands the shards to other entries at once, and lets the
-// platform send clients elsewhere before the listener closes.
-func gatewayDrainService(front *gateway.Gateway, owning *owner.Owner) kernel.Service {
+// gatewayDrainService releases the shards when it stops, so that other entries take them at once. It then
+// gives the platform time to route clients elsewhere before the listener closes.
+func gatewayDrainService(handler *gateway.Gateway, shardOwner *owner.Owner) kernel.Service {
 	return kernel.Service{
 		Name:  ServiceDrain,
 		Needs: []string{ServiceRPC, ServiceHTTP, ServiceReadiness},
 		Stop: func(ctx context.Context) error {
-			front.BeginShutdown()
-			err := owning.Leave(ctx)
+			handler.BeginShutdown()
+			err := shardOwner.Leave(ctx)
 			sleep(ctx, gatewayLeaveDelay)
 			return err
 		},
 	}
 }
 
-// Agent is the process beside a worker.
+// Agent is the process that manages the worker on its machine.
 type Agent struct {
 	Daemon
 }
 
-// NewAgent puts the services of an agent together.
+// NewAgent returns the process of an agent, which isn't started yet.
 func NewAgent(ctx context.Context, settings platform.Settings, events *event.Logger) (*Agent, error) {
-	made, err := newDependencies(ctx, "agent", settings, events)
+	deps, err := newDependencies(ctx, "agent", settings, events)
 	if err != nil {
 		return nil, err
 	}
 	transport := platform.NewTransport()
 	address := settings.InternalAddress(agentPort)
-	beside := agent.New(agent.Options{
-		Name: settings.Name(), FailureDomain: settings.FailureDomain(), Shards: settings.Partitions(), FirstToken: made.clock.Now().UnixMilli(), MaxTargetMiss: settings.MaxTargetMiss(),
+	role := agent.New(agent.Options{
+		Name: settings.Name(), FailureDomain: settings.FailureDomain(), Shards: settings.Partitions(), FirstToken: deps.clock.Now().UnixMilli(), MaxTargetMiss: settings.MaxTargetMiss(),
 		EvacuationDeadline: settings.EvacuationDeadline(), RestoreTime: settings.RestoreTime(), CheckpointInterval: settings.CheckpointInterval(),
 		MaxLease: settings.MaxLease(),
-		Connect: func(address string, of incarnation.ID) *platform.Worker {
-			return platform.NewWorker(address, of, transport)
+		Connect: func(address string, id incarnation.ID) *platform.Worker {
+			return platform.NewWorker(address, id, transport)
 		},
-		Clock: made.clock, Suspended: made.bootClocks.SuspendedFor, Events: made.events, Meters: made.metrics.Provider(),
+		Clock: deps.clock, Suspended: deps.bootClocks.SuspendedFor, Events: deps.events, Meters: deps.metrics.Provider(),
 	})
-	running := &Agent{Daemon: Daemon{kern: kernel.New(), events: made.events}}
-	return running, registerAll(running.kern,
-		metricsService(made.metrics),
-		roleService(beside.Run, beside, ServiceMetrics),
-		rpcService(address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, beside) }),
-		runService("register", func(ctx context.Context) { beside.Register(ctx, made.store, address) }, nil, ServiceRPC),
-		runService("operator", func(ctx context.Context) { beside.FollowOperator(ctx, made.store) }, nil, ServiceRole),
-		httpService(ServiceHeartbeats, []string{ServiceRole}, settings.HeartbeatAddress(), platform.HeartbeatHandler(beside)),
-		httpService("scrape", nil, settings.AddressWithPort(metricsPort), newAdminMux(made.metrics, func() bool { return true })),
+	daemon := &Agent{Daemon: Daemon{kern: kernel.New(), events: deps.events}}
+	return daemon, registerAll(daemon.kern,
+		metricsService(deps.metrics),
+		roleService(role.Run, role, ServiceMetrics),
+		rpcService(address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterAgent(mux, role) }),
+		runService("register", func(ctx context.Context) { role.Register(ctx, deps.store, address) }, nil, ServiceRPC),
+		runService("operator", func(ctx context.Context) { role.FollowOperator(ctx, deps.store) }, nil, ServiceRole),
+		httpService(ServiceHeartbeats, []string{ServiceRole}, settings.HeartbeatAddress(), platform.HeartbeatHandler(role)),
+		httpService("scrape", nil, settings.AddressWithPort(metricsPort), newAdminMux(deps.metrics, func() bool { return true })),
 	)
 }
 
-// ReloadSettings reads the settings file again and says whether it is sound.
-func (running *Daemon) ReloadSettings(ctx context.Context, path string) error {
+// ReloadSettings reads the settings file again and returns an error if it isn't valid. The process continues
+// with the settings that it was started with.
+func (daemon *Daemon) ReloadSettings(ctx context.Context, path string) error {
 	_, err := platform.LoadSettings(path)
 	if err != nil {
-		running.events.Log(ctx, event.SettingsRefused, slog.Any("error", err))
+		daemon.events.Log(ctx, event.SettingsRefused, slog.Any("error", err))
 		return errors.Wrap(err, "reload the settings")
 	}
-	running.events.Log(ctx, event.SettingsReloaded, slog.String("path", path))
+	daemon.events.Log(ctx, event.SettingsReloaded, slog.String("path", path))
 	return nil
 }
