--- a/api/api.go
+++ b/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds the messages between entries and their callers and
-// operators: the JSON bodies, the headers and the problem types.
+// Package api defines the HTTP API that entries serve to callers and operators: JSON bodies, headers and
+// problem types.
 //
 // # Usage
 //
@@ -7,17 +7,21 @@
 //	request.Header.Set(api.HeaderRepeatable, "true")
 //
 //	var problem api.Problem
-//	if response.Header.Get("Content-Type") == api.ProblemType { json.NewDecoder(response.Body).Decode(&problem) }
+//	if response.Header.Get("Content-Type") == api.ProblemType {
+//		err := json.NewDecoder(response.Body).Decode(&problem)
+//	}
 //
 // # Outcomes
 //
-// A request ends in a whole answer, or in a problem whose Outcome is
-// [OutcomeNotRun], which is proved, or [OutcomeUnknown], when it may have run.
+// The response to a request is either complete, or a problem that states an Outcome. [OutcomeNotRun] means
+// that the request was certainly not run; [OutcomeUnknown] means that it may have been.
 package api
 
 import "time"
 
-// Headers of requests.
+// Headers of requests and responses. The timeout is a Go duration such as 250ms, limited by the timeout of
+// the service. Repeatable is true or false; a request that must not be repeated needs a request ID or an
+// idempotency key.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderTimeout        = "X-Request-Timeout"
@@ -27,13 +31,13 @@
 	HeaderRetryAfter     = "Retry-After"
 )
 
-// ProblemType is the content type of problems, RFC 9457.
+// ProblemType is the content type of problems, as defined in RFC 9457.
 const ProblemType = "application/problem+json"
 
-// Outcome says whether a request that got no answer has run.
+// Outcome states whether a request without a complete response was run.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a request. A request whose outcome is unknown may have been run.
 const (
 	OutcomeNotRun  Outcome = "not run"
 	OutcomeUnknown Outcome = "unknown"
@@ -41,7 +45,7 @@
 
 const problemTypePrefix = "https://ambertiller.example/problems/"
 
-// Problem types.
+// Types of problems.
 const (
 	TypeNotRun           = problemTypePrefix + "not-run"
 	TypeUnknown          = problemTypePrefix + "unknown"
@@ -55,7 +59,7 @@
 	TypeMethodNotAllowed = problemTypePrefix + "method-not-allowed"
 )
 
-// Problem is the body of every failure.
+// Problem is the body of every response that reports a failure.
 type Problem struct {
 	Type       string  `json:"type"`
 	Title      string  `json:"title"`
@@ -63,11 +67,11 @@
 	Detail     string  `json:"detail,omitempty"`
 	Outcome    Outcome `json:"outcome,omitempty"`
 	RequestID  string  `json:"request_id,omitempty"`
-	RetryAfter string  `json:"retry_after,omitempty"`
+	RetryAfter string  `json:"retry_after,omitempty"` // a Go duration; the header has whole seconds
 	Faults     []Fault `json:"faults,omitempty"`
 }
 
-// Error implements error.
+// Error returns the title with the detail and the delay after which to retry, if there are any.
 func (problem *Problem) Error() string {
 	text := problem.Title
 	if problem.Detail != "" {
@@ -79,7 +83,7 @@
 	return text
 }
 
-// Fault is one thing that is wrong in a document, with its place.
+// Fault is an error in a document and its position.
 type Fault struct {
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
@@ -87,7 +91,7 @@
 	Message string `json:"message"`
 }
 
-// TaskRequest asks for a batch job or a watch.
+// TaskRequest submits a batch job or a watch.
 type TaskRequest struct {
 	Team          string  `json:"team"`
 	Kind          string  `json:"kind"`
@@ -96,12 +100,12 @@
 	Memory        string  `json:"memory,omitempty"`
 	Accelerators  int64   `json:"accelerators,omitempty"`
 	Priority      *int32  `json:"priority,omitempty"`
-	RunTime       string  `json:"run_time,omitempty"`
+	RunTime       string  `json:"run_time,omitempty"` // a Go duration such as 90s
 	Input         string  `json:"input,omitempty"`
 	FailureDomain string  `json:"failure_domain,omitempty"`
 }
 
-// Task shows a task.
+// Task describes a task and its current state.
 type Task struct {
 	ID            string    `json:"id"`
 	Team          string    `json:"team"`
@@ -122,7 +126,7 @@
 	ChangedAt     time.Time `json:"changed"`
 }
 
-// Result is what a finished task produced.
+// Result is the output of a finished task.
 type Result struct {
 	ID     string `json:"id"`
 	Phase  string `json:"phase"`
@@ -130,7 +134,9 @@
 	Output string `json:"output"`
 }
 
-// Explanation says why a task is where it is, or what it waits for.
+// Explanation explains why a task was placed on its worker, or what a pending task is waiting for. Candidate
+// is the worker that a pending task would be placed on, and RunnerUp the one with the second-best score.
+// PolicyError is set if the published policy failed, so that the built-in policy decided instead.
 type Explanation struct {
 	Task          Task         `json:"task"`
 	Summary       string       `json:"summary"`
@@ -144,18 +150,18 @@
 	PolicyError   string       `json:"policy_fault,omitempty"`
 }
 
-// Constraint counts the workers that a constraint leaves out.
+// Constraint is a placement constraint with the number of workers that it excludes.
 type Constraint struct {
 	Name            string `json:"name"`
 	ExcludedWorkers int    `json:"workers"`
 }
 
-// ThrottleRequest bounds a running task to a share of its processors.
+// ThrottleRequest limits a running task to a share of its processors, from 0 to 1.
 type ThrottleRequest struct {
 	Share float64 `json:"share"`
 }
 
-// Worker shows a worker and what it carries.
+// Worker describes a worker, its capacity and its tasks.
 type Worker struct {
 	Name           string    `json:"name"`
 	FailureDomain  string    `json:"failure_domain"`
@@ -173,13 +179,14 @@
 	LastReportAt   time.Time `json:"heard_at"`
 }
 
-// DrainRequest begins or ends the drain of a worker.
+// DrainRequest starts or ends the draining of a worker.
 type DrainRequest struct {
 	Draining bool   `json:"draining"`
 	Author   string `json:"author,omitempty"`
 }
 
-// PublishRequest publishes a version of a document.
+// PublishRequest publishes a new version of a document, or checks what publishing it would change. A version
+// is published only if BasedOn is the latest version, so that no other change is overwritten.
 type PublishRequest struct {
 	BasedOn uint64 `json:"based_on"`
 	Author  string `json:"author,omitempty"`
@@ -187,7 +194,7 @@
 	Content string `json:"content"`
 }
 
-// Document shows a version of a document.
+// Document is a published version of a document.
 type Document struct {
 	Name      string    `json:"name"`
 	Version   uint64    `json:"version"`
@@ -197,7 +204,8 @@
 	Content   string    `json:"content,omitempty"`
 }
 
-// CheckReport says what publishing a document would do.
+// CheckReport is the result of checking a document without publishing it. For a placement policy, Changes
+// lists the placement decisions that would change, out of CheckedDecisions.
 type CheckReport struct {
 	Valid            bool             `json:"valid"`
 	Faults           []Fault          `json:"faults,omitempty"`
@@ -205,14 +213,16 @@
 	Changes          []DecisionChange `json:"changes,omitempty"`
 }
 
-// DecisionChange is a decision that would be another one.
+// DecisionChange is a placement decision that a policy would change. Before and After are names of workers, or
+// empty if no worker is selected.
 type DecisionChange struct {
 	Task   string `json:"task"`
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// DocumentInForce says which instance decides by which version of a document.
+// DocumentInForce is the version of a document that an instance uses. Accepted is the latest version that the
+// platform's log has accepted.
 type DocumentInForce struct {
 	Instance string `json:"instance"`
 	Role     string `json:"role"`
