--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,4 @@
-// Package examples holds the configurations and policies that are shipped.
+// Package examples embeds the example configurations and placement policies.
 //
 // # Usage
 //
@@ -7,7 +7,7 @@
 
 import "embed"
 
-// Files holds the examples by path.
+// Files contains the examples, with paths relative to this directory.
 //
 //go:embed verbalia sapporo
 var Files embed.FS
