--- a/demo/client.go
+++ b/demo/client.go
@@ -21,8 +21,8 @@
 	balancerTimeout  = 250 * time.Millisecond
 )
 
-// balancedClient stands for clerks and operators behind the platform's balancer,
-// which asks each entry whether it is ready and sends to the next one that is.
+// balancedClient sends the requests of clerks and operators. Like the platform's load balancer, it polls the
+// readiness of the entries and distributes requests round-robin over those that are ready.
 type balancedClient struct {
 	baseURLs   []string
 	ready      [entryCount]atomic.Bool
@@ -31,21 +31,21 @@
 }
 
 func newBalancedClient(layout standin.Layout) *balancedClient {
-	made := &balancedClient{httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+	client := &balancedClient{httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	for index := 1; index <= entryCount; index++ {
-		made.baseURLs = append(made.baseURLs, "http://"+layout.Entry(index, standin.EntryHTTPPort))
-		made.ready[index-1].Store(true)
+		client.baseURLs = append(client.baseURLs, "http://"+layout.Entry(index, standin.EntryHTTPPort))
+		client.ready[index-1].Store(true)
 	}
-	return made
+	return client
 }
 
-// pollReadiness asks the entries for their readiness until ctx ends.
-func (calling *balancedClient) pollReadiness(ctx context.Context) {
+// pollReadiness polls the readiness of the entries until ctx ends.
+func (client *balancedClient) pollReadiness(ctx context.Context) {
 	ticker := time.NewTicker(balancerInterval)
 	defer ticker.Stop()
 	for {
-		for index, base := range calling.baseURLs {
-			calling.ready[index].Store(calling.isReady(ctx, base))
+		for index, baseURL := range client.baseURLs {
+			client.ready[index].Store(client.isReady(ctx, baseURL))
 		}
 		select {
 		case <-ctx.Done():
@@ -55,74 +55,74 @@
 	}
 }
 
-func (calling *balancedClient) isReady(ctx context.Context, base string) bool {
+func (client *balancedClient) isReady(ctx context.Context, baseURL string) bool {
 	ctx, cancel := context.WithTimeout(ctx, balancerTimeout)
 	defer cancel()
-	status, _, _, err := calling.send(ctx, http.MethodGet, base+"/readyz", nil, nil)
+	status, _, _, err := client.send(ctx, http.MethodGet, baseURL+"/readyz", nil, nil)
 	return err == nil && status == http.StatusOK
 }
 
-// nextBaseURL returns the next entry that is ready.
-func (calling *balancedClient) nextBaseURL() string {
-	for range calling.baseURLs {
-		index := int(calling.next.Add(1)) % len(calling.baseURLs)
-		if calling.ready[index].Load() {
-			return calling.baseURLs[index]
+// nextBaseURL returns the base URL of the next entry that is ready, or of the first entry if none is.
+func (client *balancedClient) nextBaseURL() string {
+	for range client.baseURLs {
+		index := int(client.next.Add(1)) % len(client.baseURLs)
+		if client.ready[index].Load() {
+			return client.baseURLs[index]
 		}
 	}
-	return calling.baseURLs[0]
+	return client.baseURLs[0]
 }
 
-// send sends one request and reads its whole answer.
-func (calling *balancedClient) send(ctx context.Context, method, url string, header http.Header, body []byte) (int, http.Header, []byte, error) {
+// send sends a request and reads the whole response.
+func (client *balancedClient) send(ctx context.Context, method, url string, header http.Header, body []byte) (int, http.Header, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, nil, errors.Wrap(err, "make request")
+		return 0, nil, nil, errors.Wrap(err, "create request")
 	}
 	if header != nil {
 		request.Header = header
 	}
-	response, err := calling.httpClient.Do(request)
+	response, err := client.httpClient.Do(request)
 	if err != nil {
 		return 0, nil, nil, errors.Wrap(err, "send request")
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
-	return response.StatusCode, response.Header, answer, errors.Wrap(err, "read answer")
+	content, err := io.ReadAll(response.Body)
+	return response.StatusCode, response.Header, content, errors.Wrap(err, "read response")
 }
 
-// callJSON calls an operator's interface and decodes the answer.
-func (calling *balancedClient) callJSON(ctx context.Context, method, path string, body, into any) error {
+// callJSON sends body as JSON and decodes the response into result. A problem is returned as the error.
+func (client *balancedClient) callJSON(ctx context.Context, method, path string, body, result any) error {
 	var encoded []byte
 	if body != nil {
 		var err error
 		if encoded, err = json.Marshal(body); err != nil {
-			return errors.Wrap(err, "encode")
+			return errors.Wrap(err, "encode request")
 		}
 	}
-	status, header, answer, err := calling.send(ctx, method, calling.nextBaseURL()+path, nil, encoded)
+	status, header, content, err := client.send(ctx, method, client.nextBaseURL()+path, nil, encoded)
 	if err != nil {
 		return err
 	}
 	if strings.HasPrefix(header.Get("Content-Type"), api.ProblemType) {
 		problem := &api.Problem{}
-		if err := json.Unmarshal(answer, problem); err != nil {
+		if err := json.Unmarshal(content, problem); err != nil {
 			return errors.Wrap(err, "decode problem")
 		}
 		return problem
 	}
 	if status >= http.StatusBadRequest {
-		return errors.Errorf("status %d: %s", status, answer)
+		return errors.Errorf("status %d: %s", status, content)
 	}
-	return errors.Wrap(json.Unmarshal(answer, into), "decode answer")
+	return errors.Wrap(json.Unmarshal(content, result), "decode response")
 }
 
-// retry repeats a step until it succeeds or patience ends.
-func retry(ctx context.Context, step func() error) error {
+// retry calls a function until it succeeds. When ctx ends, or after stepTimeout, it returns the last error.
+func retry(ctx context.Context, try func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	for {
-		err := step()
+		err := try()
 		if err == nil {
 			return nil
 		}
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,12 +1,12 @@
-// Package demo brings every role up in one process, on real sockets and
-// through the same kernel and services as the daemons, and checks what they do
-// together.
+// Package demo starts several entries and guards in one process, together with a stand-in for the platform,
+// and checks that they work together. The roles use real sockets and the same kernel and services as in their
+// own processes.
 //
 // # Usage
 //
 //	err := demo.Run(ctx, demo.Options{Network: "127.70", Out: os.Stdout})
 //
-// The error is nil only if every step was seen to hold.
+// The error is nil only if the checks of all steps have passed.
 package demo
 
 import (
@@ -36,19 +36,19 @@
 	requestDuration = 2 * time.Millisecond
 )
 
-// Options sets up a demo.
+// Options configures a demo.
 type Options struct {
-	// Network is the first two parts of the loopback IP numbers to use.
+	// Network is the first two bytes of the loopback addresses to use, such as 127.70.
 	Network string
-	// Serve keeps serving after the checks, until a signal.
+	// Serve keeps the roles running after the checks, until the process receives an interrupt or SIGTERM.
 	Serve bool
 	// Verbose writes the log to standard error.
 	Verbose bool
-	// Out receives what happened.
+	// Out receives the result of each step.
 	Out io.Writer
 }
 
-// demo is one run.
+// demo is one run of the demo.
 type demo struct {
 	options     Options
 	events      *event.Logger
@@ -60,154 +60,154 @@
 	failedSteps []string
 }
 
-// Run brings the roles up, walks through the steps and checks each.
+// Run starts the roles, then runs the steps and checks each of them.
 func Run(ctx context.Context, options Options) error {
-	running, err := start(ctx, options)
+	d, err := start(ctx, options)
 	if err != nil {
 		return err
 	}
-	defer running.stopAll(ctx)
-	for _, step := range running.steps() {
-		running.runStep(ctx, step)
+	defer d.stopAll(ctx)
+	for _, step := range d.steps() {
+		d.runStep(ctx, step)
 	}
-	if len(running.failedSteps) > 0 {
-		return errors.Errorf("these steps failed: %s", strings.Join(running.failedSteps, ", "))
+	if len(d.failedSteps) > 0 {
+		return errors.Errorf("these steps failed: %s", strings.Join(d.failedSteps, ", "))
 	}
-	running.printf("every step was checked")
+	d.printf("every step was checked")
 	if options.Serve {
-		running.waitForSignal(ctx)
+		d.waitForSignal(ctx)
 	}
 	return nil
 }
 
-// step is one thing that is shown and checked.
+// step is a part of the demo that is run and checked. run returns a summary of what was observed.
 type step struct {
 	name string
 	run  func(ctx context.Context) (string, error)
 }
 
-func (running *demo) steps() []step {
+func (d *demo) steps() []step {
 	return []step{
-		{"configuration published and in force", running.publishConfig},
-		{"snippet correction answered", running.correctSnippet},
-		{"request that must not be repeated ran once", running.sendDuplicate},
-		{"transcription submitted, placed, run and finished", running.runTranscription},
-		{"policy published and in effect", running.publishPolicy},
-		{"watch streams on, one guard and one entry stopped under load, nothing cut", running.stopUnderLoad},
+		{"configuration published and in force", d.publishConfig},
+		{"snippet correction answered", d.correctSnippet},
+		{"request that must not be repeated ran once", d.sendDuplicate},
+		{"transcription submitted, placed, run and finished", d.runTranscription},
+		{"policy published and in effect", d.publishPolicy},
+		{"watch streams on, one guard and one entry stopped under load, nothing cut", d.stopUnderLoad},
 	}
 }
 
-func (running *demo) runStep(ctx context.Context, next step) {
+func (d *demo) runStep(ctx context.Context, step step) {
 	ctx, cancel := context.WithTimeout(ctx, 2*stepTimeout)
 	defer cancel()
-	began := time.Now()
-	figures, err := next.run(ctx)
-	took := time.Since(began).Round(time.Millisecond)
+	start := time.Now()
+	summary, err := step.run(ctx)
+	duration := time.Since(start).Round(time.Millisecond)
 	if err != nil {
-		running.failedSteps = append(running.failedSteps, next.name)
-		running.printf("FAILED  %s: %v (after %s)", next.name, err, took)
+		d.failedSteps = append(d.failedSteps, step.name)
+		d.printf("FAILED  %s: %v (after %s)", step.name, err, duration)
 		return
 	}
-	running.printf("ok      %s: %s (%s)", next.name, figures, took)
+	d.printf("ok      %s: %s (%s)", step.name, summary, duration)
 }
 
-func (running *demo) printf(format string, arguments ...any) {
-	// A demo whose output is closed goes on; its exit code still tells.
-	_, _ = fmt.Fprintf(running.options.Out, format+"\n", arguments...)
+func (d *demo) printf(format string, args ...any) {
+	// The demo continues if its output is closed; the exit code still reports the result.
+	_, _ = fmt.Fprintf(d.options.Out, format+"\n", args...)
 }
 
 func start(ctx context.Context, options Options) (*demo, error) {
-	running := &demo{options: options, events: event.Discard(), layout: standin.Layout{Network: options.Network}}
+	d := &demo{options: options, events: event.Discard(), layout: standin.Layout{Network: options.Network}}
 	if options.Verbose {
 		events, err := event.Open(os.Stderr, "text", "info")
 		if err != nil {
 			return nil, err
 		}
-		running.events = events
+		d.events = events
 	}
-	platform, err := standin.Start(ctx, running.platformOptions())
+	platform, err := standin.Start(ctx, d.platformOptions())
 	if err != nil {
-		return nil, errors.Wrap(err, "start the stand-in; another run may hold the network, choose one with --network")
+		return nil, errors.Wrap(err, "start the stand-in; another run may use the same network, choose another one with --network")
 	}
-	running.platform = platform
-	running.client = newBalancedClient(running.layout)
+	d.platform = platform
+	d.client = newBalancedClient(d.layout)
 	for index := 1; index <= entryCount; index++ {
-		if err := running.startEntry(ctx, index); err != nil {
-			running.stopAll(ctx)
+		if err := d.startEntry(ctx, index); err != nil {
+			d.stopAll(ctx)
 			return nil, err
 		}
 	}
 	for index := 1; index <= workerCount; index++ {
-		if err := running.startGuard(ctx, index); err != nil {
-			running.stopAll(ctx)
+		if err := d.startGuard(ctx, index); err != nil {
+			d.stopAll(ctx)
 			return nil, err
 		}
 	}
-	running.printf("started a stand-in for the platform, %d entries and %d guards on %s.0.0/16", entryCount, workerCount, options.Network)
-	return running, nil
+	d.printf("started a stand-in for the platform, %d entries and %d guards on %s.0.0/16", entryCount, workerCount, options.Network)
+	return d, nil
 }
 
-func (running *demo) platformOptions() standin.Options {
-	return standin.Options{Layout: running.layout, Workers: workerCount, Entries: entryCount, WorkTime: requestDuration}
+func (d *demo) platformOptions() standin.Options {
+	return standin.Options{Layout: d.layout, Workers: workerCount, Entries: entryCount, WorkTime: requestDuration}
 }
 
-func (running *demo) startEntry(ctx context.Context, index int) error {
-	made, err := daemon.NewEntry(ctx, daemon.EntryOptions{
+func (d *demo) startEntry(ctx context.Context, index int) error {
+	entry, err := daemon.NewEntry(ctx, daemon.EntryOptions{
 		Name:          standin.EntryName(index),
-		FailureDomain: running.platformOptions().FailureDomain(index),
-		HTTPAddress:   running.layout.Entry(index, standin.EntryHTTPPort),
-		RPCAddress:    running.layout.Entry(index, standin.EntryRPCPort),
-		PlatformURL:   "http://" + running.layout.Platform(),
+		FailureDomain: d.platformOptions().FailureDomain(index),
+		HTTPAddress:   d.layout.Entry(index, standin.EntryHTTPPort),
+		RPCAddress:    d.layout.Entry(index, standin.EntryRPCPort),
+		PlatformURL:   "http://" + d.layout.Platform(),
 		LeaveDelay:    leaveDelay,
-		Events:        running.events,
+		Events:        d.events,
 	})
 	if err != nil {
 		return err
 	}
-	running.entries[index-1] = made
-	return made.Start(ctx)
+	d.entries[index-1] = entry
+	return entry.Start(ctx)
 }
 
-func (running *demo) startGuard(ctx context.Context, index int) error {
-	made, err := daemon.NewGuard(ctx, daemon.GuardOptions{
+func (d *demo) startGuard(ctx context.Context, index int) error {
+	guard, err := daemon.NewGuard(ctx, daemon.GuardOptions{
 		Name:          standin.WorkerName(index),
-		FailureDomain: running.platformOptions().FailureDomain(index),
+		FailureDomain: d.platformOptions().FailureDomain(index),
 		Service:       service,
-		RPCAddress:    running.layout.Worker(index, standin.GuardPort),
-		AdminAddress:  running.layout.Worker(index, standin.GuardAdminPort),
-		PlatformURL:   "http://" + running.layout.Platform(),
-		WorkerURL:     "http://" + running.layout.Worker(index, standin.WorkerPort),
-		BackendURL:    "http://" + running.layout.Worker(index, standin.BackendPort),
+		RPCAddress:    d.layout.Worker(index, standin.GuardPort),
+		AdminAddress:  d.layout.Worker(index, standin.GuardAdminPort),
+		PlatformURL:   "http://" + d.layout.Platform(),
+		WorkerURL:     "http://" + d.layout.Worker(index, standin.WorkerPort),
+		BackendURL:    "http://" + d.layout.Worker(index, standin.BackendPort),
 		LeaveDelay:    leaveDelay,
-		Events:        running.events,
+		Events:        d.events,
 	})
 	if err != nil {
 		return err
 	}
-	running.guards[index-1] = made
-	return made.Start(ctx)
+	d.guards[index-1] = guard
+	return guard.Start(ctx)
 }
 
-// stopAll stops what still runs, without waiting for anything in flight.
-func (running *demo) stopAll(ctx context.Context) {
+// stopAll stops the roles and the platform without waiting for work in flight.
+func (d *demo) stopAll(ctx context.Context) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	cancel()
-	for _, made := range running.entries {
-		if made != nil {
-			_ = made.Stop(ctx)
+	for _, entry := range d.entries {
+		if entry != nil {
+			_ = entry.Stop(ctx)
 		}
 	}
-	for _, made := range running.guards {
-		if made != nil {
-			_ = made.Stop(ctx)
+	for _, guard := range d.guards {
+		if guard != nil {
+			_ = guard.Stop(ctx)
 		}
 	}
-	running.platform.Close()
+	d.platform.Close()
 }
 
-func (running *demo) waitForSignal(ctx context.Context) {
-	running.printf("serving; callers and operators reach http://%s and http://%s; stop with Ctrl-C",
-		running.layout.Entry(1, standin.EntryHTTPPort), running.layout.Entry(2, standin.EntryHTTPPort))
+func (d *demo) waitForSignal(ctx context.Context) {
+	d.printf("serving; callers and operators reach http://%s and http://%s; stop with Ctrl-C",
+		d.layout.Entry(1, standin.EntryHTTPPort), d.layout.Entry(2, standin.EntryHTTPPort))
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -10,7 +10,7 @@
 	"ambertiller.example/ambertiller/demo"
 )
 
-// TestRun takes every step of the demo on real sockets.
+// TestRun runs all steps of the demo on real sockets.
 func TestRun(t *testing.T) {
 	var out strings.Builder
 	err := demo.Run(context.Background(), demo.Options{Network: fmt.Sprintf("127.%d", 10+os.Getpid()%50), Out: &out})
@@ -18,6 +18,6 @@
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	if !strings.Contains(out.String(), "every step was checked") {
-		t.Errorf("the demo did not say that it checked: %s", out.String())
+		t.Errorf("output does not report that every step was checked: %s", out.String())
 	}
 }
--- a/demo/load.go
+++ b/demo/load.go
@@ -22,7 +22,7 @@
 	watchParts   = 5
 )
 
-// requestStats counts how requests ended.
+// requestStats counts requests by their result.
 type requestStats struct {
 	mu           sync.Mutex
 	sent         int
@@ -34,112 +34,113 @@
 	firstProblem string
 }
 
-func (counted *requestStats) add(took time.Duration, status int, body []byte, want string, err error) {
-	counted.mu.Lock()
-	defer counted.mu.Unlock()
-	counted.sent++
-	counted.latencies = append(counted.latencies, took)
+func (stats *requestStats) add(latency time.Duration, status int, body []byte, want string, err error) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	stats.sent++
+	stats.latencies = append(stats.latencies, latency)
 	switch {
 	case err != nil:
-		counted.failed++
-		counted.recordProblem("broken: " + err.Error())
+		stats.failed++
+		stats.recordProblem("request failed: " + err.Error())
 	case status == http.StatusOK && string(body) == want:
-		counted.complete++
+		stats.complete++
 	case status == http.StatusOK:
-		counted.failed++
-		counted.recordProblem("wrong answer: " + string(body))
+		stats.failed++
+		stats.recordProblem("wrong response: " + string(body))
 	case decodeProblem(body).Outcome == api.OutcomeNotRun:
-		counted.notRun++
-		counted.recordProblem(decodeProblem(body).Error())
+		stats.notRun++
+		stats.recordProblem(decodeProblem(body).Error())
 	default:
-		counted.unknown++
-		counted.recordProblem(decodeProblem(body).Error())
+		stats.unknown++
+		stats.recordProblem(decodeProblem(body).Error())
 	}
 }
 
-func (counted *requestStats) recordProblem(text string) {
-	if counted.firstProblem == "" {
-		counted.firstProblem = text
+func (stats *requestStats) recordProblem(text string) {
+	if stats.firstProblem == "" {
+		stats.firstProblem = text
 	}
 }
 
-func (counted *requestStats) quantile(part float64) time.Duration {
-	slices.Sort(counted.latencies)
-	return counted.latencies[int(part*float64(len(counted.latencies)-1))].Round(100 * time.Microsecond)
+func (stats *requestStats) quantile(q float64) time.Duration {
+	slices.Sort(stats.latencies)
+	return stats.latencies[int(q*float64(len(stats.latencies)-1))].Round(100 * time.Microsecond)
 }
 
-// sendLoad sends requests at a fixed rate, whatever becomes of the earlier ones,
-// until ctx ends, and waits for all of them.
-func (running *demo) sendLoad(ctx context.Context) *requestStats {
-	counted := &requestStats{}
-	var calls sync.WaitGroup
+// sendLoad sends requests at a constant rate until ctx ends, without waiting for earlier responses. It returns
+// when all requests have ended.
+func (d *demo) sendLoad(ctx context.Context) *requestStats {
+	stats := &requestStats{}
+	var requests sync.WaitGroup
 	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
 	for number := 0; ; number++ {
 		select {
 		case <-ctx.Done():
-			calls.Wait()
-			return counted
+			requests.Wait()
+			return stats
 		case <-ticker.C:
 		}
-		calls.Go(func() {
+		requests.Go(func() {
 			text := "snippet " + strconv.Itoa(number)
-			began := time.Now()
-			status, _, body, err := running.client.send(context.WithoutCancel(ctx), http.MethodPost,
-				running.client.nextBaseURL()+snippetsPath, nil, []byte(text))
-			counted.add(time.Since(began), status, body, "corrected: "+text+"\n", err)
+			start := time.Now()
+			status, _, body, err := d.client.send(context.WithoutCancel(ctx), http.MethodPost,
+				d.client.nextBaseURL()+snippetsPath, nil, []byte(text))
+			stats.add(time.Since(start), status, body, "corrected: "+text+"\n", err)
 		})
 	}
 }
 
-// stopUnderLoad opens a watch, puts load on, and stops one guard and one entry
-// as planned. Every request must get its whole answer, and the watch must go
-// on without a gap or a repetition.
-func (running *demo) stopUnderLoad(ctx context.Context) (string, error) {
-	watch, err := running.submit(ctx, api.TaskRequest{Team: team, Kind: "listener", Processors: 1, Input: "hearing 7"})
+// stopUnderLoad opens a watch, sends requests at a constant rate, and meanwhile stops one guard and one entry
+// as planned. Every request must get a complete response, and the stream of the watch must continue without
+// gaps or repeated parts.
+func (d *demo) stopUnderLoad(ctx context.Context) (string, error) {
+	watch, err := d.submit(ctx, api.TaskRequest{Team: team, Kind: "listener", Processors: 1, Input: "hearing 7"})
 	if err != nil {
 		return "", err
 	}
-	if err := running.waitPhase(ctx, watch, "running"); err != nil {
+	if err := d.waitPhase(ctx, watch, "running"); err != nil {
 		return "", err
 	}
-	watching := newWatchReader(running.client, watch.ID)
-	balanceCtx, stopBalance := context.WithCancel(ctx)
-	defer stopBalance()
-	go running.client.pollReadiness(balanceCtx)
+	reader := newWatchReader(d.client, watch.ID)
+	pollCtx, stopPolling := context.WithCancel(ctx)
+	defer stopPolling()
+	go d.client.pollReadiness(pollCtx)
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	defer stopWatch()
-	go watching.run(watchCtx)
-	if err := watching.waitForPart(ctx, watchParts); err != nil {
+	go reader.run(watchCtx)
+	if err := reader.waitForPart(ctx, watchParts); err != nil {
 		return "", err
 	}
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	ended := make(chan *requestStats, 1)
-	go func() { ended <- running.sendLoad(loadCtx) }()
+	loadDone := make(chan *requestStats, 1)
+	go func() { loadDone <- d.sendLoad(loadCtx) }()
 	time.Sleep(loadMargin)
-	stopErr := running.replaceGuardAndEntry(ctx)
-	watched := watching.waitForPart(ctx, watching.last()+watchParts)
+	stopErr := d.replaceGuardAndEntry(ctx)
+	watchErr := reader.waitForPart(ctx, reader.last()+watchParts)
 	time.Sleep(loadMargin)
 	stopLoad()
-	counted := <-ended
-	if err := firstError(stopErr, watched, watching.err(), counted.err()); err != nil {
+	stats := <-loadDone
+	if err := firstError(stopErr, watchErr, reader.err(), stats.err()); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%d requests sent, %d whole answers, 0 cut, p50 %s, p99 %s; the watch streamed %d parts without a gap",
-		counted.sent, counted.complete, counted.quantile(0.5), counted.quantile(0.99), watching.last()), nil
+	return fmt.Sprintf("%d requests sent, %d complete responses, 0 interrupted, p50 %s, p99 %s; the watch streamed %d parts without a gap",
+		stats.sent, stats.complete, stats.quantile(0.5), stats.quantile(0.99), reader.last()), nil
 }
 
-func (counted *requestStats) err() error {
-	if counted.complete == counted.sent {
+// err returns an error unless every request got a complete response.
+func (stats *requestStats) err() error {
+	if stats.complete == stats.sent {
 		return nil
 	}
-	return errors.Errorf("of %d requests %d had a whole answer, %d were not run, %d unknown, %d broken; the first: %s",
-		counted.sent, counted.complete, counted.notRun, counted.unknown, counted.failed, counted.firstProblem)
+	return errors.Errorf("of %d requests, %d got a complete response, %d were not run, %d have an unknown outcome, %d failed; the first problem: %s",
+		stats.sent, stats.complete, stats.notRun, stats.unknown, stats.failed, stats.firstProblem)
 }
 
-func firstError(all ...error) error {
-	for _, err := range all {
+func firstError(errs ...error) error {
+	for _, err := range errs {
 		if err != nil {
 			return err
 		}
@@ -147,24 +148,24 @@
 	return nil
 }
 
-// replaceGuardAndEntry stops a guard and an entry as planned and starts new ones.
-func (running *demo) replaceGuardAndEntry(ctx context.Context) error {
+// replaceGuardAndEntry stops one guard and one entry as planned and starts new ones in their place.
+func (d *demo) replaceGuardAndEntry(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	if err := running.guards[0].Stop(ctx); err != nil {
+	if err := d.guards[0].Stop(ctx); err != nil {
 		return errors.Wrap(err, "stop a guard")
 	}
-	if err := running.startGuard(ctx, 1); err != nil {
+	if err := d.startGuard(ctx, 1); err != nil {
 		return err
 	}
-	if err := running.entries[0].Stop(ctx); err != nil {
+	if err := d.entries[0].Stop(ctx); err != nil {
 		return errors.Wrap(err, "stop an entry")
 	}
-	return running.startEntry(ctx, 1)
+	return d.startEntry(ctx, 1)
 }
 
-// watchReader follows a watch as a caller does: when its entry leaves, it goes on
-// at the next one from the last part it has.
+// watchReader reads the stream of a watch as a caller does: when the entry that serves the stream leaves, it
+// resumes at another entry after the last part that it has received.
 type watchReader struct {
 	client *balancedClient
 	task   string
@@ -174,25 +175,26 @@
 	gaps     []string
 }
 
-func newWatchReader(calling *balancedClient, task string) *watchReader {
-	return &watchReader{client: calling, task: task}
+func newWatchReader(client *balancedClient, task string) *watchReader {
+	return &watchReader{client: client, task: task}
 }
 
-func (following *watchReader) run(ctx context.Context) {
+func (reader *watchReader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := following.readStream(ctx); err != nil && ctx.Err() == nil {
+		if err := reader.readStream(ctx); err != nil && ctx.Err() == nil {
 			time.Sleep(balancerInterval)
 		}
 	}
 }
 
-func (following *watchReader) readStream(ctx context.Context) error {
-	url := following.client.nextBaseURL() + "/v1/tasks/" + following.task + "/stream?after=" + strconv.FormatUint(following.last(), 10)
+// readStream reads parts from one entry until the stream ends.
+func (reader *watchReader) readStream(ctx context.Context) error {
+	url := reader.client.nextBaseURL() + "/v1/tasks/" + reader.task + "/stream?after=" + strconv.FormatUint(reader.last(), 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	response, err := following.client.httpClient.Do(request)
+	response, err := reader.client.httpClient.Do(request)
 	if err != nil {
 		return err
 	}
@@ -200,50 +202,51 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("status %d", response.StatusCode)
 	}
-	lines := bufio.NewScanner(response.Body)
+	scanner := bufio.NewScanner(response.Body)
 	var id uint64
-	for lines.Scan() {
-		if text, found := strings.CutPrefix(lines.Text(), "id: "); found {
+	for scanner.Scan() {
+		if text, found := strings.CutPrefix(scanner.Text(), "id: "); found {
 			if id, err = strconv.ParseUint(text, 10, 64); err != nil {
 				return err
 			}
 		}
-		if lines.Text() == "event: output" {
-			following.addPart(id)
+		if scanner.Text() == "event: output" {
+			reader.addPart(id)
 		}
 	}
-	return lines.Err()
+	return scanner.Err()
 }
 
-func (following *watchReader) addPart(id uint64) {
-	following.mu.Lock()
-	defer following.mu.Unlock()
-	if id != following.lastPart+1 {
-		following.gaps = append(following.gaps, fmt.Sprintf("part %d came after %d", id, following.lastPart))
+func (reader *watchReader) addPart(id uint64) {
+	reader.mu.Lock()
+	defer reader.mu.Unlock()
+	if id != reader.lastPart+1 {
+		reader.gaps = append(reader.gaps, fmt.Sprintf("part %d followed part %d", id, reader.lastPart))
 	}
-	following.lastPart = id
+	reader.lastPart = id
 }
 
-func (following *watchReader) last() uint64 {
-	following.mu.Lock()
-	defer following.mu.Unlock()
-	return following.lastPart
+func (reader *watchReader) last() uint64 {
+	reader.mu.Lock()
+	defer reader.mu.Unlock()
+	return reader.lastPart
 }
 
-func (following *watchReader) err() error {
-	following.mu.Lock()
-	defer following.mu.Unlock()
-	if len(following.gaps) == 0 {
+// err returns an error if parts were missing or repeated.
+func (reader *watchReader) err() error {
+	reader.mu.Lock()
+	defer reader.mu.Unlock()
+	if len(reader.gaps) == 0 {
 		return nil
 	}
-	return errors.New("the watch's stream has faults: " + strings.Join(following.gaps, ", "))
+	return errors.New("the stream of the watch is not consecutive: " + strings.Join(reader.gaps, ", "))
 }
 
-// waitForPart waits until the part of a number has come.
-func (following *watchReader) waitForPart(ctx context.Context, part uint64) error {
+// waitForPart waits until the reader has received the part with the given number.
+func (reader *watchReader) waitForPart(ctx context.Context, part uint64) error {
 	return retry(ctx, func() error {
-		if last := following.last(); last < part {
-			return errors.Errorf("the watch has streamed %d parts and not %d", last, part)
+		if last := reader.last(); last < part {
+			return errors.Errorf("the watch has streamed %d parts, want %d", last, part)
 		}
 		return nil
 	})
--- a/demo/steps.go
+++ b/demo/steps.go
@@ -23,35 +23,35 @@
 	snippetsPath = "/v1/services/" + service + "/snippets"
 )
 
-// publishConfig publishes Verbalia's configuration and waits until every entry
-// and guard decides by it.
-func (running *demo) publishConfig(ctx context.Context) (string, error) {
+// publishConfig publishes Verbalia's configuration and waits until all entries and guards use it.
+func (d *demo) publishConfig(ctx context.Context) (string, error) {
 	content, err := examples.Files.ReadFile("verbalia/config.yaml")
 	if err != nil {
 		return "", errors.Wrap(err, "read example")
 	}
-	asked := api.PublishRequest{Author: author, Content: string(content)}
+	request := api.PublishRequest{Author: author, Content: string(content)}
 	var published api.Document
 	if err := retry(ctx, func() error {
-		return running.client.callJSON(ctx, http.MethodPut, "/v1/documents/"+config.DocumentName, asked, &published)
+		return d.client.callJSON(ctx, http.MethodPut, "/v1/documents/"+config.DocumentName, request, &published)
 	}); err != nil {
 		return "", err
 	}
-	began := time.Now()
-	err = retry(ctx, func() error { return running.checkInForce(ctx, config.DocumentName, published.Version) })
-	return fmt.Sprintf("version %d on all %d instances %s after it was accepted", published.Version, entryCount+workerCount, elapsedSince(began)), err
+	start := time.Now()
+	err = retry(ctx, func() error { return d.checkInForce(ctx, config.DocumentName, published.Version) })
+	return fmt.Sprintf("version %d on all %d instances %s after it was accepted", published.Version, entryCount+workerCount, elapsedSince(start)), err
 }
 
-func elapsedSince(began time.Time) time.Duration { return time.Since(began).Round(time.Millisecond) }
+func elapsedSince(start time.Time) time.Duration { return time.Since(start).Round(time.Millisecond) }
 
-func (running *demo) checkInForce(ctx context.Context, document string, version uint64) error {
-	var listed []api.DocumentInForce
-	if err := running.client.callJSON(ctx, http.MethodGet, "/v1/in-force", nil, &listed); err != nil {
+// checkInForce returns an error unless all entries and guards use the version of the document.
+func (d *demo) checkInForce(ctx context.Context, document string, version uint64) error {
+	var versions []api.DocumentInForce
+	if err := d.client.callJSON(ctx, http.MethodGet, "/v1/in-force", nil, &versions); err != nil {
 		return err
 	}
 	count := 0
-	for _, each := range listed {
-		if each.Document == document && each.Version == version {
+	for _, inForce := range versions {
+		if inForce.Document == document && inForce.Version == version {
 			count++
 		}
 	}
@@ -61,60 +61,62 @@
 	return nil
 }
 
-func (running *demo) correctSnippet(ctx context.Context) (string, error) {
+func (d *demo) correctSnippet(ctx context.Context) (string, error) {
 	header := http.Header{api.HeaderRequestID: {"snippet-1"}, api.HeaderTimeout: {"2s"}}
-	began := time.Now()
-	status, answered, body, err := running.client.send(ctx, http.MethodPost, running.client.nextBaseURL()+snippetsPath, header, []byte("il sindacco apre la seduta"))
+	start := time.Now()
+	status, responseHeader, body, err := d.client.send(ctx, http.MethodPost, d.client.nextBaseURL()+snippetsPath, header, []byte("il sindacco apre la seduta"))
 	if err != nil {
 		return "", err
 	}
-	if status != http.StatusOK || string(body) != "corrected: il sindacco apre la seduta\n" || answered.Get(api.HeaderRequestID) != "snippet-1" {
-		return "", errors.Errorf("status %d, answer %q", status, body)
+	if status != http.StatusOK || string(body) != "corrected: il sindacco apre la seduta\n" || responseHeader.Get(api.HeaderRequestID) != "snippet-1" {
+		return "", errors.Errorf("status %d, response %q", status, body)
 	}
-	return fmt.Sprintf("%q in %s", strings.TrimSpace(string(body)), elapsedSince(began)), nil
+	return fmt.Sprintf("%q in %s", strings.TrimSpace(string(body)), elapsedSince(start)), nil
 }
 
-// sendDuplicate sends the same key to both entries at once; it must run once.
-func (running *demo) sendDuplicate(ctx context.Context) (string, error) {
-	before := running.servedRequests()
+// sendDuplicate sends a request that must not be repeated to both entries at once, with the same idempotency
+// key. The request must run once.
+func (d *demo) sendDuplicate(ctx context.Context) (string, error) {
+	before := d.servedRequests()
 	statuses := make(chan int, entryCount)
-	for _, base := range running.client.baseURLs {
+	for _, baseURL := range d.client.baseURLs {
 		go func() {
 			header := http.Header{api.HeaderIdempotencyKey: {"billed-1"}, api.HeaderRepeatable: {"false"}}
-			status, _, _, err := running.client.send(ctx, http.MethodPost, base+snippetsPath, header, []byte("x"))
+			status, _, _, err := d.client.send(ctx, http.MethodPost, baseURL+snippetsPath, header, []byte("x"))
 			if err != nil {
 				status = 0
 			}
 			statuses <- status
 		}()
 	}
-	whole := 0
-	for range running.client.baseURLs {
+	succeeded := 0
+	for range d.client.baseURLs {
 		if <-statuses == http.StatusOK {
-			whole++
+			succeeded++
 		}
 	}
-	if ran := running.servedRequests() - before; ran != 1 || whole != 1 {
-		return "", errors.Errorf("it ran %d times and was answered %d times", ran, whole)
+	if runs := d.servedRequests() - before; runs != 1 || succeeded != 1 {
+		return "", errors.Errorf("it ran %d times and was answered %d times", runs, succeeded)
 	}
 	return "sent to both entries at once, it ran once and was answered once", nil
 }
 
-func (running *demo) servedRequests() (count int64) {
+// servedRequests returns how many requests all backend servers have started.
+func (d *demo) servedRequests() (count int64) {
 	for index := 1; index <= workerCount; index++ {
-		count += running.platform.Backend(index).Served()
+		count += d.platform.Backend(index).Served()
 	}
 	return count
 }
 
-func (running *demo) submit(ctx context.Context, asked api.TaskRequest) (*api.Task, error) {
+func (d *demo) submit(ctx context.Context, request api.TaskRequest) (*api.Task, error) {
 	task := &api.Task{}
-	return task, running.client.callJSON(ctx, http.MethodPost, "/v1/tasks", asked, task)
+	return task, d.client.callJSON(ctx, http.MethodPost, "/v1/tasks", request, task)
 }
 
-func (running *demo) waitPhase(ctx context.Context, task *api.Task, phase string) error {
+func (d *demo) waitPhase(ctx context.Context, task *api.Task, phase string) error {
 	return retry(ctx, func() error {
-		if err := running.client.callJSON(ctx, http.MethodGet, "/v1/tasks/"+task.ID, nil, task); err != nil {
+		if err := d.client.callJSON(ctx, http.MethodGet, "/v1/tasks/"+task.ID, nil, task); err != nil {
 			return err
 		}
 		if task.Phase != phase {
@@ -124,59 +126,58 @@
 	})
 }
 
-func (running *demo) runTranscription(ctx context.Context) (string, error) {
-	began := time.Now()
-	task, err := running.submit(ctx, api.TaskRequest{Team: team, Kind: "transcription", Processors: 4, Memory: "8GiB", RunTime: "500ms", Input: "seduta 12"})
+func (d *demo) runTranscription(ctx context.Context) (string, error) {
+	start := time.Now()
+	task, err := d.submit(ctx, api.TaskRequest{Team: team, Kind: "transcription", Processors: 4, Memory: "8GiB", RunTime: "500ms", Input: "seduta 12"})
 	if err != nil {
 		return "", err
 	}
-	if err := running.waitPhase(ctx, task, "running"); err != nil {
+	if err := d.waitPhase(ctx, task, "running"); err != nil {
 		return "", err
 	}
-	started := elapsedSince(began)
-	if err := running.waitPhase(ctx, task, "finished"); err != nil {
+	runningAfter := elapsedSince(start)
+	if err := d.waitPhase(ctx, task, "finished"); err != nil {
 		return "", err
 	}
 	var result api.Result
-	if err := running.client.callJSON(ctx, http.MethodGet, "/v1/tasks/"+task.ID+"/result", nil, &result); err != nil {
+	if err := d.client.callJSON(ctx, http.MethodGet, "/v1/tasks/"+task.ID+"/result", nil, &result); err != nil {
 		return "", err
 	}
 	if !strings.Contains(result.Output, `"seduta 12"`) {
-		return "", errors.Errorf("the result is %q", result.Output)
+		return "", errors.Errorf("result is %q, which does not contain the input", result.Output)
 	}
-	return fmt.Sprintf("on %s by policy %s, running after %s, recorded as finished after %s", task.Worker, task.Policy, started, elapsedSince(began)), nil
+	return fmt.Sprintf("on %s by policy %s, running after %s, recorded as finished after %s", task.Worker, task.Policy, runningAfter, elapsedSince(start)), nil
 }
 
-// publishPolicy makes one worker the best for everything and sees the next
-// task go there.
-func (running *demo) publishPolicy(ctx context.Context) (string, error) {
+// publishPolicy publishes a policy that prefers one worker and checks that the next task is placed on it.
+func (d *demo) publishPolicy(ctx context.Context) (string, error) {
 	preferred := standin.WorkerName(workerCount)
 	name := config.PolicyDocumentName(policy.Placement)
-	asked := api.PublishRequest{Author: author, Content: fmt.Sprintf("worker.name == %q ? 1 : 0", preferred)}
+	request := api.PublishRequest{Author: author, Content: fmt.Sprintf("worker.name == %q ? 1 : 0", preferred)}
 	var report api.CheckReport
-	if err := running.client.callJSON(ctx, http.MethodPost, "/v1/documents/"+name+"/check", asked, &report); err != nil {
+	if err := d.client.callJSON(ctx, http.MethodPost, "/v1/documents/"+name+"/check", request, &report); err != nil {
 		return "", err
 	}
 	var published api.Document
-	if err := running.client.callJSON(ctx, http.MethodPut, "/v1/documents/"+name, asked, &published); err != nil {
+	if err := d.client.callJSON(ctx, http.MethodPut, "/v1/documents/"+name, request, &published); err != nil {
 		return "", err
 	}
-	began := time.Now()
-	if err := retry(ctx, func() error { return running.checkInForce(ctx, name, published.Version) }); err != nil {
+	start := time.Now()
+	if err := retry(ctx, func() error { return d.checkInForce(ctx, name, published.Version) }); err != nil {
 		return "", err
 	}
-	everywhere := elapsedSince(began)
-	task, err := running.submit(ctx, api.TaskRequest{Team: team, Kind: "transcription", Processors: 1, RunTime: "100ms"})
+	inForceAfter := elapsedSince(start)
+	task, err := d.submit(ctx, api.TaskRequest{Team: team, Kind: "transcription", Processors: 1, RunTime: "100ms"})
 	if err != nil {
 		return "", err
 	}
-	if err := running.waitPhase(ctx, task, "finished"); err != nil {
+	if err := d.waitPhase(ctx, task, "finished"); err != nil {
 		return "", err
 	}
 	if task.Worker != preferred || task.Policy != "placement@1" {
-		return "", errors.Errorf("policy %s placed it on %s", task.Policy, task.Worker)
+		return "", errors.Errorf("policy %s placed the task on %s", task.Policy, task.Worker)
 	}
-	return fmt.Sprintf("checked (valid: %t), in force on all instances %s after it was accepted, next task placed on %s", report.Valid, everywhere, task.Worker), nil
+	return fmt.Sprintf("checked (valid: %t), in force on all instances %s after it was accepted, next task placed on %s", report.Valid, inForceAfter, task.Worker), nil
 }
 
 func decodeProblem(body []byte) *api.Problem {
