--- a/demo/load.go
+++ b/demo/load.go
@@ -170,9 +170,9 @@
 	client *balancedClient
 	task   string
 
-	mu       sync.Mutex
-	lastPart uint64
-	gaps     []string
+	mu             sync.Mutex
+	lastPart       uint64
+	sequenceErrors []string
 }
 
 func newWatchReader(client *balancedClient, task string) *watchReader {
@@ -221,7 +221,7 @@
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
 	if id != reader.lastPart+1 {
-		reader.gaps = append(reader.gaps, fmt.Sprintf("part %d followed part %d", id, reader.lastPart))
+		reader.sequenceErrors = append(reader.sequenceErrors, fmt.Sprintf("part %d followed part %d", id, reader.lastPart))
 	}
 	reader.lastPart = id
 }
@@ -236,10 +236,10 @@
 func (reader *watchReader) err() error {
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
-	if len(reader.gaps) == 0 {
+	if len(reader.sequenceErrors) == 0 {
 		return nil
 	}
-	return errors.New("the stream of the watch is not consecutive: " + strings.Join(reader.gaps, ", "))
+	return errors.New("the stream of the watch is not consecutive: " + strings.Join(reader.sequenceErrors, ", "))
 }
 
 // waitForPart waits until the reader has received the part with the given number.
