--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -12,9 +12,9 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// takeClaim claims a request that must not be repeated. The problem says why
+// acquireClaim claims a request that must not be repeated. The problem says why
 // it must not be run by this entry.
-func (entry *Entry) takeClaim(ctx context.Context, made *serviceCall) (*claim.Claim, *api.Problem) {
+func (entry *Entry) acquireClaim(ctx context.Context, made *serviceCall) (*claim.Claim, *api.Problem) {
 	held, err := entry.claims.Acquire(ctx, made.idempotencyKey, made.service, entry.now())
 	var taken *claim.TakenError
 	switch {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -47,7 +47,7 @@
 	peerSyncInterval    = time.Second
 	placeInterval       = 100 * time.Millisecond
 	maintenanceInterval = 5 * time.Second
-	rpcTimeout          = 2 * time.Second
+	callTimeout         = 2 * time.Second
 	appendTimeout       = 2 * time.Second
 	retryBurst          = 20
 	defaultRetryRatio   = 0.1
@@ -236,7 +236,7 @@
 
 // RefreshInstances reads the platform's list and notes which guards have gone silent.
 func (entry *Entry) RefreshInstances(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if list, err := entry.options.Instances.List(ctx, instances.AllRoles); err == nil {
 		entry.view.SetInstances(list)
@@ -258,5 +258,5 @@
 	return entry.journal.Ready() == nil && now.Sub(entry.journal.SyncedAt()) < maxLogAge
 }
 
-// Queued returns how many requests of a service wait for a slot.
-func (entry *Entry) Queued(service string) int { return entry.routes.QueueLength(service) }
+// QueueLength returns how many requests of a service wait for a slot.
+func (entry *Entry) QueueLength(service string) int { return entry.routes.QueueLength(service) }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -33,7 +33,7 @@
 }
 
 func (entry *Entry) syncPeer(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.EncodeVersions(entry.documents.Versions())}
 	reply, err := wire.NewDRPCEntryClient(entry.options.Pool.Conn(address)).Documents(ctx, request)
@@ -62,7 +62,7 @@
 }
 
 func (entry *Entry) fetchDocuments(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request := &wire.DocumentsRequest{Entry: entry.options.Name, Have: wire.EncodeVersions(entry.documents.Versions())}
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(address)).Documents(ctx, request)
--- a/entry/report.go
+++ b/entry/report.go
@@ -88,7 +88,7 @@
 // stopAttempt asks a guard to stop an attempt. A proof that it does not run there and
 // never will ends the attempt at once.
 func (entry *Entry) stopAttempt(ctx context.Context, guard *membership.Guard, request *wire.StopRequest) {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(guard.Address())).Stop(ctx, request)
 	if err != nil || !reply.GetRefusal().GetNotRun() {
--- a/entry/request.go
+++ b/entry/request.go
@@ -70,7 +70,7 @@
 	if made.repeatable {
 		return entry.runCall(ctx, writer, made, nil)
 	}
-	held, sent := entry.takeClaim(ctx, made)
+	held, sent := entry.acquireClaim(ctx, made)
 	if sent != nil {
 		return sent
 	}
--- a/entry/start.go
+++ b/entry/start.go
@@ -24,7 +24,7 @@
 	if request == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(address)).Start(ctx, request)
 	now := entry.now()
@@ -135,7 +135,7 @@
 	if guard == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), rpcTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(guard.Address())).Stop(ctx, &wire.StopRequest{
 		Task: request.GetTask(), Attempt: request.GetAttempt(), Incarnation: request.GetIncarnation(), Reason: "refused",
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -67,10 +67,10 @@
 	return noted.missing[worker]
 }
 
-// checkSilence suspects workers whose guards are silent and releases the
+// checkTimeouts suspects workers whose guards are silent and releases the
 // attempts on those whose leases must have ended. It returns the records to
 // propose.
-func (entry *Entry) checkSilence(folded *state.State, now time.Time) []*record.Record {
+func (entry *Entry) checkTimeouts(folded *state.State, now time.Time) []*record.Record {
 	var records []*record.Record
 	for _, worker := range folded.Workers() {
 		if !entry.isResponsibleFor(worker, now) {
@@ -78,7 +78,7 @@
 		}
 		suspicion := folded.ActiveSuspicion(worker)
 		if suspicion == 0 {
-			if entry.isSilent(worker, folded.SuspicionCount(worker), now) {
+			if entry.hasTimedOut(worker, folded.SuspicionCount(worker), now) {
 				records = append(records, newSuspectRecord(worker, now))
 			}
 			continue
@@ -93,9 +93,9 @@
 	return records
 }
 
-// isSilent reports whether nobody has heard the worker's guard for too long, as
+// hasTimedOut reports whether nobody has heard the worker's guard for too long, as
 // far as this entry knows.
-func (entry *Entry) isSilent(worker string, suspicions uint64, now time.Time) bool {
+func (entry *Entry) hasTimedOut(worker string, suspicions uint64, now time.Time) bool {
 	settings := entry.documents.Config()
 	if settings == nil || now.Sub(entry.suspicions.lastEndedAt(worker, suspicions, now)) <= settings.Limits().WorkerSilent() {
 		return false
@@ -126,7 +126,7 @@
 		return
 	}
 	var records []*record.Record
-	entry.journal.View(func(folded *state.State) { records = entry.checkSilence(folded, now) })
+	entry.journal.View(func(folded *state.State) { records = entry.checkTimeouts(folded, now) })
 	if len(records) == 0 {
 		return
 	}
--- a/entry/throttle.go
+++ b/entry/throttle.go
@@ -42,7 +42,7 @@
 }
 
 func (entry *Entry) throttleAttempt(ctx context.Context, guard *membership.Guard, asked *wire.ThrottleRequest) *api.Problem {
-	ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := wire.NewDRPCGuardClient(entry.options.Pool.Conn(guard.Address())).Throttle(ctx, asked)
 	if err != nil {
--- a/session/outcome_test.go
+++ b/session/outcome_test.go
@@ -80,7 +80,7 @@
 	for range slots {
 		go send("entry-2")
 	}
-	waiting := func() int { return made.entries["entry-2"].role.Queued("verbale") }
+	waiting := func() int { return made.entries["entry-2"].role.QueueLength("verbale") }
 	made.await("the refused ones wait", func() bool { return waiting() == slots })
 	free()
 	for range slots {
