--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -94,9 +94,9 @@
 		Name:  ServiceDrain,
 		Needs: []string{ServiceRPC, ServiceHTTP},
 		Stop: func(ctx context.Context) error {
-			role.Leave(ctx)
+			role.BeginShutdown(ctx)
 			sleep(ctx, delay)
-			return errors.Wrap(role.Drain(ctx), "complete requests in flight")
+			return errors.Wrap(role.WaitIdle(ctx), "complete requests in flight")
 		},
 	}
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -172,7 +172,7 @@
 func forwardedHeaders(header http.Header) []*wire.Header {
 	passed := make([]*wire.Header, 0, len(header))
 	for name, values := range header {
-		if entryHeaders[name] || guard.HopHeader(name) {
+		if entryHeaders[name] || guard.IsHopByHopHeader(name) {
 			continue
 		}
 		for _, value := range values {
--- a/guard/follow.go
+++ b/guard/follow.go
@@ -12,7 +12,7 @@
 	"ambertiller.example/ambertiller/worker"
 )
 
-const maxOutputLine = 1 << 20
+const maxOutputLineBytes = 1 << 20
 
 // Follow streams what a watch produces. It implements the drpc service.
 func (guard *Guard) Follow(request *wire.FollowRequest, stream wire.DRPCGuard_FollowStream) error {
@@ -24,19 +24,19 @@
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
 	// A leaving guard ends the stream; the entry takes it up again elsewhere.
-	stop := context.AfterFunc(guard.left, cancel)
+	stop := context.AfterFunc(guard.streamsCtx, cancel)
 	defer stop()
 	body, err := guard.options.Worker.Follow(ctx, request.GetTask(), request.GetAfterSequence())
 	if err != nil {
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	return relay(body, stream)
+	return relayOutput(body, stream)
 }
 
-func relay(body io.Reader, stream wire.DRPCGuard_FollowStream) error {
+func relayOutput(body io.Reader, stream wire.DRPCGuard_FollowStream) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxOutputLine)
+	lines.Buffer(nil, maxOutputLineBytes)
 	for lines.Scan() {
 		var output worker.Output
 		if err := json.Unmarshal(lines.Bytes(), &output); err != nil {
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -46,8 +46,8 @@
 	defaultSlots       = 8
 	defaultConnections = 64
 	reportInterval     = time.Second
-	pollInterval       = 250 * time.Millisecond
-	listInterval       = 2 * time.Second
+	workerPollInterval = 250 * time.Millisecond
+	instancesInterval  = 2 * time.Second
 	callTimeout        = 2 * time.Second
 )
 
@@ -79,28 +79,28 @@
 
 // Guard is the process beside one backend server.
 type Guard struct {
-	options     Options
-	incarnation string
-	began       time.Time
-	gate        *admission.Gate
-	shelf       *document.ActiveSet
-	backend     *http.Transport
-	latency     latency
-	wake        chan struct{}
-
-	mu       sync.Mutex
-	attempts map[string]*attempt
-	holder   *lease.Holder
-	capacity worker.Capacity
-	usage    worker.Usage
+	options       Options
+	incarnation   string
+	startedAt     time.Time
+	gate          *admission.Gate
+	documents     *document.ActiveSet
+	backend       *http.Transport
+	latency       latencyAverage
+	reportTrigger chan struct{}
+
+	mu             sync.Mutex
+	attempts       map[string]*attempt
+	leaseHolder    *lease.Holder
+	workerCapacity worker.Capacity
+	workerUsage    worker.Usage
 	// workerUptime is the worker's clock when it was last read. Leases are
 	// counted from it, so that they end early rather than late.
-	workerUptime time.Duration
-	ready        bool
-	entries      []instances.Instance
-	metrics      *metrics
-	left         context.Context
-	leave        context.CancelFunc
+	workerUptime  time.Duration
+	ready         bool
+	entries       []instances.Instance
+	metrics       *metrics
+	streamsCtx    context.Context
+	cancelStreams context.CancelFunc
 }
 
 // New returns a guard that carries nothing yet.
@@ -117,18 +117,18 @@
 	incarnation := newIncarnation()
 	left, leave := context.WithCancel(context.Background())
 	return &Guard{
-		left:        left,
-		leave:       leave,
-		options:     options,
-		incarnation: incarnation,
-		began:       options.Clock.Now(),
-		gate:        admission.NewGate(admission.Capacity{Slots: defaultSlots, Connections: defaultConnections}),
-		shelf:       document.NewActiveSet(),
-		backend:     newTransport(),
-		wake:        make(chan struct{}, 1),
-		attempts:    map[string]*attempt{},
-		holder:      lease.NewHolder(incarnation),
-		metrics:     newMetrics(options.Meters),
+		streamsCtx:    left,
+		cancelStreams: leave,
+		options:       options,
+		incarnation:   incarnation,
+		startedAt:     options.Clock.Now(),
+		gate:          admission.NewGate(admission.Capacity{Slots: defaultSlots, Connections: defaultConnections}),
+		documents:     document.NewActiveSet(),
+		backend:       newTransport(),
+		reportTrigger: make(chan struct{}, 1),
+		attempts:      map[string]*attempt{},
+		leaseHolder:   lease.NewHolder(incarnation),
+		metrics:       newMetrics(options.Meters),
 	}
 }
 
@@ -148,8 +148,8 @@
 // Gate returns what counts the work on the worker.
 func (guard *Guard) Gate() *admission.Gate { return guard.gate }
 
-// Shelf returns the documents in force.
-func (guard *Guard) Shelf() *document.ActiveSet { return guard.shelf }
+// ActiveDocuments returns the documents in force.
+func (guard *Guard) ActiveDocuments() *document.ActiveSet { return guard.documents }
 
 // Ready reports whether the guard knows its worker and may take work.
 func (guard *Guard) Ready() bool {
@@ -158,27 +158,27 @@
 	return guard.ready && !guard.gate.Leaving()
 }
 
-func (guard *Guard) uptime(now time.Time) time.Duration { return now.Sub(guard.began) }
+func (guard *Guard) uptime(now time.Time) time.Duration { return now.Sub(guard.startedAt) }
 
 // Run reports to the entries and keeps the worker's leases until ctx ends.
 func (guard *Guard) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { guard.pollLoop(ctx) })
 	loops.Go(func() { guard.reportLoop(ctx) })
-	loops.Go(func() { guard.listLoop(ctx) })
+	loops.Go(func() { guard.refreshLoop(ctx) })
 	loops.Wait()
 }
 
-// Leave refuses new work from now on and tells the entries at once.
-func (guard *Guard) Leave(ctx context.Context) {
+// BeginShutdown refuses new work from now on and tells the entries at once.
+func (guard *Guard) BeginShutdown(ctx context.Context) {
 	guard.gate.Leave()
 	guard.options.Events.Log(ctx, event.GuardLeaving)
 	guard.ReportAll(ctx)
-	guard.leave()
+	guard.cancelStreams()
 }
 
-// Drain waits until no request is in flight, or ctx ends.
-func (guard *Guard) Drain(ctx context.Context) error {
+// WaitIdle waits until no request is in flight, or ctx ends.
+func (guard *Guard) WaitIdle(ctx context.Context) error {
 	select {
 	case <-guard.gate.Idle():
 		return nil
@@ -187,14 +187,14 @@
 	}
 }
 
-func (guard *Guard) wakeReport() {
+func (guard *Guard) triggerReport() {
 	select {
-	case guard.wake <- struct{}{}:
+	case guard.reportTrigger <- struct{}{}:
 	default:
 	}
 }
 
-func (guard *Guard) load() *wire.Load {
+func (guard *Guard) currentLoad() *wire.Load {
 	usage := guard.gate.Usage()
 	capacity := guard.gate.Capacity()
 	return &wire.Load{
@@ -202,14 +202,14 @@
 		Slots:           int32(capacity.Slots),
 		ConnectionsUsed: int32(usage.Connections),
 		Connections:     int32(capacity.Connections),
-		LatencyNanos:    guard.latency.smoothed().Nanoseconds(),
+		LatencyNanos:    guard.latency.average().Nanoseconds(),
 	}
 }
 
 // applyDocuments puts newer documents in force and follows their bounds.
 func (guard *Guard) applyDocuments(ctx context.Context, copies []*wire.DocumentCopy) {
 	for _, copied := range copies {
-		changed, err := guard.shelf.Activate(wire.DecodeCopy(copied))
+		changed, err := guard.documents.Activate(wire.DecodeCopy(copied))
 		if err != nil {
 			guard.options.Events.Log(ctx, event.DocumentRejected, attrDocument(copied), attrError(err))
 			continue
@@ -218,22 +218,22 @@
 			guard.options.Events.Log(ctx, event.DocumentInForce, attrDocument(copied), attrVersion(copied))
 		}
 	}
-	guard.followBounds()
+	guard.updateCapacity()
 }
 
-func (guard *Guard) followBounds() {
+func (guard *Guard) updateCapacity() {
 	bounds := admission.Capacity{Slots: defaultSlots, Connections: defaultConnections}
-	if settings := guard.shelf.Config(); settings != nil {
+	if settings := guard.documents.Config(); settings != nil {
 		if service, found := settings.Service(guard.options.Service); found {
 			bounds.Slots, bounds.Connections = service.Slots(), service.Connections()
 		}
 	}
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	bounds.MilliCPU = guard.capacity.MilliCPU
-	bounds.MemoryBytes = guard.capacity.MemoryBytes
-	bounds.Accelerators = guard.capacity.Accelerators
-	if settings := guard.shelf.Config(); settings != nil {
+	bounds.MilliCPU = guard.workerCapacity.MilliCPU
+	bounds.MemoryBytes = guard.workerCapacity.MemoryBytes
+	bounds.Accelerators = guard.workerCapacity.Accelerators
+	if settings := guard.documents.Config(); settings != nil {
 		bounds.MilliCPU = max(0, bounds.MilliCPU-settings.Limits().ReservedMilliCPU())
 	}
 	guard.gate.SetCapacity(bounds)
--- a/guard/metrics.go
+++ b/guard/metrics.go
@@ -24,6 +24,6 @@
 	return &metrics{refusals: refusals}
 }
 
-func (counted *metrics) refused(ctx context.Context, reason wire.RefusalReason) {
+func (counted *metrics) countRefusal(ctx context.Context, reason wire.RefusalReason) {
 	counted.refusals.Add(ctx, 1, metric.WithAttributes(attribute.String("reason", reason.String())))
 }
--- a/guard/report.go
+++ b/guard/report.go
@@ -16,10 +16,10 @@
 
 // pollLoop follows the worker.
 func (guard *Guard) pollLoop(ctx context.Context) {
-	ticker := guard.options.Clock.NewTicker(pollInterval)
+	ticker := guard.options.Clock.NewTicker(workerPollInterval)
 	defer ticker.Stop()
 	for {
-		if err := guard.Poll(ctx); err != nil {
+		if err := guard.PollWorker(ctx); err != nil {
 			guard.options.Events.Log(ctx, event.WorkerUnreachable, attrError(err))
 		}
 		select {
@@ -30,15 +30,15 @@
 	}
 }
 
-// Poll reads the worker once. The first one adopts what it runs.
-func (guard *Guard) Poll(ctx context.Context) error {
+// PollWorker reads the worker once. The first one adopts what it runs.
+func (guard *Guard) PollWorker(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	guard.mu.Lock()
 	ready := guard.ready
 	guard.mu.Unlock()
 	if !ready {
-		return guard.Adopt(ctx)
+		return guard.AdoptTasks(ctx)
 	}
 	listing, err := guard.options.Worker.Tasks(ctx)
 	if err != nil {
@@ -48,30 +48,30 @@
 	if err != nil {
 		return err
 	}
-	if guard.follow(ctx, listing, usage) {
-		guard.wakeReport()
+	if guard.applyWorkerState(ctx, listing, usage) {
+		guard.triggerReport()
 	}
 	return nil
 }
 
-// follow takes over what the worker says and reports whether an attempt ended.
-func (guard *Guard) follow(ctx context.Context, listing worker.Listing, usage worker.Usage) bool {
+// applyWorkerState takes over what the worker says and reports whether an attempt ended.
+func (guard *Guard) applyWorkerState(ctx context.Context, listing worker.Listing, usage worker.Usage) bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	guard.usage = usage
+	guard.workerUsage = usage
 	guard.workerUptime = listing.Uptime
 	someEnded := false
 	for _, task := range listing.Tasks {
 		each, known := guard.attempts[task.Task]
 		if !known {
-			guard.adopt(ctx, task)
+			guard.adoptTask(ctx, task)
 			continue
 		}
-		if each.number != task.Attempt || each.ended() || each.starting {
+		if each.number != task.Attempt || each.hasEnded() || each.starting {
 			continue
 		}
-		each.follow(task)
-		if each.ended() {
+		each.update(task)
+		if each.hasEnded() {
 			someEnded = true
 			guard.gate.ReleaseTask(task.Task)
 			if each.phase == wire.TaskPhase_TASK_LAPSED {
@@ -92,17 +92,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-guard.wake:
+		case <-guard.reportTrigger:
 		case <-ticker.Chan():
 		}
 	}
 }
 
-func (guard *Guard) listLoop(ctx context.Context) {
-	ticker := guard.options.Clock.NewTicker(listInterval)
+func (guard *Guard) refreshLoop(ctx context.Context) {
+	ticker := guard.options.Clock.NewTicker(instancesInterval)
 	defer ticker.Stop()
 	for {
-		guard.ReadList(ctx)
+		guard.RefreshInstances(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -111,8 +111,8 @@
 	}
 }
 
-// ReadList learns where the entries are. An unreadable list changes nothing.
-func (guard *Guard) ReadList(ctx context.Context) {
+// RefreshInstances learns where the entries are. An unreadable list changes nothing.
+func (guard *Guard) RefreshInstances(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entries, err := guard.options.Instances.List(ctx, instances.Entry)
@@ -124,7 +124,7 @@
 	guard.entries = entries
 	guard.mu.Unlock()
 	if first {
-		guard.wakeReport()
+		guard.triggerReport()
 	}
 }
 
@@ -145,7 +145,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	client := wire.NewDRPCEntryClient(guard.options.Pool.Conn(entry.Address))
-	report, workerUptime := guard.report(guard.options.Clock.Now())
+	report, workerUptime := guard.newReport(guard.options.Clock.Now())
 	reply, err := client.Report(ctx, report)
 	if err != nil {
 		guard.options.Events.Log(ctx, event.ReportFailed, slog.String("entry", entry.Name), attrError(err))
@@ -155,10 +155,10 @@
 	guard.applyGrants(ctx, reply.GetGrants(), workerUptime)
 }
 
-// report makes a report, and returns with it the reading of the worker's clock
+// newReport makes a report, and returns with it the reading of the worker's clock
 // from which the leases granted in reply are counted: it is older than the
 // grant, so a lease ends early rather than late, however long the reply takes.
-func (guard *Guard) report(now time.Time) (*wire.ReportRequest, time.Duration) {
+func (guard *Guard) newReport(now time.Time) (*wire.ReportRequest, time.Duration) {
 	usage := guard.gate.Usage()
 	capacity := guard.gate.Capacity()
 	guard.mu.Lock()
@@ -166,17 +166,17 @@
 	report := &wire.ReportRequest{
 		Worker:        guard.options.Name,
 		Incarnation:   guard.incarnation,
-		UptimeNanos:   guard.holder.ReportUptime(guard.uptime(now)).Nanoseconds(),
+		UptimeNanos:   guard.leaseHolder.ReportUptime(guard.uptime(now)).Nanoseconds(),
 		FailureDomain: guard.options.FailureDomain,
-		Rack:          guard.capacity.Rack,
+		Rack:          guard.workerCapacity.Rack,
 		Service:       guard.options.Service,
 		Address:       guard.options.Address,
 		Leaving:       guard.gate.Leaving(),
 		Ready:         guard.ready,
 		Capacity:      &wire.Resources{MilliCpu: capacity.MilliCPU, MemoryBytes: capacity.MemoryBytes, Accelerators: capacity.Accelerators},
-		Used:          &wire.Resources{MilliCpu: guard.usage.MilliCPU, MemoryBytes: guard.usage.MemoryBytes, Accelerators: usage.Resources.Accelerators},
-		Load:          guard.load(),
-		Documents:     wire.EncodeVersions(guard.shelf.Versions()),
+		Used:          &wire.Resources{MilliCpu: guard.workerUsage.MilliCPU, MemoryBytes: guard.workerUsage.MemoryBytes, Accelerators: usage.Resources.Accelerators},
+		Load:          guard.currentLoad(),
+		Documents:     wire.EncodeVersions(guard.documents.Versions()),
 	}
 	for _, task := range slices.Sorted(maps.Keys(guard.attempts)) {
 		each := guard.attempts[task]
@@ -198,7 +198,7 @@
 	var renewals []worker.Renewal
 	for _, grant := range grants {
 		if grant.GetRecorded() {
-			guard.forget(ctx, grant)
+			guard.forgetAttempt(ctx, grant)
 		}
 		if grant.GetStop() {
 			guard.stopOrphan(ctx, grant)
@@ -219,11 +219,11 @@
 	}
 }
 
-// forget drops an attempt whose end is in the log.
-func (guard *Guard) forget(ctx context.Context, grant *wire.TaskGrant) {
+// forgetAttempt drops an attempt whose end is in the log.
+func (guard *Guard) forgetAttempt(ctx context.Context, grant *wire.TaskGrant) {
 	guard.mu.Lock()
 	each := guard.attempts[grant.GetTask()]
-	due := each != nil && each.number == grant.GetAttempt() && each.ended()
+	due := each != nil && each.number == grant.GetAttempt() && each.hasEnded()
 	guard.mu.Unlock()
 	if !due {
 		return
@@ -234,7 +234,7 @@
 	}
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	guard.drop(grant.GetTask())
+	guard.removeAttempt(grant.GetTask())
 }
 
 func (guard *Guard) stopOrphan(ctx context.Context, grant *wire.TaskGrant) {
@@ -255,7 +255,7 @@
 // log down. It implements the drpc service.
 func (guard *Guard) Documents(_ context.Context, request *wire.DocumentsRequest) (*wire.DocumentsReply, error) {
 	return &wire.DocumentsReply{
-		Documents: wire.EncodeCopies(guard.shelf.NewerThan(wire.DecodeVersions(request.GetHave()))),
-		InForce:   wire.EncodeVersions(guard.shelf.Versions()),
+		Documents: wire.EncodeCopies(guard.documents.NewerThan(wire.DecodeVersions(request.GetHave()))),
+		InForce:   wire.EncodeVersions(guard.documents.Versions()),
 	}, nil
 }
--- a/guard/serve.go
+++ b/guard/serve.go
@@ -22,7 +22,7 @@
 	// sends it back lets the guard check whose answer it got.
 	HeaderRequestID = "X-Request-Id"
 
-	chunkBytes         = 32 << 10
+	maxChunkBytes      = 32 << 10
 	backendDialTimeout = time.Second
 	backendIdleTimeout = 90 * time.Second
 )
@@ -48,13 +48,13 @@
 	// the backend server is done.
 	disconnect, err := guard.gate.AdmitConnection()
 	if err != nil {
-		return stream.Send(&wire.ServeOut{Refusal: admissionRefusal(err), Load: guard.load()})
+		return stream.Send(&wire.ServeOut{Refusal: admissionRefusal(err), Load: guard.currentLoad()})
 	}
 	defer disconnect()
-	release, refusal := guard.admit(first.GetHead())
+	release, refusal := guard.admitRequest(first.GetHead())
 	if refusal != nil {
-		guard.refused(stream.Context(), first.GetHead().GetRequestId(), refusal)
-		return stream.Send(&wire.ServeOut{Refusal: refusal, Load: guard.load()})
+		guard.recordRefusal(stream.Context(), first.GetHead().GetRequestId(), refusal)
+		return stream.Send(&wire.ServeOut{Refusal: refusal, Load: guard.currentLoad()})
 	}
 	defer release()
 	head := first.GetHead()
@@ -62,34 +62,34 @@
 	defer cancel()
 	response, err := guard.forward(ctx, head, first, stream)
 	if err != nil {
-		refusal := refusalOf(err)
-		guard.refused(ctx, head.GetRequestId(), refusal)
-		return stream.Send(&wire.ServeOut{Refusal: refusal, Load: guard.load()})
+		refusal := backendRefusal(err)
+		guard.recordRefusal(ctx, head.GetRequestId(), refusal)
+		return stream.Send(&wire.ServeOut{Refusal: refusal, Load: guard.currentLoad()})
 	}
 	defer func() { _ = response.Body.Close() }()
-	if err := guard.answer(stream, head, response, release); err != nil {
+	if err := guard.relayResponse(stream, head, response, release); err != nil {
 		return err
 	}
 	guard.latency.add(guard.options.Clock.Since(now))
 	return nil
 }
 
-func (guard *Guard) refused(ctx context.Context, requestID string, refusal *wire.Refusal) {
-	guard.metrics.refused(ctx, refusal.GetReason())
+func (guard *Guard) recordRefusal(ctx context.Context, requestID string, refusal *wire.Refusal) {
+	guard.metrics.countRefusal(ctx, refusal.GetReason())
 	guard.options.Events.Log(ctx, event.AdmissionRefused,
 		attrReason(refusal.GetReason().String()), attrRequest(requestID), attrDetail(refusal.GetDetail()))
 }
 
-// admit checks a request before anything of it runs.
-func (guard *Guard) admit(head *wire.ServeHead) (func(), *wire.Refusal) {
+// admitRequest checks a request before anything of it runs.
+func (guard *Guard) admitRequest(head *wire.ServeHead) (func(), *wire.Refusal) {
 	if head == nil {
-		return nil, notRun(wire.RefusalReason_REFUSAL_BAD_REQUEST, "the first message has no head")
+		return nil, notRunRefusal(wire.RefusalReason_REFUSAL_BAD_REQUEST, "the first message has no head")
 	}
 	if head.GetService() != guard.options.Service {
-		return nil, notRun(wire.RefusalReason_REFUSAL_WRONG_SERVICE, "this guard serves "+guard.options.Service)
+		return nil, notRunRefusal(wire.RefusalReason_REFUSAL_WRONG_SERVICE, "this guard serves "+guard.options.Service)
 	}
 	if head.GetTimeoutNanos() <= 0 {
-		return nil, notRun(wire.RefusalReason_REFUSAL_DEADLINE, "the deadline has passed")
+		return nil, notRunRefusal(wire.RefusalReason_REFUSAL_DEADLINE, "the deadline has passed")
 	}
 	release, err := guard.gate.AdmitRequest()
 	if err != nil {
@@ -98,11 +98,11 @@
 	return release, nil
 }
 
-func notRun(reason wire.RefusalReason, detail string) *wire.Refusal {
+func notRunRefusal(reason wire.RefusalReason, detail string) *wire.Refusal {
 	return &wire.Refusal{Reason: reason, Detail: detail, NotRun: true}
 }
 
-var admissionReasons = map[admission.Reason]wire.RefusalReason{
+var admissionRefusalReasons = map[admission.Reason]wire.RefusalReason{
 	admission.NoSlot:        wire.RefusalReason_REFUSAL_NO_SLOT,
 	admission.NoConnection:  wire.RefusalReason_REFUSAL_NO_CONNECTION,
 	admission.NoProcessor:   wire.RefusalReason_REFUSAL_NO_PROCESSOR,
@@ -116,21 +116,21 @@
 func admissionRefusal(err error) *wire.Refusal {
 	var refusal *admission.Refusal
 	if errors.As(err, &refusal) {
-		return notRun(admissionReasons[refusal.Reason()], err.Error())
+		return notRunRefusal(admissionRefusalReasons[refusal.Reason()], err.Error())
 	}
-	return notRun(wire.RefusalReason_REFUSAL_UNSPECIFIED, err.Error())
+	return notRunRefusal(wire.RefusalReason_REFUSAL_UNSPECIFIED, err.Error())
 }
 
-// refusalOf judges a failed exchange with the backend server. Only a
+// backendRefusal judges a failed exchange with the backend server. Only a
 // connection that was never made proves that nothing ran.
-func refusalOf(err error) *wire.Refusal {
+func backendRefusal(err error) *wire.Refusal {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		return notRun(wire.RefusalReason_REFUSAL_BACKEND_UNREACHABLE, err.Error())
+		return notRunRefusal(wire.RefusalReason_REFUSAL_BACKEND_UNREACHABLE, err.Error())
 	}
 	var bad *badRequestError
 	if errors.As(err, &bad) {
-		return notRun(wire.RefusalReason_REFUSAL_BAD_REQUEST, err.Error())
+		return notRunRefusal(wire.RefusalReason_REFUSAL_BAD_REQUEST, err.Error())
 	}
 	return &wire.Refusal{Reason: wire.RefusalReason_REFUSAL_BACKEND_UNREACHABLE, Detail: err.Error()}
 }
@@ -153,7 +153,7 @@
 		Method:        head.GetMethod(),
 		URL:           target,
 		Header:        make(http.Header, len(head.GetHeaders())+1),
-		Body:          requestBody(first, stream),
+		Body:          newRequestBody(first, stream),
 		ContentLength: head.GetContentLength(),
 	}
 	for _, header := range head.GetHeaders() {
@@ -171,27 +171,27 @@
 	return response, nil
 }
 
-// requestBody returns the body as it arrives. It is never nil and can't be
+// newRequestBody returns the body as it arrives. It is never nil and can't be
 // rewound, so that net/http does not send a request a second time by itself
 // when a kept connection breaks; whether to repeat is the entry's decision.
-func requestBody(first *wire.ServeIn, stream wire.DRPCGuard_ServeStream) io.ReadCloser {
+func newRequestBody(first *wire.ServeIn, stream wire.DRPCGuard_ServeStream) io.ReadCloser {
 	if first.GetLast() {
 		return io.NopCloser(bytes.NewReader(first.GetBody()))
 	}
-	return &streamBody{stream: stream, left: first.GetBody()}
+	return &streamBody{stream: stream, unread: first.GetBody()}
 }
 
 // streamBody reads a request's body off the call, message by message, so that
 // memory stays bounded however large the body is.
 type streamBody struct {
 	stream wire.DRPCGuard_ServeStream
-	left   []byte
+	unread []byte
 	last   bool
 }
 
 // Read implements io.Reader.
 func (body *streamBody) Read(into []byte) (int, error) {
-	for len(body.left) == 0 {
+	for len(body.unread) == 0 {
 		if body.last {
 			return 0, io.EOF
 		}
@@ -199,29 +199,29 @@
 		if err != nil {
 			return 0, errors.Wrap(io.ErrUnexpectedEOF, err.Error())
 		}
-		body.left, body.last = next.GetBody(), next.GetLast()
+		body.unread, body.last = next.GetBody(), next.GetLast()
 	}
-	count := copy(into, body.left)
-	body.left = body.left[count:]
+	count := copy(into, body.unread)
+	body.unread = body.unread[count:]
 	return count, nil
 }
 
 // Close implements io.Closer.
 func (body *streamBody) Close() error { return nil }
 
-// answer passes the response on. Only the message marked last makes it whole;
+// relayResponse passes the response on. Only the message marked last makes it whole;
 // when the backend server breaks off, the call ends without one.
-func (guard *Guard) answer(stream wire.DRPCGuard_ServeStream, head *wire.ServeHead, response *http.Response, release func()) error {
+func (guard *Guard) relayResponse(stream wire.DRPCGuard_ServeStream, head *wire.ServeHead, response *http.Response, release func()) error {
 	out := &wire.ServeOut{Head: &wire.AnswerHead{
 		RequestId:     head.GetRequestId(),
 		Status:        int32(response.StatusCode),
-		Headers:       answerHeaders(response.Header),
+		Headers:       responseHeaders(response.Header),
 		ContentLength: response.ContentLength,
 	}}
-	buffer := make([]byte, bufferSize(response.ContentLength))
+	buffer := make([]byte, responseBufferSize(response.ContentLength))
 	for {
 		count, err := io.ReadFull(response.Body, buffer)
-		whole := errors.Is(err, io.EOF) || (errors.Is(err, io.ErrUnexpectedEOF) && cleanEnd(response.Body))
+		whole := errors.Is(err, io.EOF) || (errors.Is(err, io.ErrUnexpectedEOF) && isAtEOF(response.Body))
 		if err != nil && !whole {
 			return errors.Wrap(err, "the backend server broke the answer off")
 		}
@@ -231,7 +231,7 @@
 			// carries lets the entry use it.
 			release()
 			out.Last = true
-			out.Load = guard.load()
+			out.Load = guard.currentLoad()
 		}
 		if err := stream.Send(out); err != nil {
 			return errors.Wrap(err, "send answer")
@@ -243,37 +243,37 @@
 	}
 }
 
-// bufferSize fits a small answer of known length exactly, with one byte more,
+// responseBufferSize fits a small answer of known length exactly, with one byte more,
 // so that one read finds its end.
-func bufferSize(contentLength int64) int64 {
-	if contentLength >= 0 && contentLength < chunkBytes {
+func responseBufferSize(contentLength int64) int64 {
+	if contentLength >= 0 && contentLength < maxChunkBytes {
 		return contentLength + 1
 	}
-	return chunkBytes
+	return maxChunkBytes
 }
 
-// cleanEnd tells the end of a short last chunk, for which io.ReadFull reports
+// isAtEOF tells the end of a short last chunk, for which io.ReadFull reports
 // an unexpected end, from an answer that was cut: a body that was cut reports
 // that again, one that ended reports the end.
-func cleanEnd(body io.Reader) bool {
+func isAtEOF(body io.Reader) bool {
 	var probe [1]byte
 	_, err := body.Read(probe[:])
 	return errors.Is(err, io.EOF)
 }
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders belong to one connection and are not passed on.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
-// HopHeader reports whether a header belongs to one connection only.
-func HopHeader(name string) bool { return hopHeaders[http.CanonicalHeaderKey(name)] }
+// IsHopByHopHeader reports whether a header belongs to one connection only.
+func IsHopByHopHeader(name string) bool { return hopByHopHeaders[http.CanonicalHeaderKey(name)] }
 
-func answerHeaders(from http.Header) []*wire.Header {
+func responseHeaders(from http.Header) []*wire.Header {
 	headers := make([]*wire.Header, 0, len(from))
 	for name, values := range from {
-		if hopHeaders[name] || strings.EqualFold(name, HeaderRequestID) {
+		if hopByHopHeaders[name] || strings.EqualFold(name, HeaderRequestID) {
 			continue
 		}
 		for _, value := range values {
--- a/guard/task.go
+++ b/guard/task.go
@@ -23,11 +23,11 @@
 	checkpoint []byte
 	// starting is set while the worker's answer to the start is awaited.
 	starting bool
-	// reservedAt is the worker's clock before the attempt was reserved.
-	reservedAt time.Duration
+	// leaseStart is the worker's clock before the attempt was reserved.
+	leaseStart time.Duration
 }
 
-func (each *attempt) ended() bool {
+func (each *attempt) hasEnded() bool {
 	return each.phase != wire.TaskPhase_TASK_RUNNING && each.phase != wire.TaskPhase_TASK_STOPPING
 }
 
@@ -35,32 +35,32 @@
 func (guard *Guard) Start(ctx context.Context, request *wire.StartRequest) (*wire.StartReply, error) {
 	now := guard.options.Clock.Now()
 	reply := &wire.StartReply{UptimeNanos: guard.uptime(now).Nanoseconds()}
-	if reply.Refusal = guard.reserve(request, now); reply.Refusal != nil {
-		guard.refused(ctx, request.GetTask(), reply.Refusal)
+	if reply.Refusal = guard.reserveAttempt(request, now); reply.Refusal != nil {
+		guard.recordRefusal(ctx, request.GetTask(), reply.Refusal)
 		return reply, nil
 	}
-	err := guard.options.Worker.Start(ctx, guard.startOf(request))
-	reply.Refusal = guard.started(ctx, request, err)
-	guard.wakeReport()
+	err := guard.options.Worker.Start(ctx, guard.newWorkerStartRequest(request))
+	reply.Refusal = guard.handleStartResult(ctx, request, err)
+	guard.triggerReport()
 	return reply, nil
 }
 
-// reserve decides whether the attempt may start and counts it on the worker.
-func (guard *Guard) reserve(request *wire.StartRequest, now time.Time) *wire.Refusal {
+// reserveAttempt decides whether the attempt may start and counts it on the worker.
+func (guard *Guard) reserveAttempt(request *wire.StartRequest, now time.Time) *wire.Refusal {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	known := guard.attempts[request.GetTask()]
 	if known != nil && request.GetAttempt() == known.number {
 		return &wire.Refusal{Reason: wire.RefusalReason_REFUSAL_ALREADY_RUNNING, Detail: "the attempt has been started"}
 	}
-	if err := guard.holder.Check(offerOf(request), guard.uptime(now)); err != nil {
-		return notRun(offerReasons[err], err.Error())
+	if err := guard.leaseHolder.Check(newOffer(request), guard.uptime(now)); err != nil {
+		return notRunRefusal(leaseRefusalReasons[err], err.Error())
 	}
 	switch {
-	case known != nil && (request.GetAttempt() < known.number || !known.ended()):
-		return notRun(wire.RefusalReason_REFUSAL_STALE_ATTEMPT, "another attempt is here")
+	case known != nil && (request.GetAttempt() < known.number || !known.hasEnded()):
+		return notRunRefusal(wire.RefusalReason_REFUSAL_STALE_ATTEMPT, "another attempt is here")
 	case !guard.ready:
-		return notRun(wire.RefusalReason_REFUSAL_WORKER_FAILED, "the worker is not known yet")
+		return notRunRefusal(wire.RefusalReason_REFUSAL_WORKER_FAILED, "the worker is not known yet")
 	}
 	asked := request.GetResources()
 	if err := guard.gate.AdmitTask(request.GetTask(), admission.Resources{
@@ -70,11 +70,11 @@
 	}); err != nil {
 		return admissionRefusal(err)
 	}
-	guard.attempts[request.GetTask()] = &attempt{number: request.GetAttempt(), phase: wire.TaskPhase_TASK_RUNNING, starting: true, reservedAt: guard.workerUptime}
+	guard.attempts[request.GetTask()] = &attempt{number: request.GetAttempt(), phase: wire.TaskPhase_TASK_RUNNING, starting: true, leaseStart: guard.workerUptime}
 	return nil
 }
 
-func offerOf(request *wire.StartRequest) lease.Offer {
+func newOffer(request *wire.StartRequest) lease.Offer {
 	return lease.Offer{
 		Subject:     request.GetTask(),
 		Token:       request.GetAttempt(),
@@ -83,15 +83,15 @@
 	}
 }
 
-var offerReasons = map[error]wire.RefusalReason{
+var leaseRefusalReasons = map[error]wire.RefusalReason{
 	lease.ErrOtherIncarnation: wire.RefusalReason_REFUSAL_WRONG_INCARNATION,
 	lease.ErrExpired:          wire.RefusalReason_REFUSAL_OFFER_EXPIRED,
 	lease.ErrFenced:           wire.RefusalReason_REFUSAL_STALE_ATTEMPT,
 }
 
-// started notes the worker's answer to a start. When the answer is missing the
+// handleStartResult notes the worker's answer to a start. When the answer is missing the
 // attempt counts as running until the worker's own list tells.
-func (guard *Guard) started(ctx context.Context, request *wire.StartRequest, err error) *wire.Refusal {
+func (guard *Guard) handleStartResult(ctx context.Context, request *wire.StartRequest, err error) *wire.Refusal {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	each := guard.attempts[request.GetTask()]
@@ -105,24 +105,24 @@
 		guard.options.Events.Log(ctx, event.TaskStarted, attrTask(request.GetTask()), attrAttempt(request.GetAttempt()))
 		return nil
 	case errors.As(err, &rejected):
-		guard.drop(request.GetTask())
-		return notRun(wire.RefusalReason_REFUSAL_WORKER_FAILED, err.Error())
+		guard.removeAttempt(request.GetTask())
+		return notRunRefusal(wire.RefusalReason_REFUSAL_WORKER_FAILED, err.Error())
 	case errors.Is(err, worker.ErrStale):
-		guard.drop(request.GetTask())
-		return notRun(wire.RefusalReason_REFUSAL_STALE_ATTEMPT, err.Error())
+		guard.removeAttempt(request.GetTask())
+		return notRunRefusal(wire.RefusalReason_REFUSAL_STALE_ATTEMPT, err.Error())
 	}
 	return &wire.Refusal{Reason: wire.RefusalReason_REFUSAL_WORKER_FAILED, Detail: err.Error()}
 }
 
-// drop stops counting a task; the guard's lock is held.
-func (guard *Guard) drop(task string) {
+// removeAttempt stops counting a task; the guard's lock is held.
+func (guard *Guard) removeAttempt(task string) {
 	delete(guard.attempts, task)
 	guard.gate.ReleaseTask(task)
 }
 
-// startOf makes the message to the worker. Its lease is counted from the last
+// newWorkerStartRequest makes the message to the worker. Its lease is counted from the last
 // reading of the worker's clock before the attempt was reserved.
-func (guard *Guard) startOf(request *wire.StartRequest) worker.StartRequest {
+func (guard *Guard) newWorkerStartRequest(request *wire.StartRequest) worker.StartRequest {
 	return worker.StartRequest{
 		Task:         request.GetTask(),
 		Attempt:      request.GetAttempt(),
@@ -133,17 +133,17 @@
 		MemoryBytes:  request.GetResources().GetMemoryBytes(),
 		Accelerators: request.GetResources().GetAccelerators(),
 		RunTime:      time.Duration(request.GetRunTimeNanos()),
-		LeaseEnd:     guard.reservedAt(request.GetTask()) + time.Duration(request.GetLeaseNanos()),
+		LeaseEnd:     guard.leaseStart(request.GetTask()) + time.Duration(request.GetLeaseNanos()),
 		Input:        request.GetInput(),
 		Checkpoint:   request.GetCheckpoint(),
 	}
 }
 
-func (guard *Guard) reservedAt(task string) time.Duration {
+func (guard *Guard) leaseStart(task string) time.Duration {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	if each := guard.attempts[task]; each != nil {
-		return each.reservedAt
+		return each.leaseStart
 	}
 	return 0
 }
@@ -152,7 +152,7 @@
 // implements the drpc service.
 func (guard *Guard) Stop(ctx context.Context, request *wire.StopRequest) (*wire.StopReply, error) {
 	now := guard.options.Clock.Now()
-	running, again, refusal := guard.bar(request, now)
+	running, again, refusal := guard.fenceAttempt(request, now)
 	if !running {
 		return &wire.StopReply{Refusal: refusal}, nil
 	}
@@ -165,15 +165,15 @@
 	return &wire.StopReply{Accepted: true}, nil
 }
 
-// bar sets a barrier against the attempt and reports whether it runs here, and
+// fenceAttempt sets a barrier against the attempt and reports whether it runs here, and
 // whether it was being stopped before. The refusal proves that it does not and
 // will not run.
-func (guard *Guard) bar(request *wire.StopRequest, now time.Time) (running, again bool, refusal *wire.Refusal) {
+func (guard *Guard) fenceAttempt(request *wire.StopRequest, now time.Time) (running, again bool, refusal *wire.Refusal) {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	guard.holder.Fence(request.GetTask(), request.GetAttempt(), guard.uptime(now))
+	guard.leaseHolder.Fence(request.GetTask(), request.GetAttempt(), guard.uptime(now))
 	each := guard.attempts[request.GetTask()]
-	if each != nil && each.number == request.GetAttempt() && !each.ended() {
+	if each != nil && each.number == request.GetAttempt() && !each.hasEnded() {
 		again = each.phase == wire.TaskPhase_TASK_STOPPING
 		each.phase = wire.TaskPhase_TASK_STOPPING
 		return true, again, nil
@@ -181,17 +181,17 @@
 	if each != nil && each.number == request.GetAttempt() {
 		return false, false, &wire.Refusal{Reason: wire.RefusalReason_REFUSAL_STALE_ATTEMPT, Detail: "the attempt has ended"}
 	}
-	return false, false, notRun(wire.RefusalReason_REFUSAL_STALE_ATTEMPT, "the attempt is not here and won't start here")
+	return false, false, notRunRefusal(wire.RefusalReason_REFUSAL_STALE_ATTEMPT, "the attempt is not here and won't start here")
 }
 
 // Throttle bounds an attempt to a share of its processors. It implements the
 // drpc service.
 func (guard *Guard) Throttle(ctx context.Context, request *wire.ThrottleRequest) (*wire.ThrottleReply, error) {
 	if share := request.GetShare(); !(share > 0 && share <= 1) {
-		return &wire.ThrottleReply{Refusal: notRun(wire.RefusalReason_REFUSAL_BAD_REQUEST, "the share must be above 0 and at most 1")}, nil
+		return &wire.ThrottleReply{Refusal: notRunRefusal(wire.RefusalReason_REFUSAL_BAD_REQUEST, "the share must be above 0 and at most 1")}, nil
 	}
-	if !guard.runs(request.GetTask(), request.GetAttempt()) {
-		return &wire.ThrottleReply{Refusal: notRun(wire.RefusalReason_REFUSAL_STALE_ATTEMPT, "the attempt does not run here")}, nil
+	if !guard.isRunning(request.GetTask(), request.GetAttempt()) {
+		return &wire.ThrottleReply{Refusal: notRunRefusal(wire.RefusalReason_REFUSAL_STALE_ATTEMPT, "the attempt does not run here")}, nil
 	}
 	if err := guard.options.Worker.Throttle(ctx, request.GetTask(), request.GetAttempt(), request.GetShare()); err != nil {
 		return nil, errors.Wrap(err, "throttle attempt")
@@ -200,16 +200,16 @@
 	return &wire.ThrottleReply{}, nil
 }
 
-func (guard *Guard) runs(task string, number uint64) bool {
+func (guard *Guard) isRunning(task string, number uint64) bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	each := guard.attempts[task]
 	return each != nil && each.number == number && each.phase == wire.TaskPhase_TASK_RUNNING
 }
 
-// Adopt reads what the worker has and still runs, and counts it. The guard
+// AdoptTasks reads what the worker has and still runs, and counts it. The guard
 // takes work once this has succeeded.
-func (guard *Guard) Adopt(ctx context.Context) error {
+func (guard *Guard) AdoptTasks(ctx context.Context) error {
 	capacity, err := guard.options.Worker.Capacity(ctx)
 	if err != nil {
 		return errors.Wrap(err, "read the worker's capacity")
@@ -219,18 +219,18 @@
 		return errors.Wrap(err, "read the worker's tasks")
 	}
 	guard.mu.Lock()
-	guard.capacity = capacity
+	guard.workerCapacity = capacity
 	guard.workerUptime = listing.Uptime
 	for _, task := range listing.Tasks {
-		guard.adopt(ctx, task)
+		guard.adoptTask(ctx, task)
 	}
 	guard.ready = true
 	guard.mu.Unlock()
-	guard.followBounds()
+	guard.updateCapacity()
 	return nil
 }
 
-func (guard *Guard) adopt(ctx context.Context, task worker.Task) {
+func (guard *Guard) adoptTask(ctx context.Context, task worker.Task) {
 	if _, known := guard.attempts[task.Task]; known {
 		return
 	}
@@ -241,14 +241,14 @@
 		MemoryBytes:  task.MemoryBytes,
 		Accelerators: task.Accelerators,
 	})
-	each.follow(task)
-	if each.ended() {
+	each.update(task)
+	if each.hasEnded() {
 		guard.gate.ReleaseTask(task.Task)
 	}
 	guard.options.Events.Log(ctx, event.TaskAdopted, attrTask(task.Task), attrAttempt(task.Attempt))
 }
 
-var workerPhases = map[worker.Phase]wire.TaskPhase{
+var wirePhases = map[worker.Phase]wire.TaskPhase{
 	worker.Running:  wire.TaskPhase_TASK_RUNNING,
 	worker.Stopping: wire.TaskPhase_TASK_STOPPING,
 	worker.Finished: wire.TaskPhase_TASK_FINISHED,
@@ -257,16 +257,16 @@
 	worker.Lapsed:   wire.TaskPhase_TASK_LAPSED,
 }
 
-// follow takes over what the worker says of the attempt.
-func (each *attempt) follow(task worker.Task) {
-	phase := workerPhases[task.Phase]
+// update takes over what the worker says of the attempt.
+func (each *attempt) update(task worker.Task) {
+	phase := wirePhases[task.Phase]
 	if phase == wire.TaskPhase_TASK_RUNNING && each.phase == wire.TaskPhase_TASK_STOPPING {
 		return
 	}
 	each.phase = phase
 	each.reason = task.Reason
 	each.result = task.Result
-	if each.ended() {
+	if each.hasEnded() {
 		each.checkpoint = task.Checkpoint
 	}
 }
--- a/session/failure_test.go
+++ b/session/failure_test.go
@@ -192,7 +192,7 @@
 			t.Errorf("version %d of %s is in force", each.Version, each.Name)
 		}
 	}
-	for _, each := range made.guards["worker-02"].role.Shelf().Versions() {
+	for _, each := range made.guards["worker-02"].role.ActiveDocuments().Versions() {
 		if each.Name == "policy-placement" && each.Version != 2 {
 			t.Errorf("the guard that was cut off decides by version %d", each.Version)
 		}
--- a/session/harness_test.go
+++ b/session/harness_test.go
@@ -184,10 +184,10 @@
 	made.serve(ctx, name+":rpc", func(mux *drpcmux.Mux) error { return wire.DRPCRegisterGuard(mux, role) })
 	seated := &seatedGuard{role: role, address: name + ":rpc", stop: stop}
 	made.guards[name] = seated
-	if err := role.Poll(ctx); err != nil {
+	if err := role.PollWorker(ctx); err != nil {
 		made.t.Fatal(err)
 	}
-	role.ReadList(ctx)
+	role.RefreshInstances(ctx)
 }
 
 // kill ends an instance without any goodbye.
@@ -272,7 +272,7 @@
 		if !found {
 			continue
 		}
-		if err := seated.role.Poll(made.ctx); err != nil {
+		if err := seated.role.PollWorker(made.ctx); err != nil {
 			made.t.Fatal(err)
 		}
 		for _, each := range made.list {
--- a/session/outcome_test.go
+++ b/session/outcome_test.go
@@ -19,7 +19,7 @@
 // run stays unknown, however the tries after it end.
 func TestUnknownIsNeverCalledNotRun(t *testing.T) {
 	tests := map[string]func(made *bench){
-		"the second try finds no server": func(made *bench) { made.guards["worker-02"].role.Leave(made.ctx) },
+		"the second try finds no server": func(made *bench) { made.guards["worker-02"].role.BeginShutdown(made.ctx) },
 		"the second try can't connect":   func(made *bench) { made.links.setCut("worker-02:rpc", true) },
 	}
 	for name, prepare := range tests {
@@ -59,7 +59,7 @@
 		_, _ = io.WriteString(writer, "whole")
 	})
 	made.fill()
-	made.guards["worker-02"].role.Leave(made.ctx)
+	made.guards["worker-02"].role.BeginShutdown(made.ctx)
 	const slots = 8
 	answers := make(chan *httptest.ResponseRecorder, 2*slots)
 	send := func(name string) {
