--- a/agent/crash_test.go
+++ b/agent/crash_test.go
@@ -29,7 +29,7 @@
 
 // crashWorker closes all connections to the worker and lets it answer no more calls.
 func (h *harness) crashWorker() {
-	h.worker.Fail(func(string) wireworker.Fault { return wireworker.FaultReset })
+	h.worker.InjectFaults(func(string) wireworker.Fault { return wireworker.FaultReset })
 	h.server.CloseClientConnections()
 }
 
@@ -98,7 +98,7 @@
 	owner := h.attachOwnerWithRun(&wire.Demand{MilliCpu: 1000, MemoryMb: 1000})
 	h.crashWorker()
 	h.waitForEnd(owner, wire.EndReason_END_LOST)
-	h.worker.Fail(func(string) wireworker.Fault { return wireworker.FaultNone })
+	h.worker.InjectFaults(func(string) wireworker.Fault { return wireworker.FaultNone })
 	h.advance(2 * time.Second)
 	h.crashWorker()
 	h.advance(time.Second)
--- a/agent/drain_test.go
+++ b/agent/drain_test.go
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			h.attachOwnerWithRun(test.demand)
-			h.worker.Progress(testTask, test.percent)
+			h.worker.SetProgress(testTask, test.percent)
 			h.sendDrainNotice(test.remaining)
 			h.advance(test.after)
 			if runs := h.isRunning(); runs != test.runs {
--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -28,8 +28,8 @@
 	}
 	h := newHarness(t)
 	confirmed := make(chan wireworker.Change, 8)
-	h.worker.Watch(func(change wireworker.Change) {
-		if change.Kind == wireworker.Noted {
+	h.worker.OnChange(func(change wireworker.Change) {
+		if change.Kind == wireworker.Acknowledged {
 			confirmed <- change
 		}
 	})
@@ -52,11 +52,11 @@
 	nextOwner := h.attachOwner(2)
 	h.waitFor(func() bool { return nextOwner.firstEnd() != nil })
 	nextOwner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: nextOwner.firstEnd().GetNumber()}}})
-	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen >= 1 })
+	h.waitFor(func() bool { _, seen := h.worker.Polls(); return seen >= 1 })
 	select {
 	case change := <-confirmed:
 		if change.Task == testTask {
-			t.Fatalf("run %d of %s was confirmed as %s after its owner's grant was over", change.Attempt, change.Task, change.How)
+			t.Fatalf("run %d of %s was confirmed as %s after its owner's grant was over", change.Attempt, change.Task, change.Reason)
 		}
 	default:
 	}
@@ -69,7 +69,7 @@
 	h := newHarness(t)
 	taskName := func(i int) string { return fmt.Sprintf("%s.0.0.%d", otherJob, i) }
 	for i := range runCount {
-		h.worker.Put(taskName(i), 1, time.Hour)
+		h.worker.AddRun(taskName(i), 1, time.Hour)
 	}
 	h.sendHeartbeat()
 	owner := h.connectOwner(&wire.OwnerMessage{
--- a/agent/evacuation_test.go
+++ b/agent/evacuation_test.go
@@ -80,14 +80,14 @@
 	owner := h.attachReadyOwner(1)
 	var sent atomic.Int32
 	answer := make(chan struct{})
-	h.worker.Fail(func(path string) wireworker.Fault {
+	h.worker.InjectFaults(func(path string) wireworker.Fault {
 		if path == "/v1/run-start" {
 			sent.Add(1)
 			<-answer
 		}
 		return wireworker.FaultNone
 	})
-	h.worker.RaiseToken(time.Hour)
+	h.worker.RaiseFencingToken(time.Hour)
 	owner.send(&wire.OwnerMessage{Starts: []*wire.StartOrder{newStartOrder(1)}})
 	for sent.Load() == 0 {
 		time.Sleep(time.Millisecond)
--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -287,7 +287,7 @@
 func (h *harness) advance(duration time.Duration) {
 	polls, polledAt := 0, h.clock.Now()
 	polled := func() bool {
-		count, _ := h.worker.Looks()
+		count, _ := h.worker.Polls()
 		if count == polls {
 			return false
 		}
--- a/agent/lease_test.go
+++ b/agent/lease_test.go
@@ -15,7 +15,7 @@
 	h := newHarness(t)
 	owner := h.attachReadyOwner(1)
 	h.mustStart(owner, newStartOrder(1))
-	h.worker.Fail(func(string) wireworker.Fault { return wireworker.FaultReset })
+	h.worker.InjectFaults(func(string) wireworker.Fault { return wireworker.FaultReset })
 	h.advance(time.Second)
 	if owner.firstEnd() != nil {
 		t.Fatal("the run was given up before the lease expired")
@@ -52,7 +52,7 @@
 // before an owner has had time to attach.
 func TestAdoptedRunWaitsForOwner(t *testing.T) {
 	h := newHarness(t)
-	h.worker.Put(testTask, 1, 4*time.Second)
+	h.worker.AddRun(testTask, 1, 4*time.Second)
 	h.sendHeartbeat()
 	h.advance(time.Second)
 	if !h.isRunning() {
--- a/agent/order_test.go
+++ b/agent/order_test.go
@@ -15,11 +15,11 @@
 	h.mustStart(owner, newStartOrder(1))
 	h.worker.End(testTask, "done")
 	h.waitFor(func() bool { return owner.firstEnd() != nil })
-	if _, storedEnd := h.worker.Looks(); storedEnd != 0 {
+	if _, storedEnd := h.worker.Polls(); storedEnd != 0 {
 		t.Errorf("the worker was told to forget end %d before it was stored", storedEnd)
 	}
 	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: owner.firstEnd().GetNumber()}}})
-	h.waitFor(func() bool { _, storedEnd := h.worker.Looks(); return storedEnd == 1 })
+	h.waitFor(func() bool { _, storedEnd := h.worker.Polls(); return storedEnd == 1 })
 }
 
 // TestStartOutcomes checks why the agent refuses start orders.
@@ -57,15 +57,15 @@
 		want    wire.StartOutcome
 		running bool
 	}{
-		"executed":                 {wireworker.FaultLost, wire.StartOutcome_START_STARTED, true},
-		"executed seconds later":   {wireworker.FaultLate, wire.StartOutcome_START_WORKER_FAILED, false},
+		"executed":                 {wireworker.FaultLostResponse, wire.StartOutcome_START_STARTED, true},
+		"executed seconds later":   {wireworker.FaultDelayed, wire.StartOutcome_START_WORKER_FAILED, false},
 		"did not reach the worker": {wireworker.FaultReset, wire.StartOutcome_START_WORKER_FAILED, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			owner := h.attachReadyOwner(1)
-			h.worker.Fail(func(path string) wireworker.Fault {
+			h.worker.InjectFaults(func(path string) wireworker.Fault {
 				if path == "/v1/run-start" {
 					return test.fault
 				}
@@ -74,7 +74,7 @@
 			if got := h.orderStart(owner, newStartOrder(1)); got != test.want {
 				t.Errorf("start outcome %v, want %v", got, test.want)
 			}
-			h.worker.CarryOut()
+			h.worker.ExecuteDelayedStarts()
 			if running := h.isRunning(); running != test.running {
 				t.Errorf("running: %v, want %v", running, test.running)
 			}
--- a/agent/pace_test.go
+++ b/agent/pace_test.go
@@ -12,7 +12,7 @@
 // runs that were slowed when all processes were killed stayed slowed to their end.
 func TestAdoptedRunPaceIsReset(t *testing.T) {
 	h := newHarness(t)
-	h.worker.Put(testTask, 3, 20*time.Second)
+	h.worker.AddRun(testTask, 3, 20*time.Second)
 	h.worker.SetPace(testTask, 5, 50)
 	h.sendHeartbeat()
 	owner := h.attachOwner(1)
--- a/agent/poll_test.go
+++ b/agent/poll_test.go
@@ -11,8 +11,8 @@
 // number: an earlier agent has let the worker forget the ends before it.
 func TestEndNumbersAfterAgentRestart(t *testing.T) {
 	h := newHarness(t)
-	h.worker.Number(200)
-	h.worker.Put(testTask, 3, 4*time.Second)
+	h.worker.SetLastEndNumber(200)
+	h.worker.AddRun(testTask, 3, 4*time.Second)
 	h.sendHeartbeat()
 	owner := h.attachOwner(1)
 	h.waitFor(func() bool {
@@ -21,5 +21,5 @@
 	h.worker.End(testTask, "done")
 	h.waitFor(func() bool { return owner.firstEnd() != nil })
 	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: owner.firstEnd().GetNumber()}}})
-	h.waitFor(func() bool { _, storedEnd := h.worker.Looks(); return storedEnd == 201 })
+	h.waitFor(func() bool { _, storedEnd := h.worker.Polls(); return storedEnd == 201 })
 }
--- a/agent/restart_test.go
+++ b/agent/restart_test.go
@@ -33,7 +33,7 @@
 // newDatedHarness returns a harness whose worker reports its start time.
 func newDatedHarness(t *testing.T) *harness {
 	h := newHarness(t)
-	h.worker = wireworker.NewDated(workerID, h.clock)
+	h.worker = wireworker.NewWithStartTime(workerID, h.clock)
 	h.servedWorker.Store(h.worker)
 	return h
 }
@@ -57,13 +57,13 @@
 // heartbeatJSON returns the body of a heartbeat of an incarnation of the worker.
 func (h *harness) heartbeatJSON(worker *wireworker.Worker, sequence int, state string) string {
 	return fmt.Sprintf(`{"service":"verbale","address":%q,"zone":%q,"state":%q,"capacity":{"cpu":4000,"mem_mb":8000},"seq":%d,"born":%d}`,
-		strings.TrimPrefix(h.server.URL, "http://"), testDomain, state, sequence, worker.Born())
+		strings.TrimPrefix(h.server.URL, "http://"), testDomain, state, sequence, worker.StartTime())
 }
 
 // restartWorker restarts the worker under the same ID, after it was away for the given time.
 func (h *harness) restartWorker(away time.Duration) {
 	h.t.Helper()
-	next := h.worker.StartAgain()
+	next := h.worker.Restart()
 	h.server.CloseClientConnections()
 	h.advanceUnpolled(away)
 	h.worker = next
@@ -86,16 +86,16 @@
 func (h *harness) waitReadyAs(owner *ownerStream, worker *wireworker.Worker) {
 	h.t.Helper()
 	h.waitFor(func() bool {
-		looks, _ := worker.Looks()
+		looks, _ := worker.Polls()
 		status := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil }).GetStatus()
-		return looks > 0 && status.GetReady() && (status.GetBorn() == worker.Born() || status.GetBorn() == 0)
+		return looks > 0 && status.GetReady() && (status.GetBorn() == worker.StartTime() || status.GetBorn() == 0)
 	})
 }
 
 // newStartOrderFor returns an order to start a run of a task on an incarnation.
 func newStartOrderFor(worker *wireworker.Worker, task string) *wire.StartOrder {
 	order := newStartOrder(1)
-	order.Task, order.Born = task, worker.Born()
+	order.Task, order.Born = task, worker.StartTime()
 	return order
 }
 
@@ -142,7 +142,7 @@
 		h.waitFor(func() bool { return len(owner.endsOf(numberedTask(number))) > 0 })
 		owner.confirmEnd(owner.endsOf(numberedTask(number))[0])
 	}
-	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == int64(count) })
+	h.waitFor(func() bool { _, seen := h.worker.Polls(); return seen == int64(count) })
 }
 
 // TestEndsAfterRestartAreReported checks that the owner is told each end after a restart, when the worker
@@ -160,7 +160,7 @@
 		h.worker.End(numberedTask(number), "done")
 	}
 	h.advance(4 * time.Second)
-	if _, seen := h.worker.Looks(); seen != 0 {
+	if _, seen := h.worker.Polls(); seen != 0 {
 		t.Errorf("the worker was told to forget its ends up to %d, of which none was confirmed", seen)
 	}
 	for number := 3; number < 6; number++ {
@@ -194,7 +194,7 @@
 			}
 			owner.confirmEnd(end)
 			h.advance(2 * time.Second)
-			if _, seen := h.worker.Looks(); seen != 0 {
+			if _, seen := h.worker.Polls(); seen != 0 {
 				t.Errorf("the worker was told to forget its ends up to %d", seen)
 			}
 		})
@@ -228,13 +228,13 @@
 		nextOwner.confirmEnd(nextOwner.endsOf(numberedTask(number))[0])
 	}
 	h.advance(2 * time.Second)
-	if _, seen := h.worker.Looks(); seen != 3 {
+	if _, seen := h.worker.Polls(); seen != 3 {
 		t.Errorf("the worker was told to forget its ends up to %d", seen)
 	}
 	for number := 6; number < 8; number++ {
 		nextOwner.confirmEnd(nextOwner.endsOf(numberedTask(number))[0])
 	}
-	h.waitFor(func() bool { _, seen := h.worker.Looks(); return seen == 5 })
+	h.waitFor(func() bool { _, seen := h.worker.Polls(); return seen == 5 })
 }
 
 // TestWorkerRestartsAfterLeaving checks that a worker may restart under the same ID after it has left.
@@ -288,7 +288,7 @@
 		t.Errorf("the run was reported as over: %v", ends)
 	}
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
-	if last.GetStatus().GetBorn() != h.worker.Born() || last.GetStatus().GetDraining() {
+	if last.GetStatus().GetBorn() != h.worker.StartTime() || last.GetStatus().GetDraining() {
 		t.Errorf("the agent manages %v", last.GetStatus())
 	}
 }
@@ -306,9 +306,9 @@
 	if got := h.orderStart(owner, newStartOrderFor(first, testTask)); got != wire.StartOutcome_START_WRONG_WORKER {
 		t.Errorf("the start was answered %v", got)
 	}
-	owner.send(&wire.OwnerMessage{Stops: []*wire.StopOrder{{Shard: testShard, Epoch: 1, Task: numberedTask(1), Attempt: 1, Worker: workerID, Born: first.Born()}}})
+	owner.send(&wire.OwnerMessage{Stops: []*wire.StopOrder{{Shard: testShard, Epoch: 1, Task: numberedTask(1), Attempt: 1, Worker: workerID, Born: first.StartTime()}}})
 	owner.send(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{
-		Shard: testShard, Epoch: 1, Worker: workerID, Born: first.Born(), Demand: &wire.Demand{MilliCpu: 4000, MemoryMb: 100, Priority: -1},
+		Shard: testShard, Epoch: 1, Worker: workerID, Born: first.StartTime(), Demand: &wire.Demand{MilliCpu: 4000, MemoryMb: 100, Priority: -1},
 	}}})
 	h.advance(time.Second)
 	if _, runs := h.worker.Running(numberedTask(1)); !runs {
@@ -339,9 +339,9 @@
 // is in transit.
 func (h *harness) restartDuringStart(owner *ownerStream) {
 	h.t.Helper()
-	h.worker.Fail(func(path string) wireworker.Fault {
+	h.worker.InjectFaults(func(path string) wireworker.Fault {
 		if path == "/v1/run-start" {
-			return wireworker.FaultLate
+			return wireworker.FaultDelayed
 		}
 		return wireworker.FaultReset
 	})
@@ -366,7 +366,7 @@
 			h := newDatedHarness(t)
 			owner := h.attachOwnerTo(h.worker)
 			h.restartDuringStart(owner)
-			h.worker.CarryOut()
+			h.worker.ExecuteDelayedStarts()
 			if !h.isRunning() {
 				t.Fatal("the late start was not carried out")
 			}
@@ -382,7 +382,7 @@
 			if owner.startOutcome() == wire.StartOutcome_START_WORKER_FAILED {
 				t.Error("the run was reported as not started")
 			}
-			h.worker.CarryOut()
+			h.worker.ExecuteDelayedStarts()
 			if h.isRunning() {
 				t.Error("the run was started again")
 			}
@@ -400,7 +400,7 @@
 	h.waitFor(func() bool {
 		return len(owner.endsOf(testTask)) > 0 || owner.startOutcome() != wire.StartOutcome_START_UNSPECIFIED
 	})
-	h.worker.CarryOut()
+	h.worker.ExecuteDelayedStarts()
 	if h.isRunning() {
 		t.Error("the start was carried out after its owner was told that the run is over")
 	}
@@ -426,7 +426,7 @@
 	h.finishRuns(owner, 3)
 	h.restartWorker(300 * time.Millisecond)
 	h.advance(time.Second)
-	if _, seen := h.worker.Looks(); seen != 0 {
+	if _, seen := h.worker.Polls(); seen != 0 {
 		t.Errorf("the worker was told to forget its ends up to %d", seen)
 	}
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
@@ -461,7 +461,7 @@
 	}
 	h.advance(2 * time.Second)
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
-	if last.GetStatus().GetDraining() || last.GetStatus().GetBorn() != h.worker.Born() || !h.isRunning() {
+	if last.GetStatus().GetDraining() || last.GetStatus().GetBorn() != h.worker.StartTime() || !h.isRunning() {
 		t.Errorf("the agent manages %v", last.GetStatus())
 	}
 }
@@ -477,7 +477,7 @@
 	h.finishRuns(owner, 2)
 	h.restartWorker(300 * time.Millisecond)
 	h.advance(time.Second)
-	if _, seen := h.worker.Looks(); seen != 0 {
+	if _, seen := h.worker.Polls(); seen != 0 {
 		t.Errorf("the worker was told to forget its ends up to %d", seen)
 	}
 }
@@ -492,7 +492,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newDatedHarness(t)
 			owner := h.attachOwnerTo(h.worker)
-			h.worker.Fail(func(path string) wireworker.Fault {
+			h.worker.InjectFaults(func(path string) wireworker.Fault {
 				if path == "/v1/run-start" {
 					return wireworker.FaultReset
 				}
@@ -502,8 +502,8 @@
 				t.Fatalf("the start was answered %v", got)
 			}
 			h.restartWorker(300 * time.Millisecond)
-			h.waitFor(func() bool { looks, _ := h.worker.Looks(); return looks > 0 })
-			h.worker.RaiseToken(ahead)
+			h.waitFor(func() bool { looks, _ := h.worker.Polls(); return looks > 0 })
+			h.worker.RaiseFencingToken(ahead)
 			h.advance(500 * time.Millisecond)
 			for i := range 3 {
 				h.sendHeartbeatOf(h.worker, i+1, "ready")
@@ -579,7 +579,7 @@
 		if err := proto.Unmarshal(value, record); err != nil {
 			h.t.Fatal(err)
 		}
-		if slices.Contains(record.EndedIncarnations(), incarnation.New(workerID, ended.Born())) {
+		if slices.Contains(record.EndedIncarnations(), incarnation.New(workerID, ended.StartTime())) {
 			return true
 		}
 	}
@@ -605,7 +605,7 @@
 			owner := h.attachOwnerTo(first)
 			h.restartDuringStart(owner)
 			if carriedOut {
-				h.worker.CarryOut()
+				h.worker.ExecuteDelayedStarts()
 				h.worker.End(testTask, "done")
 			}
 			h.sendHeartbeatOf(h.worker, 1, "ready")
--- a/agent/successor_test.go
+++ b/agent/successor_test.go
@@ -23,7 +23,7 @@
 	for name, order := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
-			h.worker.Put(testTask, 1, time.Hour)
+			h.worker.AddRun(testTask, 1, time.Hour)
 			owner := h.attachOwner(1)
 			for sequence, id := range order {
 				beat := h.firstHeartbeat()
@@ -53,7 +53,7 @@
 func TestSuccessorTakesOverOnce(t *testing.T) {
 	h := newHarness(t)
 	release := make(chan struct{})
-	h.worker.Fail(func(string) wireworker.Fault {
+	h.worker.InjectFaults(func(string) wireworker.Fault {
 		<-release
 		return wireworker.FaultNone
 	})
@@ -106,10 +106,10 @@
 // there, whose lease an earlier agent renewed. The run goes on until that lease has expired.
 func TestAdoptedRunKeptUntilLeaseIsOver(t *testing.T) {
 	h := newHarness(t)
-	h.worker.Put(testTask, 1, 4*time.Second)
+	h.worker.AddRun(testTask, 1, 4*time.Second)
 	leaseEnd := h.worker.LeaseEnd()
 	h.sendHeartbeat()
-	h.waitFor(func() bool { looks, _ := h.worker.Looks(); return looks > 1 })
+	h.waitFor(func() bool { looks, _ := h.worker.Polls(); return looks > 1 })
 	if err := h.server.Listener.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -101,7 +101,7 @@
 // effect is settled by reading the log, and that the retries have no effect.
 func TestLostAppendResponse(t *testing.T) {
 	log := standin.NewLog(0)
-	log.LoseAnswers(3)
+	log.LoseResponses(3)
 	journal := startJournal(t, log, changelog.Options{Writer: "one"})
 	outcomes, err := journal.Append(testContext(t), publishRecord(0, "x"))
 	if err != nil || !outcomes[0].IsAccepted() {
@@ -303,7 +303,7 @@
 	first := startJournal(t, log, changelog.Options{Writer: "one", SnapshotEvery: 10})
 	second := startJournal(t, log, changelog.Options{Writer: "two", SnapshotEvery: 10})
 	appendTasks(t, first, 0, 25)
-	waitFor(t, "a snapshot to be written", func() bool { return log.End(changelog.SnapshotStream) > 0 })
+	waitFor(t, "a snapshot to be written", func() bool { return log.EndOffset(changelog.SnapshotStream) > 0 })
 	waitFor(t, "the second instance to catch up", func() bool { return taskCount(second) == 25 })
 }
 
--- a/cmd/ambertiller/platform_test.go
+++ b/cmd/ambertiller/platform_test.go
@@ -71,7 +71,7 @@
 func (d *platformDeployment) startRole(role, ip string) *exec.Cmd {
 	d.t.Helper()
 	path := filepath.Join(d.t.TempDir(), "local.toml")
-	file := bootfile.File{Name: role + "-" + ip, IP: ip, Worker: d.workerAddress, Store: d.storeAddress, LeaseMost: maxLease}
+	file := bootfile.File{NodeName: role + "-" + ip, IP: ip, WorkerAddress: d.workerAddress, StoreAddress: d.storeAddress, MaxLease: maxLease}
 	if err := file.Write(path); err != nil {
 		d.t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 // sendHeartbeat sends a heartbeat of the worker to the agent at ip and reports whether it was accepted.
 func (d *platformDeployment) sendHeartbeat(ip string) bool {
 	body := fmt.Sprintf(`{"service":"verbale","address":"%s","zone":"milano-a","state":"ready","capacity":{"cpu":4000,"mem_mb":8000},"labels":["a","r1"],"seq":1}`, d.workerAddress)
-	status, _ := d.sendRequest(http.MethodPut, "http://"+bootfile.Beats(ip)+"/v1/instances/"+workerIncarnation, body)
+	status, _ := d.sendRequest(http.MethodPut, "http://"+bootfile.HeartbeatAddress(ip)+"/v1/instances/"+workerIncarnation, body)
 	return status == http.StatusOK
 }
 
@@ -141,7 +141,7 @@
 	firstGateway := d.startRole("gateway", firstIP)
 	agent := d.startRole("agent", agentIP)
 	d.waitFor("the agent to accept a heartbeat", func() bool { return d.sendHeartbeat(agentIP) })
-	url := "http://" + bootfile.Front(firstIP) + "/q/" + platformJobID
+	url := "http://" + bootfile.ClientAddress(firstIP) + "/q/" + platformJobID
 	d.waitFor("the gateway to accept the job", func() bool {
 		status, _ := d.sendRequest(http.MethodPost, url, submissionBody)
 		return status == http.StatusOK
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	d.worker.End(platformTaskID, "done")
-	url = "http://" + bootfile.Front(secondIP) + "/q/" + platformJobID
+	url = "http://" + bootfile.ClientAddress(secondIP) + "/q/" + platformJobID
 	d.waitFor("the job to be completed", func() bool {
 		_, text := d.sendRequest(http.MethodGet, url, "")
 		return strings.Contains(text, "completed")
--- a/command/evacuate_test.go
+++ b/command/evacuate_test.go
@@ -45,7 +45,7 @@
 	if _, exists := store.Newest(platform.OperatorTopic, 0, platform.EvacuationKey("milano-a")); exists {
 		t.Error("the record of the evacuation was not deleted")
 	}
-	store.Fail(func(string) wirestore.Fault { return wirestore.FaultBusy })
+	store.InjectFaults(func(string) wirestore.Fault { return wirestore.FaultUnavailable })
 	if code, _, stderr := runCommand("evacuate", "--settings", path, "milano-a"); code != command.ExitUnreachable || !strings.Contains(stderr, "call it again") {
 		t.Errorf("store unavailable: exit code %d, stderr %q", code, stderr)
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -157,16 +157,16 @@
 		status int
 		stored bool
 	}{
-		"refused":                   {[]wirestore.Fault{wirestore.FaultBusy}, http.StatusServiceUnavailable, false},
-		"answer lost, then success": {[]wirestore.Fault{wirestore.FaultLost, wirestore.FaultNone}, http.StatusOK, true},
-		"answer lost, then refused": {[]wirestore.Fault{wirestore.FaultLost, wirestore.FaultBusy}, http.StatusGatewayTimeout, true},
+		"refused":                   {[]wirestore.Fault{wirestore.FaultUnavailable}, http.StatusServiceUnavailable, false},
+		"answer lost, then success": {[]wirestore.Fault{wirestore.FaultLostResponse, wirestore.FaultNone}, http.StatusOK, true},
+		"answer lost, then refused": {[]wirestore.Fault{wirestore.FaultLostResponse, wirestore.FaultUnavailable}, http.StatusGatewayTimeout, true},
 		"always reset":              {[]wirestore.Fault{wirestore.FaultReset}, http.StatusGatewayTimeout, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, routesConfiguration)
 			count := 0
-			h.store.FailTopic(job.TopicJobs, func() wirestore.Fault {
+			h.store.InjectAppendFaults(job.TopicJobs, func() wirestore.Fault {
 				fault := test.faults[min(count, len(test.faults)-1)]
 				count++
 				return fault
--- a/operator/reader_test.go
+++ b/operator/reader_test.go
@@ -51,11 +51,11 @@
 		}, []string{"a"}},
 		"evacuated just before history is dropped": {topicWriter.writeConfiguration, func(writer topicWriter) {
 			writer.evacuate("a")
-			writer.store.DropHistory()
+			writer.store.Compact()
 		}, []string{"a"}},
 		"evacuation ended just before history is dropped": {func(writer topicWriter) { writer.evacuate("a") }, func(writer topicWriter) {
 			writer.endEvacuation("a")
-			writer.store.DropHistory()
+			writer.store.Compact()
 		}, nil},
 	}
 	for name, test := range tests {
@@ -72,11 +72,11 @@
 			}
 			test.between(topicWriter{store})
 			clock.Advance(time.Second)
-			store.Fail(func(string) wirestore.Fault { return wirestore.FaultReset })
+			store.InjectFaults(func(string) wirestore.Fault { return wirestore.FaultReset })
 			if _, err := reader.Read(context.Background()); err == nil {
 				t.Error("a read on a reset connection succeeded")
 			}
-			store.Fail(nil)
+			store.InjectFaults(nil)
 			second := mustRead(t, reader)
 			if !second.AsOf.Equal(clock.Now()) || !slices.Equal(second.Evacuations.Domains(), test.want) {
 				t.Errorf("got %v as of %v", second.Evacuations.Domains(), second.AsOf)
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -145,18 +145,18 @@
 	case !machine.reportsStartTime:
 		machine.worker = wireworker.New(fmt.Sprintf("%s-life-%d", machine.name, machine.incarnations), machine.fleet.clock)
 	case machine.worker == nil:
-		machine.worker = wireworker.NewDated(machine.name, machine.fleet.clock)
+		machine.worker = wireworker.NewWithStartTime(machine.name, machine.fleet.clock)
 	default:
-		machine.worker = machine.worker.StartAgain()
+		machine.worker = machine.worker.Restart()
 	}
-	machine.worker.Watch(machine.recordAcknowledged)
+	machine.worker.OnChange(machine.recordAcknowledged)
 	machine.startedAt = map[string]time.Time{}
 	machine.sequence, machine.lastHeartbeatAt, machine.downAt = 0, time.Time{}, time.Time{}
 }
 
 // recordAcknowledged records the tasks of which the worker is told to forget a run as done.
 func (machine *machine) recordAcknowledged(change wireworker.Change) {
-	if change.Kind == wireworker.Noted && change.How == "done" {
+	if change.Kind == wireworker.Acknowledged && change.Reason == "done" {
 		// The caller may or may not hold machine.mu, so the field has a lock of its own.
 		machine.acknowledgedMu.Lock()
 		defer machine.acknowledgedMu.Unlock()
@@ -237,7 +237,7 @@
 	machine.sequence++
 	machine.lastHeartbeatAt = now
 	machine.agent.HandleHeartbeat(platform.Heartbeat{
-		Incarnation: incarnation.New(machine.worker.ID(), machine.worker.Born()), Service: "verbale",
+		Incarnation: incarnation.New(machine.worker.ID(), machine.worker.StartTime()), Service: "verbale",
 		Address: strings.TrimPrefix(machine.server.URL, "http://"), MilliCPU: 8000, MemoryMB: 8000, Sequence: machine.sequence,
 	})
 }
--- a/owner/membership_test.go
+++ b/owner/membership_test.go
@@ -109,12 +109,12 @@
 	clock := clockwork.NewFakeClock()
 	store := wirestore.New(8, clock.Now)
 	count := 0
-	store.Fail(func(call string) wirestore.Fault {
+	store.InjectFaults(func(call string) wirestore.Fault {
 		if call != "/v1/log-append" {
 			return wirestore.FaultNone
 		}
 		count++
-		return []wirestore.Fault{wirestore.FaultLost, wirestore.FaultReset, wirestore.FaultBusy, wirestore.FaultNone}[count%4]
+		return []wirestore.Fault{wirestore.FaultLostResponse, wirestore.FaultReset, wirestore.FaultUnavailable, wirestore.FaultNone}[count%4]
 	})
 	o, _ := runOwner(t, clock, store)
 	advanceUntil(t, clock, func() bool { return len(ownedEpochs(o)) == 8 })
--- a/owner/partition_test.go
+++ b/owner/partition_test.go
@@ -28,12 +28,12 @@
 		t.Fatal("no task was started")
 	}
 	allTraffic := func([]byte) bool { return true }
-	partitioned.relay.Hold(allTraffic, true, true)
+	partitioned.relay.Pause(allTraffic, true, true)
 	completed := func() bool { return f.state(fleetJobID) == job.State_STATE_COMPLETED }
 	if !f.advanceUntil(30*time.Second, completed) {
 		t.Fatal("the tasks of the partitioned machine were not completed elsewhere")
 	}
-	partitioned.relay.LetGo()
+	partitioned.relay.Resume()
 	f.advanceUntil(10*time.Second, func() bool { return false })
 	restarted := 0
 	for index := range tasks {
--- a/owner/prune_test.go
+++ b/owner/prune_test.go
@@ -43,15 +43,15 @@
 func TestPrunedJobIsNotRestarted(t *testing.T) {
 	tests := map[string]wirestore.Fault{
 		"store answers":    wirestore.FaultNone,
-		"store is busy":    wirestore.FaultBusy,
-		"answer is lost":   wirestore.FaultLost,
+		"store is busy":    wirestore.FaultUnavailable,
+		"answer is lost":   wirestore.FaultLostResponse,
 		"connection reset": wirestore.FaultReset,
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newEndedJobHarness(t)
 			failures := 1
-			h.store.FailTopic(job.TopicJobs, func() wirestore.Fault {
+			h.store.InjectAppendFaults(job.TopicJobs, func() wirestore.Fault {
 				failures--
 				if failures >= 0 {
 					return fault
--- a/owner/registration_test.go
+++ b/owner/registration_test.go
@@ -44,7 +44,7 @@
 	t.Cleanup(cancel)
 	clock := clockwork.NewFakeClock()
 	f := &registrationFleet{clock: clock, store: wirestore.New(fleetShards, clock.Now)}
-	f.store.TakeTurns(clock, appendTime)
+	f.store.SetAppendTime(clock, appendTime)
 	server := httptest.NewServer(f.store)
 	t.Cleanup(func() {
 		cancel()
--- a/rpc/silent_test.go
+++ b/rpc/silent_test.go
@@ -67,7 +67,7 @@
 			defer pool.Close() //nolint:errcheck // nothing is on its way.
 			address := between.Address()
 			addIdleConns(t, pool, address, 4)
-			between.Silence(test.toServer, test.toClient)
+			between.DiscardTraffic(test.toServer, test.toClient)
 			client := wire.NewDRPCPeerClient(pool.Conn(address))
 			silent, done := context.WithTimeout(ctx, callTimeout)
 			if _, err := client.Pending(silent, &wire.PendingRequest{}); err == nil {
--- a/session/claims_test.go
+++ b/session/claims_test.go
@@ -78,7 +78,7 @@
 			return
 		default:
 			made.tick(time.Millisecond)
-			made.log.Nudge()
+			made.log.ExpireReads()
 			runtime.Gosched()
 		}
 	}
--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -20,7 +20,7 @@
 	for _, jobs := range []int{1, 8, 32} {
 		t.Run(fmt.Sprint(jobs, " jobs"), func(t *testing.T) {
 			made := newSession(t)
-			appends, bytes := made.log.Appends(), made.log.Bytes(changelog.RecordStream)
+			appends, bytes := made.log.Appends(), made.log.StreamBytes(changelog.RecordStream)
 			for number := range jobs {
 				body := `{"team":"councils","kind":"transcription","processors":1,"memory":"1GiB","run_time":"1s","input":"seduta"}`
 				if answer := made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, fmt.Sprint(number)); answer.Code != http.StatusCreated {
@@ -32,7 +32,7 @@
 			made.report("worker-01", "worker-02")
 			made.pass(2 * time.Second)
 			made.report("worker-01", "worker-02")
-			appends, bytes = made.log.Appends()-appends, made.log.Bytes(changelog.RecordStream)-bytes
+			appends, bytes = made.log.Appends()-appends, made.log.StreamBytes(changelog.RecordStream)-bytes
 			if appends > int64(mostAppendsPerTask*jobs) {
 				t.Errorf("%d appends for %d jobs", appends, jobs)
 			}
--- a/session/failure_test.go
+++ b/session/failure_test.go
@@ -131,7 +131,7 @@
 	backend := &countingBackend{runs: map[string]int{}}
 	made.backend = backend
 	made.fill()
-	made.log.LoseAnswers(1)
+	made.log.LoseResponses(1)
 	first := made.doQuiet("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-77")
 	made.kill("entry-1")
 	made.catchUp()
--- a/session/harness_test.go
+++ b/session/harness_test.go
@@ -251,13 +251,13 @@
 			continue
 		}
 		made.await(name+" reads the log", func() bool {
-			made.log.Nudge()
+			made.log.ExpireReads()
 			if made.restless {
 				made.tick(time.Millisecond)
 			}
 			var next int64
 			seated.journal.View(func(folded *state.State) { next = folded.NextOffset() })
-			return !seated.journal.SyncedAt().Before(now) && next == made.log.End(changelog.RecordStream)
+			return !seated.journal.SyncedAt().Before(now) && next == made.log.EndOffset(changelog.RecordStream)
 		})
 		seated.role.SyncDocuments(made.ctx)
 	}
--- a/session/soak_test.go
+++ b/session/soak_test.go
@@ -100,7 +100,7 @@
 	case 14:
 		made.fault("drain begun or ended", func() { made.toggleDrain(made.pick(bothWorkers)) })
 	case 15:
-		made.fault("answers lost", func() { made.log.LoseAnswers(1 + made.draws.IntN(2)) })
+		made.fault("answers lost", func() { made.log.LoseResponses(1 + made.draws.IntN(2)) })
 	}
 }
 
@@ -174,7 +174,7 @@
 // heal ends every fault and lets the work come to its end.
 func (made *soak) heal() {
 	made.log.SetDown(false)
-	made.log.LoseAnswers(0)
+	made.log.LoseResponses(0)
 	for _, name := range bothWorkers {
 		made.unreachable[name] = false
 		made.links.setCut(name+":rpc", false)
--- a/soak/client_test.go
+++ b/soak/client_test.go
@@ -93,7 +93,7 @@
 func (caller *client) call(ctx context.Context, method string, gateway int, id, body string) (status int, text string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askWithin)
 	defer cancel()
-	url := "http://" + bootfile.Front(caller.site.gateways[gateway%gatewayCount].ip) + "/q/" + id
+	url := "http://" + bootfile.ClientAddress(caller.site.gateways[gateway%gatewayCount].ip) + "/q/" + id
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
--- a/soak/fault_test.go
+++ b/soak/fault_test.go
@@ -47,7 +47,7 @@
 	}},
 	{"open connections to an agent silent", func(_ context.Context, made *site, draw *rand.Rand) {
 		toServer, toClient := directions(draw)
-		made.paths[draw.IntN(len(made.paths))].Silence(toServer, toClient)
+		made.paths[draw.IntN(len(made.paths))].DiscardTraffic(toServer, toClient)
 	}},
 	{"connections to an agent reset", func(_ context.Context, made *site, draw *rand.Rand) {
 		made.paths[draw.IntN(len(made.paths))].Reset()
@@ -68,16 +68,16 @@
 		made.any(draw).signal(syscall.SIGTERM)
 	}},
 	{"store busy or without answers", func(ctx context.Context, made *site, draw *rand.Rand) {
-		kind := []wirestore.Fault{wirestore.FaultBusy, wirestore.FaultLost, wirestore.FaultReset}[draw.IntN(3)]
+		kind := []wirestore.Fault{wirestore.FaultUnavailable, wirestore.FaultLostResponse, wirestore.FaultReset}[draw.IntN(3)]
 		share := 0.2 + 0.8*draw.Float64()
-		made.store.Fail(func(string) wirestore.Fault {
+		made.store.InjectFaults(func(string) wirestore.Fault {
 			if rand.Float64() < share {
 				return kind
 			}
 			return wirestore.FaultNone
 		})
 		sleep(ctx, length(draw))
-		made.store.Fail(nil)
+		made.store.InjectFaults(nil)
 	}},
 	{"orders unanswered", func(ctx context.Context, made *site, draw *rand.Rand) {
 		struck := made.machines[draw.IntN(len(made.machines))].current()
@@ -85,15 +85,15 @@
 		if struck == nil {
 			return
 		}
-		struck.Fail(func(string) wireworker.Fault {
+		struck.InjectFaults(func(string) wireworker.Fault {
 			if rand.Float64() >= share {
 				return wireworker.FaultNone
 			}
-			return []wireworker.Fault{wireworker.FaultLost, wireworker.FaultReset, wireworker.FaultLate}[rand.IntN(3)]
+			return []wireworker.Fault{wireworker.FaultLostResponse, wireworker.FaultReset, wireworker.FaultDelayed}[rand.IntN(3)]
 		})
 		sleep(ctx, lasts)
-		struck.Fail(nil)
-		struck.CarryOut()
+		struck.InjectFaults(nil)
+		struck.ExecuteDelayedStarts()
 	}},
 	{"worker crashes", func(_ context.Context, made *site, draw *rand.Rand) {
 		made.machines[draw.IntN(len(made.machines))].crash(length(draw))
@@ -115,13 +115,13 @@
 // storeFaults are those of the store as a whole.
 var storeFaults = []fault{
 	{"store away", func(ctx context.Context, made *site, draw *rand.Rand) {
-		kind := []wirestore.Fault{wirestore.FaultSilent, wirestore.FaultReset, wirestore.FaultBusy}[draw.IntN(3)]
-		made.store.Fail(func(string) wirestore.Fault { return kind })
+		kind := []wirestore.Fault{wirestore.FaultNoResponse, wirestore.FaultReset, wirestore.FaultUnavailable}[draw.IntN(3)]
+		made.store.InjectFaults(func(string) wirestore.Fault { return kind })
 		sleep(ctx, time.Duration(draw.Int64N(int64(storeAwayMost))))
-		made.store.Fail(nil)
+		made.store.InjectFaults(nil)
 	}},
 	{"store without its history", func(_ context.Context, made *site, _ *rand.Rand) {
-		made.store.DropHistory()
+		made.store.Compact()
 	}},
 }
 
@@ -191,11 +191,11 @@
 func holdUp(ctx context.Context, draw *rand.Rand, whose func(greeting []byte) bool, relays ...*relay.Relay) {
 	toServer, toClient := directions(draw)
 	for _, between := range relays {
-		between.Hold(whose, toServer, toClient)
+		between.Pause(whose, toServer, toClient)
 	}
 	sleep(ctx, length(draw))
 	for _, between := range relays {
-		between.LetGo()
+		between.Resume()
 	}
 }
 
--- a/soak/ledger_caught_test.go
+++ b/soak/ledger_caught_test.go
@@ -19,14 +19,14 @@
 		second = "i-2-life-1"
 	)
 	start := func(book *ledger, life string, attempt int32) {
-		book.note(life, wireworker.Change{Kind: wireworker.Renewed, Until: time.Now().Add(time.Hour)})
+		book.note(life, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(time.Hour)})
 		book.note(life, wireworker.Change{Kind: wireworker.Started, Task: task, Attempt: attempt})
 	}
 	end := func(book *ledger, life string, attempt int32, how string) {
-		book.note(life, wireworker.Change{Kind: wireworker.Ended, Task: task, Attempt: attempt, How: how})
+		book.note(life, wireworker.Change{Kind: wireworker.Ended, Task: task, Attempt: attempt, Reason: how})
 	}
 	noted := func(book *ledger, life string, attempt int32, how string) {
-		book.note(life, wireworker.Change{Kind: wireworker.Noted, Task: task, Attempt: attempt, How: how})
+		book.note(life, wireworker.Change{Kind: wireworker.Acknowledged, Task: task, Attempt: attempt, Reason: how})
 	}
 	tests := map[string]struct {
 		play func(book *ledger)
@@ -38,7 +38,7 @@
 		}, "TWICE"},
 		"the lease of the first has run out": {func(book *ledger) {
 			start(book, first, 1)
-			book.note(first, wireworker.Change{Kind: wireworker.Renewed, Until: time.Now().Add(-time.Second)})
+			book.note(first, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(-time.Second)})
 			start(book, second, 2)
 		}, ""},
 		"its worker has crashed": {func(book *ledger) {
--- a/soak/ledger_test.go
+++ b/soak/ledger_test.go
@@ -69,7 +69,7 @@
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	if change.Kind == wireworker.Renewed {
-		book.leases[life] = change.Until
+		book.leases[life] = change.LeaseEnd
 		return
 	}
 	task := book.task(change.Task)
@@ -78,10 +78,10 @@
 		book.noteStart(task, life, change)
 	case wireworker.Ended:
 		delete(task.running, life)
-		if change.How == "done" {
+		if change.Reason == "done" {
 			task.done = append(task.done, &doneRun{life: life, attempt: change.Attempt})
 		}
-	case wireworker.Noted:
+	case wireworker.Acknowledged:
 		book.noteNoted(task, life, change)
 	}
 }
@@ -144,7 +144,7 @@
 }
 
 func (book *ledger) noteNoted(task *taskLedger, life string, change wireworker.Change) {
-	switch change.How {
+	switch change.Reason {
 	case "failed":
 		task.failed++
 	case "done":
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -42,7 +42,7 @@
 		role: role, name: name, ip: ip, binary: made.binary, store: between,
 		settings: filepath.Join(made.dir, name+".toml"), log: filepath.Join(made.dir, name+".log"),
 	}
-	file := bootfile.File{Name: name, IP: ip, Worker: app, Store: between.Address(), LeaseMost: leaseMost}
+	file := bootfile.File{NodeName: name, IP: ip, WorkerAddress: app, StoreAddress: between.Address(), MaxLease: leaseMost}
 	if err := file.Write(prepared.settings); err != nil {
 		t.Fatal(err)
 	}
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	made := &site{dir: dir, binary: binary, store: wirestore.New(shardCount, time.Now), book: newLedger(), relayed: map[string]string{}}
 	made.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(published))
-	made.store.Rewrite(job.TopicAgents, made.relayAgent)
+	made.store.RewriteAppends(job.TopicAgents, made.relayAgent)
 	server := httptest.NewServer(made.store)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -82,15 +82,15 @@
 		beside.server.Close()
 	})
 	begun := newProcess(ctx, t, made, "agent", fmt.Sprintf("side-%d", number), ip, beside.address())
-	path, err := relay.New(ctx, bootfile.Agent(ip))
+	path, err := relay.New(ctx, bootfile.AgentAddress(ip))
 	if err != nil {
 		t.Fatal(err)
 	}
-	made.noteRelay(bootfile.Agent(ip), path.Address())
+	made.noteRelay(bootfile.AgentAddress(ip), path.Address())
 	made.agents = append(made.agents, begun)
 	made.machines = append(made.machines, beside)
 	made.paths = append(made.paths, path)
-	go beside.run(ctx, bootfile.Beats(ip))
+	go beside.run(ctx, bootfile.HeartbeatAddress(ip))
 }
 
 func (made *site) noteRelay(agent, relay string) {
@@ -126,17 +126,17 @@
 
 // heal ends everything that goes on from outside.
 func (made *site) heal() {
-	made.store.Fail(nil)
+	made.store.InjectFaults(nil)
 	for _, path := range made.paths {
-		path.LetGo()
+		path.Resume()
 	}
 	for _, begun := range slices.Concat(made.agents, made.gateways) {
-		begun.store.LetGo()
+		begun.store.Resume()
 	}
 	for _, machine := range made.machines {
 		if worker := machine.current(); worker != nil {
-			worker.Fail(nil)
-			worker.CarryOut()
+			worker.InjectFaults(nil)
+			worker.ExecuteDelayedStarts()
 		}
 	}
 }
@@ -158,7 +158,7 @@
 	t.Helper()
 	for number := range 60 {
 		network := fmt.Sprintf("127.%d", 120+(os.Getpid()+number)%60)
-		listener, err := net.Listen("tcp", bootfile.Front(network+".0.1"))
+		listener, err := net.Listen("tcp", bootfile.ClientAddress(network+".0.1"))
 		if err == nil {
 			t.Cleanup(func() { _ = listener.Close() })
 			return network
--- a/soak/worker_test.go
+++ b/soak/worker_test.go
@@ -66,7 +66,7 @@
 		worker = machine.anotherWorker()
 	}
 	life := machine.lifeName()
-	worker.Watch(func(change wireworker.Change) {
+	worker.OnChange(func(change wireworker.Change) {
 		machine.book.note(life, change)
 		if change.Kind == wireworker.Started {
 			machine.endLater(worker, change)
@@ -77,7 +77,7 @@
 
 func (machine *machine) anotherWorker() *wireworker.Worker {
 	if machine.dated {
-		return wireworker.NewDated(machine.id(), clockwork.NewRealClock())
+		return wireworker.NewWithStartTime(machine.id(), clockwork.NewRealClock())
 	}
 	return wireworker.New(machine.id(), clockwork.NewRealClock())
 }
@@ -102,7 +102,7 @@
 		lives := machine.worker == worker
 		machine.mu.Unlock()
 		if lives {
-			worker.EndRun(begun.Task, begun.Attempt, how)
+			worker.EndAttempt(begun.Task, begun.Attempt, how)
 		}
 	})
 }
@@ -160,7 +160,7 @@
 		machine.crash(away)
 		return
 	}
-	machine.end(away, (*wireworker.Worker).StartAgain)
+	machine.end(away, (*wireworker.Worker).Restart)
 }
 
 func (machine *machine) end(away time.Duration, next func(over *wireworker.Worker) *wireworker.Worker) {
@@ -214,7 +214,7 @@
 	id, sequence, down := machine.id(), machine.sequence, time.Now().Before(machine.downTill)
 	born := ""
 	if machine.dated {
-		born = fmt.Sprintf(`,"born":%d`, machine.worker.Born())
+		born = fmt.Sprintf(`,"born":%d`, machine.worker.StartTime())
 	}
 	machine.mu.Unlock()
 	if down {
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -15,8 +15,8 @@
 	HeaderWork = "X-Standin-Work"
 	// HeaderBytes is how large the answer is.
 	HeaderBytes = "X-Standin-Bytes"
-	// HeaderCut breaks the answer off after half of it.
-	HeaderCut = "X-Standin-Cut"
+	// HeaderTruncate breaks the answer off after half of it.
+	HeaderTruncate = "X-Standin-Cut"
 	// HeaderHold keeps the request in flight until its name is let go.
 	HeaderHold = "X-Standin-Hold"
 	// HeaderCount counts the run under a name.
@@ -25,13 +25,13 @@
 	HeaderRequestID = "X-Request-Id"
 )
 
-const maxAnswer = 1 << 28
+const maxResponseBytes = 1 << 28
 
 // Backend is a stand-in for a backend server: it corrects snippets.
 type Backend struct {
 	name     string
 	workTime time.Duration
-	holds    *holds
+	holds    *holdSet
 	served   atomic.Int64
 	inFlight atomic.Int64
 	peak     atomic.Int64
@@ -39,11 +39,11 @@
 
 // NewBackend returns a backend server whose requests take workTime.
 func NewBackend(name string, workTime time.Duration) *Backend {
-	return &Backend{name: name, workTime: workTime, holds: newHolds()}
+	return &Backend{name: name, workTime: workTime, holds: newHoldSet()}
 }
 
-// Held returns how many requests have come to be held under the name.
-func (backend *Backend) Held(name string) int { return backend.holds.count(name) }
+// HeldCount returns how many requests have come to be held under the name.
+func (backend *Backend) HeldCount(name string) int { return backend.holds.waitingCount(name) }
 
 // Release lets the requests go that are held under the name.
 func (backend *Backend) Release(name string) { backend.holds.release(name) }
@@ -56,24 +56,24 @@
 
 // ServeHTTP implements http.Handler.
 func (backend *Backend) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	backend.count(backend.inFlight.Add(1))
+	backend.recordRequest(backend.inFlight.Add(1))
 	defer backend.inFlight.Add(-1)
-	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(writer, "the request is cut", http.StatusBadRequest)
 		return
 	}
 	if name := request.Header.Get(HeaderCount); name != "" {
-		backend.holds.run(name)
+		backend.holds.countRun(name)
 	}
 	if name := request.Header.Get(HeaderHold); name != "" {
 		backend.holds.wait(request.Context(), name)
 	}
-	backend.work(request)
+	backend.simulateWork(request)
 	writer.Header().Set(HeaderRequestID, request.Header.Get(HeaderRequestID))
 	writer.Header().Set("X-Served-By", backend.name)
-	if size, err := strconv.Atoi(request.Header.Get(HeaderBytes)); err == nil && size >= 0 && size <= maxAnswer {
-		backend.writeBytes(writer, size, request.Header.Get(HeaderCut) != "")
+	if size, err := strconv.Atoi(request.Header.Get(HeaderBytes)); err == nil && size >= 0 && size <= maxResponseBytes {
+		backend.writeBytes(writer, size, request.Header.Get(HeaderTruncate) != "")
 		return
 	}
 	if _, err := fmt.Fprintf(writer, "corrected: %s\n", body); err != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (backend *Backend) count(inFlight int64) {
+func (backend *Backend) recordRequest(inFlight int64) {
 	backend.served.Add(1)
 	for {
 		peak := backend.peak.Load()
@@ -91,7 +91,7 @@
 	}
 }
 
-func (backend *Backend) work(request *http.Request) {
+func (backend *Backend) simulateWork(request *http.Request) {
 	workTime := backend.workTime
 	if asked, err := time.ParseDuration(request.Header.Get(HeaderWork)); err == nil {
 		workTime = asked
--- a/standin/bootfile/bootfile.go
+++ b/standin/bootfile/bootfile.go
@@ -18,25 +18,25 @@
 
 // Ports at which the programs are reached, on the address of their own.
 const (
-	frontPort = "8161"
-	readyPort = "8167"
-	beatPort  = "8166"
-	agentPort = "7721" // the second of internal_ports
+	clientPort    = "8161"
+	readinessPort = "8167"
+	heartbeatPort = "8166"
+	agentPort     = "7721" // the second of internal_ports
 )
 
 // File is what differs from process to process.
 type File struct {
-	// Name is the node's, IP the address that it has for itself.
-	Name, IP string
-	// Worker is the address of the worker beside an agent, empty for a gateway.
-	Worker string
-	// Store is the address of the platform's store.
-	Store string
-	// LeaseMost is the longest lease that workers take.
-	LeaseMost time.Duration
+	// NodeName is the node's, IP the address that it has for itself.
+	NodeName, IP string
+	// WorkerAddress is the address of the worker beside an agent, empty for a gateway.
+	WorkerAddress string
+	// StoreAddress is the address of the platform's store.
+	StoreAddress string
+	// MaxLease is the longest lease that workers take.
+	MaxLease time.Duration
 }
 
-const text = `
+const settingsFormat = `
 node_name = "%s"
 ip = "%s"
 zone = "milano-a"
@@ -59,16 +59,16 @@
 
 // Write writes the file.
 func (file File) Write(path string) error {
-	filled := fmt.Sprintf(text, file.Name, file.IP, file.Worker, Front(file.IP), net.JoinHostPort(file.IP, readyPort), Beats(file.IP),
-		file.LeaseMost.Milliseconds(), file.Store)
+	filled := fmt.Sprintf(settingsFormat, file.NodeName, file.IP, file.WorkerAddress, ClientAddress(file.IP), net.JoinHostPort(file.IP, readinessPort), HeartbeatAddress(file.IP),
+		file.MaxLease.Milliseconds(), file.StoreAddress)
 	return errors.Wrap(os.WriteFile(path, []byte(filled), 0o600), "write the settings file")
 }
 
-// Front is where clients reach a gateway.
-func Front(ip string) string { return net.JoinHostPort(ip, frontPort) }
+// ClientAddress is where clients reach a gateway.
+func ClientAddress(ip string) string { return net.JoinHostPort(ip, clientPort) }
 
-// Beats is where workers reach an agent.
-func Beats(ip string) string { return net.JoinHostPort(ip, beatPort) }
+// HeartbeatAddress is where workers reach an agent.
+func HeartbeatAddress(ip string) string { return net.JoinHostPort(ip, heartbeatPort) }
 
-// Agent is where owners reach an agent.
-func Agent(ip string) string { return net.JoinHostPort(ip, agentPort) }
+// AgentAddress is where owners reach an agent.
+func AgentAddress(ip string) string { return net.JoinHostPort(ip, agentPort) }
--- a/standin/direct.go
+++ b/standin/direct.go
@@ -13,7 +13,7 @@
 
 var errOutage = errors.New("the log is out of service")
 
-var errLostAnswer = errors.New("the answer was lost")
+var errLostResponse = errors.New("the answer was lost")
 
 var _ logservice.Service = (*Log)(nil)
 
@@ -25,8 +25,8 @@
 		return 0, errOutage
 	case result.retryAfter > 0:
 		return 0, &logservice.ThrottledError{RetryAfter: result.retryAfter}
-	case result.lost:
-		return 0, errLostAnswer
+	case result.responseLost:
+		return 0, errLostResponse
 	}
 	return result.offset, nil
 }
@@ -43,46 +43,46 @@
 	return page, nil
 }
 
-// Nudge makes every waiting read return at once, as if its time had passed.
-func (kept *Log) Nudge() {
+// ExpireReads makes every waiting read return at once, as if its time had passed.
+func (kept *Log) ExpireReads() {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
-	kept.nudges++
+	kept.readExpirations++
 	for _, named := range kept.streams {
-		close(named.grown)
-		named.grown = make(chan struct{})
+		close(named.appended)
+		named.appended = make(chan struct{})
 	}
 }
 
 // DirectWorker calls a stand-in worker without a network between. Its Follow
 // is not supported; streams need the real interface.
 type DirectWorker struct {
-	fake *Worker
+	target *Worker
 }
 
 // Direct returns the worker's interface without a network between.
-func (fake *Worker) Direct() *DirectWorker { return &DirectWorker{fake: fake} }
+func (fake *Worker) Direct() *DirectWorker { return &DirectWorker{target: fake} }
 
 var _ worker.Worker = (*DirectWorker)(nil)
 
 // Capacity implements worker.Worker.
 func (direct *DirectWorker) Capacity(context.Context) (worker.Capacity, error) {
-	return direct.fake.options.Capacity, nil
+	return direct.target.options.Capacity, nil
 }
 
 // Usage implements worker.Worker.
 func (direct *DirectWorker) Usage(context.Context) (worker.Usage, error) {
-	return direct.fake.usage(), nil
+	return direct.target.usage(), nil
 }
 
 // Tasks implements worker.Worker.
 func (direct *DirectWorker) Tasks(context.Context) (worker.Listing, error) {
-	return direct.fake.list(), nil
+	return direct.target.listTasks(), nil
 }
 
 // Start implements worker.Worker.
 func (direct *DirectWorker) Start(_ context.Context, start worker.StartRequest) error {
-	stale, failure := direct.fake.start(start, time.Now())
+	stale, failure := direct.target.startTask(start, time.Now())
 	switch {
 	case stale:
 		return worker.ErrStale
@@ -94,23 +94,23 @@
 
 // Stop implements worker.Worker.
 func (direct *DirectWorker) Stop(_ context.Context, task string, attempt uint64) error {
-	return direct.change(task, attempt, stopRunning)
+	return direct.updateAttempt(task, attempt, requestStop)
 }
 
 // Throttle implements worker.Worker.
 func (direct *DirectWorker) Throttle(_ context.Context, task string, attempt uint64, share float64) error {
-	return direct.change(task, attempt, func(each *running) { each.throttle = share })
+	return direct.updateAttempt(task, attempt, func(each *taskState) { each.throttle = share })
 }
 
 // Renew implements worker.Worker.
 func (direct *DirectWorker) Renew(_ context.Context, renewals []worker.Renewal) error {
-	direct.fake.renew(renewals)
+	direct.target.renewLeases(renewals)
 	return nil
 }
 
 // Forget implements worker.Worker.
 func (direct *DirectWorker) Forget(_ context.Context, task string, attempt uint64) error {
-	return direct.change(task, attempt, direct.fake.forgetEnded)
+	return direct.updateAttempt(task, attempt, direct.target.removeEnded)
 }
 
 // Follow implements worker.Worker.
@@ -118,8 +118,8 @@
 	return nil, errors.New("streams need the worker's HTTP interface")
 }
 
-func (direct *DirectWorker) change(task string, attempt uint64, change func(each *running)) error {
-	if !direct.fake.withAttempt(task, attempt, change) {
+func (direct *DirectWorker) updateAttempt(task string, attempt uint64, change func(each *taskState)) error {
+	if !direct.target.updateAttempt(task, attempt, change) {
 		return worker.ErrStale
 	}
 	return nil
--- a/standin/hold.go
+++ b/standin/hold.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// holds keeps requests in flight at the backend servers until they are let go,
+// holdSet keeps requests in flight at the backend servers until they are let go,
 // so that a test can act while they are there, and counts runs by name.
-type holds struct {
+type holdSet struct {
 	mu    sync.Mutex
-	named map[string]*hold
+	holds map[string]*hold
 	runs  map[string]int
 }
 
@@ -18,33 +18,33 @@
 	released chan struct{}
 }
 
-func newHolds() *holds { return &holds{named: map[string]*hold{}, runs: map[string]int{}} }
+func newHoldSet() *holdSet { return &holdSet{holds: map[string]*hold{}, runs: map[string]int{}} }
 
-// run counts a run under a name.
-func (kept *holds) run(name string) {
+// countRun counts a run under a name.
+func (kept *holdSet) countRun(name string) {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
 	kept.runs[name]++
 }
 
-func (kept *holds) ran(name string) int {
+func (kept *holdSet) runCount(name string) int {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
 	return kept.runs[name]
 }
 
-func (kept *holds) get(name string) *hold {
-	found, known := kept.named[name]
+func (kept *holdSet) getOrCreate(name string) *hold {
+	found, known := kept.holds[name]
 	if !known {
 		found = &hold{released: make(chan struct{})}
-		kept.named[name] = found
+		kept.holds[name] = found
 	}
 	return found
 }
 
-func (kept *holds) wait(ctx context.Context, name string) {
+func (kept *holdSet) wait(ctx context.Context, name string) {
 	kept.mu.Lock()
-	held := kept.get(name)
+	held := kept.getOrCreate(name)
 	held.waiting++
 	kept.mu.Unlock()
 	select {
@@ -53,17 +53,17 @@
 	}
 }
 
-// count returns how many requests have come to be held under the name.
-func (kept *holds) count(name string) int {
+// waitingCount returns how many requests have come to be held under the name.
+func (kept *holdSet) waitingCount(name string) int {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
-	return kept.get(name).waiting
+	return kept.getOrCreate(name).waiting
 }
 
-func (kept *holds) release(name string) {
+func (kept *holdSet) release(name string) {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
-	held := kept.get(name)
+	held := kept.getOrCreate(name)
 	select {
 	case <-held.released:
 	default:
--- a/standin/http.go
+++ b/standin/http.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	maxBody      = 16 << 20
-	longestWait  = 30 * time.Second
-	readMaxLimit = 4096
+	maxBodyBytes   = 16 << 20
+	maxReadWait    = 30 * time.Second
+	maxReadEntries = 4096
 )
 
 // platformHandler serves the log and the instance list, and the controls that
@@ -31,10 +31,10 @@
 	mux.HandleFunc("PUT /instances/{name}/state/{state}", platform.serveInstanceState)
 	mux.HandleFunc("PUT /control/log/{state}", platform.serveLogState)
 	mux.HandleFunc("GET /control/holds/{name}", func(writer http.ResponseWriter, request *http.Request) {
-		answer(writer, http.StatusOK, platform.holds.count(request.PathValue("name")))
+		writeJSON(writer, http.StatusOK, platform.holds.waitingCount(request.PathValue("name")))
 	})
 	mux.HandleFunc("GET /control/counts/{name}", func(writer http.ResponseWriter, request *http.Request) {
-		answer(writer, http.StatusOK, platform.holds.ran(request.PathValue("name")))
+		writeJSON(writer, http.StatusOK, platform.holds.runCount(request.PathValue("name")))
 	})
 	mux.HandleFunc("DELETE /control/holds/{name}", func(writer http.ResponseWriter, request *http.Request) {
 		platform.holds.release(request.PathValue("name"))
@@ -68,10 +68,10 @@
 	case result.retryAfter > 0:
 		writer.Header().Set("Retry-After", strconv.FormatFloat(result.retryAfter.Seconds(), 'f', 3, 64))
 		http.Error(writer, "too many appends", http.StatusTooManyRequests)
-	case result.lost:
+	case result.responseLost:
 		panic(http.ErrAbortHandler)
 	default:
-		answer(writer, http.StatusCreated, logservice.AppendResponse{Offset: result.offset})
+		writeJSON(writer, http.StatusCreated, logservice.AppendResponse{Offset: result.offset})
 	}
 }
 
@@ -93,16 +93,16 @@
 	}
 	page, up := kept.waitRead(request.Context(), request.PathValue("stream"), logservice.ReadOptions{
 		From: from,
-		Max:  min(most, readMaxLimit),
-		Wait: min(wait, longestWait),
+		Max:  min(most, maxReadEntries),
+		Wait: min(wait, maxReadWait),
 	})
 	switch {
 	case !up:
 		http.Error(writer, "outage", http.StatusServiceUnavailable)
 	case from < page.Earliest:
-		answer(writer, http.StatusGone, logservice.Page{Earliest: page.Earliest, Next: page.Next})
+		writeJSON(writer, http.StatusGone, logservice.Page{Earliest: page.Earliest, Next: page.Next})
 	default:
-		answer(writer, http.StatusOK, page)
+		writeJSON(writer, http.StatusOK, page)
 	}
 }
 
@@ -113,16 +113,16 @@
 	if role := instances.Role(request.URL.Query().Get("role")); role != instances.AllRoles {
 		listed = slices.DeleteFunc(listed, func(each instances.Instance) bool { return each.Role != role })
 	}
-	tag := tagOf(listed)
+	tag := newEntityTag(listed)
 	writer.Header().Set("ETag", tag)
 	if request.Header.Get("If-None-Match") == tag {
 		writer.WriteHeader(http.StatusNotModified)
 		return
 	}
-	answer(writer, http.StatusOK, listed)
+	writeJSON(writer, http.StatusOK, listed)
 }
 
-func tagOf(listed []instances.Instance) string {
+func newEntityTag(listed []instances.Instance) string {
 	hash := xxhash.New()
 	for _, each := range listed {
 		_, _ = fmt.Fprintf(hash, "%+v\n", each)
@@ -131,7 +131,7 @@
 }
 
 func (platform *Platform) serveInstanceState(writer http.ResponseWriter, request *http.Request) {
-	if !platform.setState(request.PathValue("name"), request.PathValue("state")) {
+	if !platform.setInstanceState(request.PathValue("name"), request.PathValue("state")) {
 		http.Error(writer, "no instance of that name, or not one of live, leaving, gone", http.StatusNotFound)
 		return
 	}
@@ -155,20 +155,20 @@
 func (fake *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /capacity", func(writer http.ResponseWriter, _ *http.Request) {
-		answer(writer, http.StatusOK, fake.options.Capacity)
+		writeJSON(writer, http.StatusOK, fake.options.Capacity)
 	})
 	mux.HandleFunc("GET /usage", func(writer http.ResponseWriter, _ *http.Request) {
-		answer(writer, http.StatusOK, fake.usage())
+		writeJSON(writer, http.StatusOK, fake.usage())
 	})
 	mux.HandleFunc("GET /tasks", func(writer http.ResponseWriter, _ *http.Request) {
-		answer(writer, http.StatusOK, fake.list())
+		writeJSON(writer, http.StatusOK, fake.listTasks())
 	})
 	mux.HandleFunc("PUT /tasks/{task}", fake.serveStart)
-	mux.HandleFunc("POST /tasks/{task}/stop", fake.attemptHandler(func(each *running, _ attemptRequest) { stopRunning(each) }))
-	mux.HandleFunc("POST /tasks/{task}/throttle", fake.attemptHandler(func(each *running, asked attemptRequest) {
+	mux.HandleFunc("POST /tasks/{task}/stop", fake.newAttemptHandler(func(each *taskState, _ attemptRequest) { requestStop(each) }))
+	mux.HandleFunc("POST /tasks/{task}/throttle", fake.newAttemptHandler(func(each *taskState, asked attemptRequest) {
 		each.throttle = asked.Share
 	}))
-	mux.HandleFunc("DELETE /tasks/{task}", fake.attemptHandler(func(each *running, _ attemptRequest) { fake.forgetEnded(each) }))
+	mux.HandleFunc("DELETE /tasks/{task}", fake.newAttemptHandler(func(each *taskState, _ attemptRequest) { fake.removeEnded(each) }))
 	mux.HandleFunc("POST /leases", fake.serveRenew)
 	mux.HandleFunc("GET /tasks/{task}/stream", fake.serveStream)
 	return mux
@@ -181,10 +181,10 @@
 
 func (fake *Worker) serveStart(writer http.ResponseWriter, request *http.Request) {
 	var start worker.StartRequest
-	if !decode(writer, request, &start) {
+	if !decodeBody(writer, request, &start) {
 		return
 	}
-	stale, failure := fake.start(start, time.Now())
+	stale, failure := fake.startTask(start, time.Now())
 	switch {
 	case stale:
 		http.Error(writer, "a newer attempt is known", http.StatusConflict)
@@ -195,13 +195,13 @@
 	}
 }
 
-func (fake *Worker) attemptHandler(change func(each *running, asked attemptRequest)) http.HandlerFunc {
+func (fake *Worker) newAttemptHandler(change func(each *taskState, asked attemptRequest)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		var asked attemptRequest
-		if !decode(writer, request, &asked) {
+		if !decodeBody(writer, request, &asked) {
 			return
 		}
-		current := fake.withAttempt(request.PathValue("task"), asked.Attempt, func(each *running) { change(each, asked) })
+		current := fake.updateAttempt(request.PathValue("task"), asked.Attempt, func(each *taskState) { change(each, asked) })
 		if !current {
 			http.Error(writer, "no such attempt", http.StatusConflict)
 			return
@@ -212,10 +212,10 @@
 
 func (fake *Worker) serveRenew(writer http.ResponseWriter, request *http.Request) {
 	var renewals []worker.Renewal
-	if !decode(writer, request, &renewals) {
+	if !decodeBody(writer, request, &renewals) {
 		return
 	}
-	fake.renew(renewals)
+	fake.renewLeases(renewals)
 	writer.WriteHeader(http.StatusAccepted)
 }
 
@@ -251,15 +251,15 @@
 	}
 }
 
-func decode(writer http.ResponseWriter, request *http.Request, into any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBody)).Decode(into); err != nil {
+func decodeBody(writer http.ResponseWriter, request *http.Request, into any) bool {
+	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBodyBytes)).Decode(into); err != nil {
 		http.Error(writer, "the body can't be read: "+err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-func answer(writer http.ResponseWriter, status int, body any) {
+func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(body)
--- a/standin/log.go
+++ b/standin/log.go
@@ -12,27 +12,27 @@
 // appends a second, limited retention, outages, and answers lost after the
 // append took effect. It may be used by many goroutines.
 type Log struct {
-	mu        sync.Mutex
-	streams   map[string]*stream
-	down      bool
-	loseNext  int
-	perSecond int
-	second    int64
-	inSecond  int
-	appends   int64
-	nudges    int64
+	mu               sync.Mutex
+	streams          map[string]*stream
+	down             bool
+	responsesToLose  int
+	appendsPerSecond int
+	second           int64
+	appendsInSecond  int
+	appends          int64
+	readExpirations  int64
 }
 
 type stream struct {
 	earliest int64
 	entries  [][]byte
-	grown    chan struct{}
+	appended chan struct{}
 }
 
 // NewLog returns an empty log that takes a number of appends a second, zero
 // for no bound.
 func NewLog(appendsPerSecond int) *Log {
-	return &Log{streams: map[string]*stream{}, perSecond: appendsPerSecond}
+	return &Log{streams: map[string]*stream{}, appendsPerSecond: appendsPerSecond}
 }
 
 // SetDown begins or ends an outage.
@@ -42,11 +42,11 @@
 	kept.down = down
 }
 
-// LoseAnswers makes the next appends take effect without an answer.
-func (kept *Log) LoseAnswers(count int) {
+// LoseResponses makes the next appends take effect without an answer.
+func (kept *Log) LoseResponses(count int) {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
-	kept.loseNext = count
+	kept.responsesToLose = count
 }
 
 // Trim drops the entries of a stream before an offset.
@@ -69,7 +69,7 @@
 func (kept *Log) stream(name string) *stream {
 	named, found := kept.streams[name]
 	if !found {
-		named = &stream{grown: make(chan struct{})}
+		named = &stream{appended: make(chan struct{})}
 		kept.streams[name] = named
 	}
 	return named
@@ -77,10 +77,10 @@
 
 // appendResult says what became of an append.
 type appendResult struct {
-	offset     int64
-	down       bool
-	lost       bool
-	retryAfter time.Duration
+	offset       int64
+	down         bool
+	responseLost bool
+	retryAfter   time.Duration
 }
 
 func (kept *Log) append(name string, data []byte, now time.Time) appendResult {
@@ -89,33 +89,33 @@
 	if kept.down {
 		return appendResult{down: true}
 	}
-	if wait := kept.throttle(now); wait > 0 {
+	if wait := kept.throttleDelay(now); wait > 0 {
 		return appendResult{retryAfter: wait}
 	}
 	named := kept.stream(name)
 	offset := named.earliest + int64(len(named.entries))
 	named.entries = append(named.entries, data)
-	close(named.grown)
-	named.grown = make(chan struct{})
+	close(named.appended)
+	named.appended = make(chan struct{})
 	kept.appends++
-	if kept.loseNext > 0 {
-		kept.loseNext--
-		return appendResult{lost: true}
+	if kept.responsesToLose > 0 {
+		kept.responsesToLose--
+		return appendResult{responseLost: true}
 	}
 	return appendResult{offset: offset}
 }
 
-func (kept *Log) throttle(now time.Time) time.Duration {
-	if kept.perSecond == 0 {
+func (kept *Log) throttleDelay(now time.Time) time.Duration {
+	if kept.appendsPerSecond == 0 {
 		return 0
 	}
 	if second := now.Unix(); second != kept.second {
-		kept.second, kept.inSecond = second, 0
+		kept.second, kept.appendsInSecond = second, 0
 	}
-	if kept.inSecond >= kept.perSecond {
+	if kept.appendsInSecond >= kept.appendsPerSecond {
 		return now.Truncate(time.Second).Add(time.Second).Sub(now)
 	}
-	kept.inSecond++
+	kept.appendsInSecond++
 	return 0
 }
 
@@ -132,23 +132,23 @@
 	for offset := max(from, named.earliest); offset < page.Next && len(page.Entries) < most; offset++ {
 		page.Entries = append(page.Entries, logservice.Entry{Offset: offset, Data: named.entries[offset-named.earliest]})
 	}
-	return page, named.grown, true
+	return page, named.appended, true
 }
 
-func (kept *Log) nudgeCount() int64 {
+func (kept *Log) readExpirationCount() int64 {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
-	return kept.nudges
+	return kept.readExpirations
 }
 
 // waitRead reads, and waits for the stream to grow while there is nothing.
 func (kept *Log) waitRead(ctx context.Context, name string, options logservice.ReadOptions) (logservice.Page, bool) {
 	timer := time.NewTimer(options.Wait)
 	defer timer.Stop()
-	nudges := kept.nudgeCount()
+	nudges := kept.readExpirationCount()
 	for {
 		page, grown, up := kept.read(name, options.From, options.Max)
-		if !up || len(page.Entries) > 0 || options.From < page.Earliest || options.Wait == 0 || kept.nudgeCount() != nudges {
+		if !up || len(page.Entries) > 0 || options.From < page.Earliest || options.Wait == 0 || kept.readExpirationCount() != nudges {
 			return page, up
 		}
 		select {
@@ -161,8 +161,8 @@
 	}
 }
 
-// End returns the offset that the next append to the stream will get.
-func (kept *Log) End(name string) int64 {
+// EndOffset returns the offset that the next append to the stream will get.
+func (kept *Log) EndOffset(name string) int64 {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
 	named := kept.stream(name)
@@ -176,8 +176,8 @@
 	return kept.down
 }
 
-// Bytes returns how many bytes the entries of a stream hold.
-func (kept *Log) Bytes(name string) int {
+// StreamBytes returns how many bytes the entries of a stream hold.
+func (kept *Log) StreamBytes(name string) int {
 	kept.mu.Lock()
 	defer kept.mu.Unlock()
 	bytes := 0
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -38,12 +38,12 @@
 )
 
 const (
-	workersPerRack    = 3
-	perNetwork        = 250
-	gibibyte          = 1 << 30
-	headerTimeout     = 5 * time.Second
-	firstWorkerThird  = 2
-	thousandProcessor = 1000
+	workersPerRack       = 3
+	workersPerSubnet     = 250
+	bytesPerGiB          = 1 << 30
+	readHeaderTimeout    = 5 * time.Second
+	firstWorkerOctet     = 2
+	milliCPUPerProcessor = 1000
 )
 
 // Layout gives each instance its addresses.
@@ -63,7 +63,7 @@
 // Worker returns the address of a port of a worker, or of what runs beside
 // it, counted from 1.
 func (layout Layout) Worker(index, port int) string {
-	return fmt.Sprintf("%s.%d.%d:%d", layout.Network, firstWorkerThird+(index-1)/perNetwork, (index-1)%perNetwork+1, port)
+	return fmt.Sprintf("%s.%d.%d:%d", layout.Network, firstWorkerOctet+(index-1)/workersPerSubnet, (index-1)%workersPerSubnet+1, port)
 }
 
 // Options sets up a Platform. Zero values stand for the defaults.
@@ -114,24 +114,24 @@
 
 // Platform is a running stand-in.
 type Platform struct {
-	options  Options
-	log      *Log
-	holds    *holds
-	workers  []*Worker
-	backends []*Backend
-	servers  []*http.Server
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	options    Options
+	log        *Log
+	holds      *holdSet
+	workers    []*Worker
+	backends   []*Backend
+	servers    []*http.Server
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu   sync.Mutex
-	list []instances.Instance
+	mu        sync.Mutex
+	instances []instances.Instance
 }
 
 // Start brings a platform up.
 func Start(ctx context.Context, options Options) (*Platform, error) {
 	options = options.withDefaults()
-	platform := &Platform{options: options, log: NewLog(options.AppendsPerSecond), holds: newHolds()}
-	platform.fillList()
+	platform := &Platform{options: options, log: NewLog(options.AppendsPerSecond), holds: newHoldSet()}
+	platform.addInstances()
 	ctx, platform.cancel = context.WithCancel(ctx)
 	if err := platform.serve(ctx, options.Layout.Platform(), platform.platformHandler()); err != nil {
 		platform.Close()
@@ -152,8 +152,8 @@
 	fake := NewWorker(WorkerOptions{
 		Name: name,
 		Capacity: worker.Capacity{
-			MilliCPU:     int64(options.Processors) * thousandProcessor,
-			MemoryBytes:  int64(options.MemoryGiB) * gibibyte,
+			MilliCPU:     int64(options.Processors) * milliCPUPerProcessor,
+			MemoryBytes:  int64(options.MemoryGiB) * bytesPerGiB,
 			Accelerators: int64(options.Accelerators),
 			Rack:         fmt.Sprintf("rack-%d", (index-1)/workersPerRack+1),
 		},
@@ -163,7 +163,7 @@
 	backend.holds = platform.holds
 	platform.workers = append(platform.workers, fake)
 	platform.backends = append(platform.backends, backend)
-	platform.running.Go(func() { fake.Run(ctx) })
+	platform.goroutines.Go(func() { fake.Run(ctx) })
 	if err := platform.serve(ctx, options.Layout.Worker(index, WorkerPort), fake.Handler()); err != nil {
 		return err
 	}
@@ -175,9 +175,9 @@
 	if err != nil {
 		return errors.Wrap(err, "stand-in: listen")
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	platform.servers = append(platform.servers, server)
-	platform.running.Go(func() { _ = server.Serve(listener) })
+	platform.goroutines.Go(func() { _ = server.Serve(listener) })
 	return nil
 }
 
@@ -187,7 +187,7 @@
 	for _, server := range platform.servers {
 		_ = server.Close()
 	}
-	platform.running.Wait()
+	platform.goroutines.Wait()
 }
 
 // Log returns the platform's log.
@@ -211,10 +211,10 @@
 	return domains[(index-1)%len(domains)]
 }
 
-func (platform *Platform) fillList() {
+func (platform *Platform) addInstances() {
 	options := platform.options
 	for index := 1; index <= options.Entries; index++ {
-		platform.list = append(platform.list, instances.Instance{
+		platform.instances = append(platform.instances, instances.Instance{
 			Name:          EntryName(index),
 			Role:          instances.Entry,
 			Address:       options.Layout.Entry(index, EntryRPCPort),
@@ -223,7 +223,7 @@
 		})
 	}
 	for index := 1; index <= options.Workers; index++ {
-		platform.list = append(platform.list, instances.Instance{
+		platform.instances = append(platform.instances, instances.Instance{
 			Name:          WorkerName(index),
 			Role:          instances.Guard,
 			Address:       options.Layout.Worker(index, GuardPort),
@@ -239,8 +239,8 @@
 func (platform *Platform) Instances() []instances.Instance {
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
-	listed := make([]instances.Instance, 0, len(platform.list))
-	for _, each := range platform.list {
+	listed := make([]instances.Instance, 0, len(platform.instances))
+	for _, each := range platform.instances {
 		if each.State != stateGone {
 			listed = append(listed, each)
 		}
@@ -248,8 +248,8 @@
 	return listed
 }
 
-// setState changes what the list says of an instance.
-func (platform *Platform) setState(name, state string) bool {
+// setInstanceState changes what the list says of an instance.
+func (platform *Platform) setInstanceState(name, state string) bool {
 	switch state {
 	case string(instances.Live), string(instances.Leaving), stateGone:
 	default:
@@ -257,9 +257,9 @@
 	}
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
-	for index := range platform.list {
-		if platform.list[index].Name == name {
-			platform.list[index].State = instances.State(state)
+	for index := range platform.instances {
+		if platform.instances[index].Name == name {
+			platform.instances[index].State = instances.State(state)
 			return true
 		}
 	}
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -30,24 +30,24 @@
 	server   string
 	accepted atomic.Int32
 
-	mu   sync.Mutex
-	open map[*relayed]bool
-	held *hold // nil while nothing is held up
+	mu          sync.Mutex
+	connections map[*connection]bool
+	pause       *pause // nil while nothing is held up
 }
 
-// hold is what holds connections up until it is let go.
-type hold struct {
-	whose              func(greeting []byte) bool
+// pause is what holds connections up until it is let go.
+type pause struct {
+	matches            func(greeting []byte) bool
 	toServer, toClient bool
-	gone               chan struct{}
+	resumed            chan struct{}
 }
 
-// relayed is one connection.
-type relayed struct {
+// connection is one connection.
+type connection struct {
 	client, server net.Conn
-	// silentToServer and silentToClient swallow what comes in a direction.
-	silentToServer, silentToClient atomic.Bool
-	// greeting is what the client sent first, up to greetingMost; it tells clients apart.
+	// discardToServer and silentToClient swallow what comes in a direction.
+	discardToServer, discardToClient atomic.Bool
+	// greeting is what the client sent first, up to maxGreetingBytes; it tells clients apart.
 	greeting atomic.Pointer[[]byte]
 }
 
@@ -58,8 +58,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for connections to relay")
 	}
-	between := &Relay{listener: listener, server: server, open: map[*relayed]bool{}}
-	go between.accept(ctx)
+	between := &Relay{listener: listener, server: server, connections: map[*connection]bool{}}
+	go between.acceptConnections(ctx)
 	return between, nil
 }
 
@@ -74,7 +74,7 @@
 	return errors.Wrap(between.listener.Close(), "close the relay")
 }
 
-func (between *Relay) accept(ctx context.Context) {
+func (between *Relay) acceptConnections(ctx context.Context) {
 	for {
 		client, err := between.listener.Accept()
 		if err != nil {
@@ -87,21 +87,21 @@
 			continue
 		}
 		between.accepted.Add(1)
-		made := &relayed{client: client, server: server}
+		made := &connection{client: client, server: server}
 		between.mu.Lock()
-		between.open[made] = true
+		between.connections[made] = true
 		between.mu.Unlock()
-		go between.pass(made, made.client, made.server, true)
-		go between.pass(made, made.server, made.client, false)
+		go between.forward(made, made.client, made.server, true)
+		go between.forward(made, made.server, made.client, false)
 	}
 }
 
-// pass copies one direction of a connection until its sender ends.
-func (between *Relay) pass(made *relayed, from, to net.Conn, toServer bool) {
-	defer between.end(made)
-	silent := &made.silentToClient
+// forward copies one direction of a connection until its sender ends.
+func (between *Relay) forward(made *connection, from, to net.Conn, toServer bool) {
+	defer between.closeConnection(made)
+	silent := &made.discardToClient
 	if toServer {
-		silent = &made.silentToServer
+		silent = &made.discardToServer
 	}
 	buffer := make([]byte, 4096)
 	for {
@@ -110,9 +110,9 @@
 			return
 		}
 		if toServer {
-			made.noteGreeting(buffer[:count])
+			made.recordGreeting(buffer[:count])
 		}
-		between.await(made, toServer)
+		between.waitWhilePaused(made, toServer)
 		if silent.Load() {
 			continue
 		}
@@ -122,80 +122,80 @@
 	}
 }
 
-// greetingMost bounds the bytes that tell clients apart.
-const greetingMost = 512
+// maxGreetingBytes bounds the bytes that tell clients apart.
+const maxGreetingBytes = 512
 
-// noteGreeting keeps what a client sends first. Only one goroutine calls it.
-func (made *relayed) noteGreeting(sent []byte) {
+// recordGreeting keeps what a client sends first. Only one goroutine calls it.
+func (made *connection) recordGreeting(sent []byte) {
 	var greeting []byte
 	if before := made.greeting.Load(); before != nil {
 		greeting = *before
 	}
-	if len(greeting) >= greetingMost {
+	if len(greeting) >= maxGreetingBytes {
 		return
 	}
 	greeting = append(bytes.Clone(greeting), sent...)
 	made.greeting.Store(&greeting)
 }
 
-// await waits while the connection is held up in a direction.
-func (between *Relay) await(made *relayed, toServer bool) {
+// waitWhilePaused waits while the connection is held up in a direction.
+func (between *Relay) waitWhilePaused(made *connection, toServer bool) {
 	for {
 		between.mu.Lock()
-		held := between.held
+		held := between.pause
 		between.mu.Unlock()
-		if held == nil || !held.holds(made, toServer) {
+		if held == nil || !held.appliesTo(made, toServer) {
 			return
 		}
-		<-held.gone
+		<-held.resumed
 	}
 }
 
-func (held *hold) holds(made *relayed, toServer bool) bool {
+func (held *pause) appliesTo(made *connection, toServer bool) bool {
 	if toServer && !held.toServer || !toServer && !held.toClient {
 		return false
 	}
 	greeting := made.greeting.Load()
-	return greeting != nil && held.whose(*greeting)
+	return greeting != nil && held.matches(*greeting)
 }
 
-// end closes both sides of a connection.
-func (between *Relay) end(made *relayed) {
+// closeConnection closes both sides of a connection.
+func (between *Relay) closeConnection(made *connection) {
 	// Either side may have closed it already.
 	_ = made.client.Close()
 	_ = made.server.Close()
 	between.mu.Lock()
 	defer between.mu.Unlock()
-	delete(between.open, made)
+	delete(between.connections, made)
 }
 
-// Silence makes the open connections carry nothing any more, in one direction or both. It stays so:
+// DiscardTraffic makes the open connections carry nothing any more, in one direction or both. It stays so:
 // a connection that has lost bytes never carries others.
-func (between *Relay) Silence(toServer, toClient bool) {
+func (between *Relay) DiscardTraffic(toServer, toClient bool) {
 	between.mu.Lock()
 	defer between.mu.Unlock()
-	for made := range between.open {
-		made.silentToServer.Store(made.silentToServer.Load() || toServer)
-		made.silentToClient.Store(made.silentToClient.Load() || toClient)
+	for made := range between.connections {
+		made.discardToServer.Store(made.discardToServer.Load() || toServer)
+		made.discardToClient.Store(made.discardToClient.Load() || toClient)
 	}
 }
 
-// Hold holds up what connections carry, in one direction or both, until LetGo: those whose
+// Pause holds up what connections carry, in one direction or both, until LetGo: those whose
 // client's first bytes whose accepts, new ones too.
-func (between *Relay) Hold(whose func(greeting []byte) bool, toServer, toClient bool) {
-	between.LetGo()
+func (between *Relay) Pause(whose func(greeting []byte) bool, toServer, toClient bool) {
+	between.Resume()
 	between.mu.Lock()
 	defer between.mu.Unlock()
-	between.held = &hold{whose: whose, toServer: toServer, toClient: toClient, gone: make(chan struct{})}
+	between.pause = &pause{matches: whose, toServer: toServer, toClient: toClient, resumed: make(chan struct{})}
 }
 
-// LetGo has everything that was held up go on.
-func (between *Relay) LetGo() {
+// Resume has everything that was held up go on.
+func (between *Relay) Resume() {
 	between.mu.Lock()
 	defer between.mu.Unlock()
-	if between.held != nil {
-		close(between.held.gone)
-		between.held = nil
+	if between.pause != nil {
+		close(between.pause.resumed)
+		between.pause = nil
 	}
 }
 
@@ -203,7 +203,7 @@
 func (between *Relay) Reset() {
 	between.mu.Lock()
 	defer between.mu.Unlock()
-	for made := range between.open {
+	for made := range between.connections {
 		for _, side := range []net.Conn{made.client, made.server} {
 			if tcp, isTCP := side.(*net.TCPConn); isTCP {
 				// Without lingering a close is a reset.
--- a/standin/wirestore/calls.go
+++ b/standin/wirestore/calls.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func number(request *http.Request, name string) int64 {
+func queryInt(request *http.Request, name string) int64 {
 	count, err := strconv.ParseInt(request.URL.Query().Get(name), 10, 64)
 	if err != nil {
 		return 0
@@ -18,76 +18,76 @@
 	return count
 }
 
-func reply(answer http.ResponseWriter, status int, body any) {
+func writeJSON(answer http.ResponseWriter, status int, body any) {
 	answer.Header().Set("Content-Type", "application/json")
 	answer.WriteHeader(status)
 	_ = json.NewEncoder(answer).Encode(body)
 }
 
-type refusal struct {
+type refusalResponse struct {
 	Reason string `json:"reason"`
 }
 
-type appended struct {
+type appendResponse struct {
 	Offset int64 `json:"offset"`
 	End    int64 `json:"end"`
 }
 
-func (store *Store) append(answer http.ResponseWriter, request *http.Request) {
+func (store *Store) serveAppend(answer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		answer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if !store.awaitTurn(topicPart{request.URL.Query().Get("topic"), int(number(request, "part"))}) {
+	if !store.awaitAppend(partitionKey{request.URL.Query().Get("topic"), int(queryInt(request, "part"))}) {
 		answer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	kept := store.partition(request)
+	kept := store.requestedPartition(request)
 	name := request.URL.Query().Get("producer")
 	if name != "" {
-		status, reason, end := kept.admit(name, number(request, "epoch"), number(request, "seq"))
+		status, reason, end := kept.admitAppend(name, queryInt(request, "epoch"), queryInt(request, "seq"))
 		if status == http.StatusOK {
-			reply(answer, status, appended{End: end})
+			writeJSON(answer, status, appendResponse{End: end})
 			return
 		}
 		if status != 0 {
-			reply(answer, status, refusal{reason})
+			writeJSON(answer, status, refusalResponse{reason})
 			return
 		}
 	}
-	added := decode(body)
+	added := decodeEntries(body)
 	if change, found := store.rewrites[request.URL.Query().Get("topic")]; found {
 		for index := range added {
 			added[index].value = change(added[index].value)
 		}
 	}
-	store.add(kept, added)
+	store.appendEntries(kept, added)
 	if name != "" {
-		kept.producers[name].ends[number(request, "seq")] = kept.end
+		kept.producers[name].endOffsets[queryInt(request, "seq")] = kept.endOffset
 	}
-	reply(answer, http.StatusOK, appended{Offset: kept.end - int64(len(added)), End: kept.end})
+	writeJSON(answer, http.StatusOK, appendResponse{Offset: kept.endOffset - int64(len(added)), End: kept.endOffset})
 }
 
-func (store *Store) read(answer http.ResponseWriter, request *http.Request) {
-	from := number(request, "source")
-	timer := time.NewTimer(time.Duration(number(request, "wait_ms")) * time.Millisecond)
+func (store *Store) serveRead(answer http.ResponseWriter, request *http.Request) {
+	from := queryInt(request, "source")
+	timer := time.NewTimer(time.Duration(queryInt(request, "wait_ms")) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		store.mu.Lock()
-		kept := store.partition(request)
-		grown := store.grown
-		if from < kept.first {
+		kept := store.requestedPartition(request)
+		grown := store.appended
+		if from < kept.firstOffset {
 			store.mu.Unlock()
-			reply(answer, http.StatusGone, struct {
+			writeJSON(answer, http.StatusGone, struct {
 				First int64 `json:"first"`
-			}{kept.first})
+			}{kept.firstOffset})
 			return
 		}
-		body := kept.from(from)
-		found := kept.end > from
+		body := kept.encodeFrom(from)
+		found := kept.endOffset > from
 		store.mu.Unlock()
 		if found {
 			_, _ = answer.Write(body) //nolint:gosec // raw records, which no browser reads.
@@ -104,35 +104,35 @@
 	}
 }
 
-type item struct {
+type newestRecord struct {
 	Key    string `json:"key"`
 	Value  string `json:"value"`
 	Offset int64  `json:"offset"`
 }
 
-func (store *Store) newest(answer http.ResponseWriter, request *http.Request) {
+func (store *Store) serveNewest(answer http.ResponseWriter, request *http.Request) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	kept := store.partition(request)
+	kept := store.requestedPartition(request)
 	last := map[string]entry{}
 	for _, one := range kept.entries {
 		last[one.key] = one
 	}
-	items := []item{}
+	items := []newestRecord{}
 	for key, one := range last {
 		if len(one.value) > 0 && key > request.URL.Query().Get("after") {
-			items = append(items, item{Key: key, Value: base64.StdEncoding.EncodeToString(one.value), Offset: one.offset})
+			items = append(items, newestRecord{Key: key, Value: base64.StdEncoding.EncodeToString(one.value), Offset: one.offset})
 		}
 	}
-	slices.SortFunc(items, func(a, b item) int {
+	slices.SortFunc(items, func(a, b newestRecord) int {
 		if a.Key < b.Key {
 			return -1
 		}
 		return 1
 	})
-	reply(answer, http.StatusOK, struct {
-		Items []item `json:"items"`
-		More  bool   `json:"more"`
-		End   int64  `json:"end"`
-	}{items, false, kept.end})
+	writeJSON(answer, http.StatusOK, struct {
+		Items []newestRecord `json:"items"`
+		More  bool           `json:"more"`
+		End   int64          `json:"end"`
+	}{items, false, kept.endOffset})
 }
--- a/standin/wirestore/partition.go
+++ b/standin/wirestore/partition.go
@@ -12,56 +12,56 @@
 	offset int64
 }
 
-type topicPart struct {
-	topic string
-	part  int
+type partitionKey struct {
+	topic     string
+	partition int
 }
 
 type producerState struct {
 	epoch, sequence int64
-	ends            map[int64]int64 // answers by sequence
+	endOffsets      map[int64]int64 // answers by sequence
 }
 
 type partition struct {
-	entries   []entry
-	end       int64
-	first     int64
-	producers map[string]*producerState
+	entries     []entry
+	endOffset   int64
+	firstOffset int64
+	producers   map[string]*producerState
 }
 
-func (store *Store) at(topic string, part int) *partition {
-	place := topicPart{topic, part}
-	if store.kept[place] == nil {
-		store.kept[place] = &partition{producers: map[string]*producerState{}}
+func (store *Store) getPartition(topic string, part int) *partition {
+	place := partitionKey{topic, part}
+	if store.partitions[place] == nil {
+		store.partitions[place] = &partition{producers: map[string]*producerState{}}
 	}
-	return store.kept[place]
+	return store.partitions[place]
 }
 
-func (store *Store) add(kept *partition, added []entry) {
+func (store *Store) appendEntries(kept *partition, added []entry) {
 	for _, one := range added {
-		one.offset = kept.end
-		kept.end++
+		one.offset = kept.endOffset
+		kept.endOffset++
 		kept.entries = append(kept.entries, one)
 	}
-	close(store.grown)
-	store.grown = make(chan struct{})
+	close(store.appended)
+	store.appended = make(chan struct{})
 }
 
-func (store *Store) partition(request *http.Request) *partition {
-	return store.at(request.URL.Query().Get("topic"), int(number(request, "part")))
+func (store *Store) requestedPartition(request *http.Request) *partition {
+	return store.getPartition(request.URL.Query().Get("topic"), int(queryInt(request, "part")))
 }
 
-// admit judges a fenced append: status 0 lets it in, 200 answers it again.
-func (kept *partition) admit(name string, epoch, sequence int64) (status int, reason string, end int64) {
+// admitAppend judges a fenced append: status 0 lets it in, 200 answers it again.
+func (kept *partition) admitAppend(name string, epoch, sequence int64) (status int, reason string, end int64) {
 	known, found := kept.producers[name]
 	if !found || epoch > known.epoch {
-		kept.producers[name] = &producerState{epoch: epoch, sequence: sequence, ends: map[int64]int64{}}
+		kept.producers[name] = &producerState{epoch: epoch, sequence: sequence, endOffsets: map[int64]int64{}}
 		return 0, "", 0
 	}
 	if epoch < known.epoch {
 		return http.StatusConflict, "fenced", 0
 	}
-	if again, done := known.ends[sequence]; done {
+	if again, done := known.endOffsets[sequence]; done {
 		return http.StatusOK, "", again
 	}
 	if sequence != known.sequence+1 {
@@ -71,7 +71,7 @@
 	return 0, "", 0
 }
 
-func decode(body []byte) []entry {
+func decodeEntries(body []byte) []entry {
 	var found []entry
 	for len(body) > 5 {
 		size := 4 + int(binary.BigEndian.Uint32(body))
@@ -82,7 +82,7 @@
 	return found
 }
 
-func encode(entries []entry) []byte {
+func encodeEntries(entries []entry) []byte {
 	var body []byte
 	for _, one := range entries {
 		body = binary.BigEndian.AppendUint32(body, uint32(1+len(one.key)+len(one.value)))
@@ -93,14 +93,14 @@
 	return body
 }
 
-func (kept *partition) from(offset int64) []byte {
+func (kept *partition) encodeFrom(offset int64) []byte {
 	var later []entry
 	for _, one := range kept.entries {
 		if one.offset >= offset {
 			later = append(later, one)
 		}
 	}
-	body := binary.BigEndian.AppendUint64(nil, uint64(kept.end))
-	body = binary.BigEndian.AppendUint64(body, uint64(kept.first))
-	return append(body, encode(later)...)
+	body := binary.BigEndian.AppendUint64(nil, uint64(kept.endOffset))
+	body = binary.BigEndian.AppendUint64(body, uint64(kept.firstOffset))
+	return append(body, encodeEntries(later)...)
 }
--- a/standin/wirestore/wirestore.go
+++ b/standin/wirestore/wirestore.go
@@ -21,28 +21,28 @@
 
 // The faults of a call.
 const (
-	FaultNone   Fault = iota
-	FaultBusy         // answered 503, nothing done
-	FaultLost         // done, and the connection broken off without an answer
-	FaultReset        // not done, and the connection broken off
-	FaultSilent       // not done and never answered, until the caller gives up
+	FaultNone         Fault = iota
+	FaultUnavailable        // answered 503, nothing done
+	FaultLostResponse       // done, and the connection broken off without an answer
+	FaultReset              // not done, and the connection broken off
+	FaultNoResponse         // not done and never answered, until the caller gives up
 )
 
 type topicCall struct{ call, topic string }
 
 // Store is the stand-in. It is an http.Handler.
 type Store struct {
-	parts int
-	now   func() time.Time
-	mu    sync.Mutex
-	kept  map[topicPart]*partition
-	grown chan struct{} // closed and replaced at each append
-	group map[string]*group
-	fault func(call string) Fault
-	calls map[string]int
+	partitionsPerTopic int
+	now                func() time.Time
+	mu                 sync.Mutex
+	partitions         map[partitionKey]*partition
+	appended           chan struct{} // closed and replaced at each append
+	groups             map[string]*group
+	fault              func(call string) Fault
+	calls              map[string]int
 	// topicCalls counts calls by their path and topic.
-	topicCalls map[topicCall]int
-	turns      turns
+	topicCalls  map[topicCall]int
+	appendQueue appendQueue
 	// topicFaults decide what befalls appends, by topic.
 	topicFaults map[string]func() Fault
 	// rewrites change the values that are appended, by topic.
@@ -52,28 +52,28 @@
 // New returns an empty store whose topics have so many partitions.
 func New(parts int, now func() time.Time) *Store {
 	return &Store{
-		parts: parts, now: now, kept: map[topicPart]*partition{}, grown: make(chan struct{}),
-		group: map[string]*group{}, calls: map[string]int{}, topicCalls: map[topicCall]int{}, topicFaults: map[string]func() Fault{},
+		partitionsPerTopic: parts, now: now, partitions: map[partitionKey]*partition{}, appended: make(chan struct{}),
+		groups: map[string]*group{}, calls: map[string]int{}, topicCalls: map[topicCall]int{}, topicFaults: map[string]func() Fault{},
 		rewrites: map[string]func(value []byte) []byte{},
 	}
 }
 
-// Fail has fault decide what befalls each call from here on.
-func (store *Store) Fail(fault func(call string) Fault) {
+// InjectFaults has fault decide what befalls each call from here on.
+func (store *Store) InjectFaults(fault func(call string) Fault) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.fault = fault
 }
 
-// FailTopic has fault decide what befalls each append to a topic from here on.
-func (store *Store) FailTopic(topic string, fault func() Fault) {
+// InjectAppendFaults has fault decide what befalls each append to a topic from here on.
+func (store *Store) InjectAppendFaults(topic string, fault func() Fault) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.topicFaults[topic] = fault
 }
 
-// Rewrite has change applied to each value that is appended to a topic from here on.
-func (store *Store) Rewrite(topic string, change func(value []byte) []byte) {
+// RewriteAppends has change applied to each value that is appended to a topic from here on.
+func (store *Store) RewriteAppends(topic string, change func(value []byte) []byte) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.rewrites[topic] = change
@@ -93,13 +93,13 @@
 	return store.topicCalls[topicCall{call, topic}]
 }
 
-// DropHistory removes all records but the newest of each key, as far as reads
+// Compact removes all records but the newest of each key, as far as reads
 // by offset go.
-func (store *Store) DropHistory() {
+func (store *Store) Compact() {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	for _, kept := range store.kept {
-		kept.first = kept.end
+	for _, kept := range store.partitions {
+		kept.firstOffset = kept.endOffset
 	}
 }
 
@@ -107,7 +107,7 @@
 func (store *Store) Newest(topic string, part int, key string) ([]byte, bool) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	kept := store.at(topic, part)
+	kept := store.getPartition(topic, part)
 	for index := len(kept.entries) - 1; index >= 0; index-- {
 		if kept.entries[index].key == key {
 			return kept.entries[index].value, len(kept.entries[index].value) > 0
@@ -120,32 +120,32 @@
 func (store *Store) Put(topic string, part int, key string, value []byte) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.add(store.at(topic, part), []entry{{key: key, value: value}})
+	store.appendEntries(store.getPartition(topic, part), []entry{{key: key, value: value}})
 }
 
 // ServeHTTP implements http.Handler.
 func (store *Store) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
-	fault := store.noteCall(request.URL.Path, request.URL.Query().Get("topic"))
+	fault := store.recordCall(request.URL.Path, request.URL.Query().Get("topic"))
 	switch fault {
-	case FaultBusy:
+	case FaultUnavailable:
 		answer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case FaultReset:
 		panic(http.ErrAbortHandler)
-	case FaultSilent:
+	case FaultNoResponse:
 		// The end of a connection is noticed only once the body has been read.
 		_, _ = io.Copy(io.Discard, request.Body)
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
-	case FaultLost:
-		store.route(discard{header: http.Header{}}, request)
+	case FaultLostResponse:
+		store.route(discardResponse{header: http.Header{}}, request)
 		panic(http.ErrAbortHandler)
 	case FaultNone:
 	}
 	store.route(answer, request)
 }
 
-func (store *Store) noteCall(call, topic string) Fault {
+func (store *Store) recordCall(call, topic string) Fault {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.calls[call]++
@@ -159,29 +159,29 @@
 	return store.fault(call)
 }
 
-// discard takes an answer that its caller never gets.
-type discard struct{ header http.Header }
+// discardResponse takes an answer that its caller never gets.
+type discardResponse struct{ header http.Header }
 
-func (lost discard) Header() http.Header { return lost.header }
+func (lost discardResponse) Header() http.Header { return lost.header }
 
-func (lost discard) Write(text []byte) (int, error) { return len(text), nil }
+func (lost discardResponse) Write(text []byte) (int, error) { return len(text), nil }
 
-func (lost discard) WriteHeader(int) {}
+func (lost discardResponse) WriteHeader(int) {}
 
 func (store *Store) route(answer http.ResponseWriter, request *http.Request) {
 	switch request.URL.Path {
 	case "/v1/log-append":
-		store.append(answer, request)
+		store.serveAppend(answer, request)
 	case "/v1/log-read":
-		store.read(answer, request)
+		store.serveRead(answer, request)
 	case "/v1/log-newest":
-		store.newest(answer, request)
+		store.serveNewest(answer, request)
 	case "/v1/log-join":
-		store.join(answer, request)
+		store.serveJoin(answer, request)
 	case "/v1/log-leave":
-		store.leave(answer, request)
+		store.serveLeave(answer, request)
 	case "/v1/log-owners":
-		store.owners(answer, request)
+		store.serveOwners(answer, request)
 	default:
 		answer.WriteHeader(http.StatusNotFound)
 	}
--- a/standin/wireworker/change.go
+++ b/standin/wireworker/change.go
@@ -11,10 +11,10 @@
 	Ended
 	// Renewed is that the lease of everything that runs goes on until a later time.
 	Renewed
-	// Noted is the word that an end may be forgotten, if the lease has not run out since the
+	// Acknowledged is the word that an end may be forgotten, if the lease has not run out since the
 	// run ended. It stands for good: a task that is noted as done is not to start again. An end
 	// whose lease ran out first does not count.
-	Noted
+	Acknowledged
 )
 
 // Change is what became of a run.
@@ -22,31 +22,31 @@
 	Kind    ChangeKind
 	Task    string
 	Attempt int32
-	How     string // of an end
-	// Until is when the lease runs out; of a renewal.
-	Until time.Time
+	Reason  string // of an end
+	// LeaseEnd is when the lease runs out; of a renewal.
+	LeaseEnd time.Time
 }
 
-// Watch has note called with each change, in their order. It must not call the worker.
-func (worker *Worker) Watch(note func(change Change)) {
+// OnChange has note called with each change, in their order. It must not call the worker.
+func (worker *Worker) OnChange(note func(change Change)) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.watch = note
+	worker.onChange = note
 }
 
-// renew has the lease go on until a deadline on the worker's clock, if it is a later one.
-func (worker *Worker) renew(deadline int64) {
-	if deadline <= worker.deadline {
+// renewLease has the lease go on until a deadline on the worker's clock, if it is a later one.
+func (worker *Worker) renewLease(deadline int64) {
+	if deadline <= worker.leaseEndMs {
 		return
 	}
-	worker.deadline = deadline
-	worker.watch(Change{Kind: Renewed, Until: worker.began.Add(time.Duration(deadline-clockBegins) * time.Millisecond)})
+	worker.leaseEndMs = deadline
+	worker.onChange(Change{Kind: Renewed, LeaseEnd: worker.startedAt.Add(time.Duration(deadline-initialClockMs) * time.Millisecond)})
 }
 
 // RunningCount returns how many runs there are, after those have ended whose lease has run out.
 func (worker *Worker) RunningCount() int {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.lapse()
+	worker.expireLease()
 	return len(worker.running)
 }
--- a/standin/wireworker/serve.go
+++ b/standin/wireworker/serve.go
@@ -17,7 +17,7 @@
 	if worker.fault != nil {
 		fault = worker.fault(request.URL.Path)
 	}
-	if worker.over {
+	if worker.stopped {
 		fault = FaultReset
 	}
 	worker.mu.Unlock()
@@ -30,7 +30,7 @@
 	case "/v1/run-stop":
 		worker.serveStop(answer, request)
 	case "/v1/hold":
-		worker.serveHold(answer, request)
+		worker.servePoll(answer, request)
 	case "/v1/pace":
 		worker.servePace(answer, request)
 	default:
@@ -38,20 +38,20 @@
 	}
 }
 
-type clockBody struct {
-	ClockMs int64  `json:"clock_ms"`
-	Born    int64  `json:"born,omitempty"`
-	Reason  string `json:"reason,omitempty"`
+type orderResponse struct {
+	ClockMs   int64  `json:"clock_ms"`
+	StartTime int64  `json:"born,omitempty"`
+	Reason    string `json:"reason,omitempty"`
 }
 
-func (worker *Worker) reply(answer http.ResponseWriter, status int, reason string) {
+func (worker *Worker) writeResponse(answer http.ResponseWriter, status int, reason string) {
 	answer.Header().Set("Content-Type", "application/json")
 	answer.WriteHeader(status)
-	_ = json.NewEncoder(answer).Encode(clockBody{worker.clock(), worker.born, reason})
+	_ = json.NewEncoder(answer).Encode(orderResponse{worker.clockMs(), worker.startTime, reason})
 }
 
-// takeBody decodes a call; one that it can't decode is answered.
-func takeBody(answer http.ResponseWriter, request *http.Request, body any) bool {
+// decodeBody decodes a call; one that it can't decode is answered.
+func decodeBody(answer http.ResponseWriter, request *http.Request, body any) bool {
 	if err := json.NewDecoder(request.Body).Decode(body); err != nil {
 		answer.WriteHeader(http.StatusBadRequest)
 		return false
@@ -61,41 +61,41 @@
 
 func (worker *Worker) serveStart(answer http.ResponseWriter, request *http.Request, fault Fault) {
 	var body Start
-	if !takeBody(answer, request, &body) {
+	if !decodeBody(answer, request, &body) {
 		return
 	}
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if fault == FaultLate {
-		worker.late = append(worker.late, body)
+	if fault == FaultDelayed {
+		worker.delayedStarts = append(worker.delayedStarts, body)
 		panic(http.ErrAbortHandler)
 	}
-	reason := worker.start(body)
-	if fault == FaultLost {
+	reason := worker.startRun(body)
+	if fault == FaultLostResponse {
 		panic(http.ErrAbortHandler)
 	}
 	if reason != "" {
-		worker.reply(answer, http.StatusConflict, reason)
+		worker.writeResponse(answer, http.StatusConflict, reason)
 		return
 	}
-	worker.reply(answer, http.StatusOK, "")
+	worker.writeResponse(answer, http.StatusOK, "")
 }
 
 func (worker *Worker) serveStop(answer http.ResponseWriter, request *http.Request) {
 	var body Start
-	if !takeBody(answer, request, &body) {
+	if !decodeBody(answer, request, &body) {
 		return
 	}
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if body.FencingToken < worker.token {
-		worker.reply(answer, http.StatusConflict, "fence")
+	if body.FencingToken < worker.fencingToken {
+		worker.writeResponse(answer, http.StatusConflict, "fence")
 		return
 	}
 	if known, found := worker.running[body.Task]; found && known.attempt == body.Attempt {
-		worker.end(body.Task, "stopped")
+		worker.endRun(body.Task, "stopped")
 	}
-	worker.reply(answer, http.StatusOK, "")
+	worker.writeResponse(answer, http.StatusOK, "")
 }
 
 func (worker *Worker) servePace(answer http.ResponseWriter, request *http.Request) {
@@ -103,40 +103,40 @@
 		Task    string `json:"task"`
 		Percent int32  `json:"percent"`
 	}
-	if !takeBody(answer, request, &body) {
+	if !decodeBody(answer, request, &body) {
 		return
 	}
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	if known, found := worker.running[body.Task]; found {
-		known.pace = body.Percent
+		known.pacePercent = body.Percent
 	}
-	worker.reply(answer, http.StatusOK, "")
+	worker.writeResponse(answer, http.StatusOK, "")
 }
 
-type holdBody struct {
+type pollRequest struct {
 	DeadlineMs   int64 `json:"deadline_ms"`
 	FencingToken int64 `json:"fencing_token"`
 	LastSeen     int64 `json:"last_seen"`
 	WaitMs       int64 `json:"wait_ms"`
 }
 
-func (worker *Worker) serveHold(answer http.ResponseWriter, request *http.Request) {
-	var body holdBody
-	if !takeBody(answer, request, &body) {
+func (worker *Worker) servePoll(answer http.ResponseWriter, request *http.Request) {
+	var body pollRequest
+	if !decodeBody(answer, request, &body) {
 		return
 	}
 	worker.mu.Lock()
-	worker.lapse()
-	if body.FencingToken < worker.token {
-		worker.reply(answer, http.StatusConflict, "fence")
+	worker.expireLease()
+	if body.FencingToken < worker.fencingToken {
+		worker.writeResponse(answer, http.StatusConflict, "fence")
 		worker.mu.Unlock()
 		return
 	}
-	worker.looks++
-	worker.token = body.FencingToken
-	worker.renew(body.DeadlineMs)
-	worker.forget(body.LastSeen)
+	worker.polls++
+	worker.fencingToken = body.FencingToken
+	worker.renewLease(body.DeadlineMs)
+	worker.forgetEnds(body.LastSeen)
 	changed, waits := worker.changed, len(worker.ends) == 0 && body.WaitMs > 0
 	worker.mu.Unlock()
 	if waits {
@@ -149,38 +149,38 @@
 	}
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if worker.over {
+	if worker.stopped {
 		panic(http.ErrAbortHandler)
 	}
-	worker.list(answer)
+	worker.writeList(answer)
 }
 
-func (worker *Worker) forget(seen int64) {
-	worker.seen = max(worker.seen, seen)
+func (worker *Worker) forgetEnds(seen int64) {
+	worker.acknowledgedEnd = max(worker.acknowledgedEnd, seen)
 	kept := worker.ends[:0]
 	for _, one := range worker.ends {
 		if one.number > seen {
 			kept = append(kept, one)
 			continue
 		}
-		if one.lapses == worker.lapses {
-			worker.watch(Change{Kind: Noted, Task: one.task, Attempt: one.attempt, How: one.how})
+		if one.leaseExpirations == worker.leaseExpirations {
+			worker.onChange(Change{Kind: Acknowledged, Task: one.task, Attempt: one.attempt, Reason: one.reason})
 		}
 	}
 	worker.ends = kept
 }
 
-// endsListedMost is how many ends are listed at once.
-const endsListedMost = 500
+// maxListedEnds is how many ends are listed at once.
+const maxListedEnds = 500
 
-func (worker *Worker) list(answer http.ResponseWriter) {
-	worker.lapse()
+func (worker *Worker) writeList(answer http.ResponseWriter) {
+	worker.expireLease()
 	running, ended := [][]any{}, [][]any{}
 	for task, known := range worker.running {
-		running = append(running, []any{task, known.attempt, known.checkpoint, known.percent, known.figure})
+		running = append(running, []any{task, known.attempt, known.checkpoint, known.progressPercent, known.reading})
 	}
-	for _, one := range worker.ends[:min(len(worker.ends), endsListedMost)] {
-		ended = append(ended, []any{one.number, one.task, one.attempt, one.how, ""})
+	for _, one := range worker.ends[:min(len(worker.ends), maxListedEnds)] {
+		ended = append(ended, []any{one.number, one.task, one.attempt, one.reason, ""})
 	}
 	answer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(answer).Encode(struct {
@@ -188,5 +188,5 @@
 		Born     int64   `json:"born,omitempty"`
 		Running  [][]any `json:"running"`
 		Finished [][]any `json:"finished_at"`
-	}{worker.clock(), worker.born, running, ended})
+	}{worker.clockMs(), worker.startTime, running, ended})
 }
--- a/standin/wireworker/wireworker.go
+++ b/standin/wireworker/wireworker.go
@@ -23,10 +23,10 @@
 
 // The faults of an order.
 const (
-	FaultNone  Fault = iota
-	FaultLost        // carried out, and the connection broken off
-	FaultReset       // not carried out, and the connection broken off
-	FaultLate        // the connection broken off; carried out by CarryOut
+	FaultNone         Fault = iota
+	FaultLostResponse       // carried out, and the connection broken off
+	FaultReset              // not carried out, and the connection broken off
+	FaultDelayed            // the connection broken off; carried out by CarryOut
 )
 
 // Start is a start as it arrived.
@@ -38,24 +38,24 @@
 	Checkpoint   string `json:"checkpoint"`
 }
 
-// fullPace is the pace, in percent, of a run that was not slowed.
-const fullPace = 100
+// fullPacePercent is the pace, in percent, of a run that was not slowed.
+const fullPacePercent = 100
 
 type run struct {
-	attempt    int32
-	checkpoint string
-	figure     int64
-	percent    int32
-	pace       int32
+	attempt         int32
+	checkpoint      string
+	reading         int64
+	progressPercent int32
+	pacePercent     int32
 }
 
 type end struct {
 	number  int64
 	task    string
 	attempt int32
-	how     string
-	// lapses is how often the lease had run out when the run ended.
-	lapses int
+	reason  string
+	// leaseExpirations is how often the lease had run out when the run ended.
+	leaseExpirations int
 }
 
 // Worker is the stand-in. It is an http.Handler.
@@ -63,60 +63,60 @@
 	incarnation string
 	clocks      clockwork.Clock
 
-	// born is when this life began, in milliseconds since 1970; 0 for a worker that doesn't say it.
-	born int64
-
-	mu       sync.Mutex
-	over     bool // the life has ended: nothing is answered
-	began    time.Time
-	running  map[string]*run
-	highest  map[string]int32 // attempts that ended or were stopped
-	ends     []end
-	numbered int64
-	deadline int64
-	token    int64
-	fault    func(path string) Fault
-	late     []Start
-	starts   []Start
-	looks    int
-	seen     int64
-	changed  chan struct{}
-	// lapses counts how often the lease has run out, lapsedAt is the last deadline that did.
-	lapses   int
-	lapsedAt int64
-	watch    func(change Change)
+	// startTime is when this life began, in milliseconds since 1970; 0 for a worker that doesn't say it.
+	startTime int64
+
+	mu              sync.Mutex
+	stopped         bool // the life has ended: nothing is answered
+	startedAt       time.Time
+	running         map[string]*run
+	highestAttempts map[string]int32 // attempts that ended or were stopped
+	ends            []end
+	lastEndNumber   int64
+	leaseEndMs      int64
+	fencingToken    int64
+	fault           func(path string) Fault
+	delayedStarts   []Start
+	starts          []Start
+	polls           int
+	acknowledgedEnd int64
+	changed         chan struct{}
+	// leaseExpirations counts how often the lease has run out, lapsedAt is the last deadline that did.
+	leaseExpirations  int
+	expiredLeaseEndMs int64
+	onChange          func(change Change)
 }
 
 // New returns a worker that runs nothing.
 func New(incarnation string, clocks clockwork.Clock) *Worker {
 	return &Worker{
-		incarnation: incarnation, clocks: clocks, began: clocks.Now(),
-		running: map[string]*run{}, highest: map[string]int32{}, changed: make(chan struct{}), watch: func(Change) {},
+		incarnation: incarnation, clocks: clocks, startedAt: clocks.Now(),
+		running: map[string]*run{}, highestAttempts: map[string]int32{}, changed: make(chan struct{}), onChange: func(Change) {},
 	}
 }
 
-// NewDated returns a worker that runs nothing and says when it started.
-func NewDated(incarnation string, clocks clockwork.Clock) *Worker {
+// NewWithStartTime returns a worker that runs nothing and says when it started.
+func NewWithStartTime(incarnation string, clocks clockwork.Clock) *Worker {
 	made := New(incarnation, clocks)
-	made.born = clocks.Now().UnixMilli()
+	made.startTime = clocks.Now().UnixMilli()
 	return made
 }
 
 // ID returns what the worker calls itself.
 func (worker *Worker) ID() string { return worker.incarnation }
 
-// Born returns when this life began, in milliseconds since 1970; 0 for a worker that doesn't say it.
-func (worker *Worker) Born() int64 { return worker.born }
+// StartTime returns when this life began, in milliseconds since 1970; 0 for a worker that doesn't say it.
+func (worker *Worker) StartTime() int64 { return worker.startTime }
 
-// StartAgain ends this life and returns the next one under the same id. Of what this one knew it has
+// Restart ends this life and returns the next one under the same id. Of what this one knew it has
 // nothing; orders that were late may still be carried out there.
-func (worker *Worker) StartAgain() *Worker {
-	next := NewDated(worker.incarnation, worker.clocks)
-	next.born = max(next.born, worker.born+1)
+func (worker *Worker) Restart() *Worker {
+	next := NewWithStartTime(worker.incarnation, worker.clocks)
+	next.startTime = max(next.startTime, worker.startTime+1)
 	worker.Stop()
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	next.late, worker.late = worker.late, nil
+	next.delayedStarts, worker.delayedStarts = worker.delayedStarts, nil
 	return next
 }
 
@@ -124,32 +124,32 @@
 func (worker *Worker) Stop() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.over = true
-	worker.watch = func(Change) {}
+	worker.stopped = true
+	worker.onChange = func(Change) {}
 	close(worker.changed)
 	worker.changed = make(chan struct{})
 }
 
-// Fail has fault decide what befalls each call from here on.
-func (worker *Worker) Fail(fault func(path string) Fault) {
+// InjectFaults has fault decide what befalls each call from here on.
+func (worker *Worker) InjectFaults(fault func(path string) Fault) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.fault = fault
 }
 
-// RaiseToken has the worker obey no token of the present moment any more, as after orders
+// RaiseFencingToken has the worker obey no token of the present moment any more, as after orders
 // of a holder whose clock is ahead by so much.
-func (worker *Worker) RaiseToken(ahead time.Duration) {
+func (worker *Worker) RaiseFencingToken(ahead time.Duration) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.token += ahead.Milliseconds()
+	worker.fencingToken += ahead.Milliseconds()
 }
 
 // Running reports whether a task runs, and under which attempt.
 func (worker *Worker) Running(task string) (int32, bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.lapse()
+	worker.expireLease()
 	if known, found := worker.running[task]; found {
 		return known.attempt, true
 	}
@@ -163,42 +163,42 @@
 	return append([]Start(nil), worker.starts...)
 }
 
-// Looks returns how often the worker was asked what runs, and the number of the
+// Polls returns how often the worker was asked what runs, and the number of the
 // last end that it was told to forget.
-func (worker *Worker) Looks() (count int, seen int64) {
+func (worker *Worker) Polls() (count int, seen int64) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	return worker.looks, worker.seen
+	return worker.polls, worker.acknowledgedEnd
 }
 
 // LeaseEnd returns when everything ends, on the worker's clock.
 func (worker *Worker) LeaseEnd() time.Duration {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	return time.Duration(worker.deadline) * time.Millisecond
+	return time.Duration(worker.leaseEndMs) * time.Millisecond
 }
 
 // Clock returns the worker's clock.
 func (worker *Worker) Clock() time.Duration {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	return time.Duration(worker.clock()) * time.Millisecond
+	return time.Duration(worker.clockMs()) * time.Millisecond
 }
 
-// Put has a task run that nobody ordered in this test, with a lease.
-func (worker *Worker) Put(task string, attempt int32, lease time.Duration) {
+// AddRun has a task run that nobody ordered in this test, with a lease.
+func (worker *Worker) AddRun(task string, attempt int32, lease time.Duration) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.running[task] = &run{attempt: attempt, pace: fullPace}
-	worker.renew(worker.clock() + lease.Milliseconds())
+	worker.running[task] = &run{attempt: attempt, pacePercent: fullPacePercent}
+	worker.renewLease(worker.clockMs() + lease.Milliseconds())
 }
 
-// Progress sets the percent that a run shows.
-func (worker *Worker) Progress(task string, percent int32) {
+// SetProgress sets the percent that a run shows.
+func (worker *Worker) SetProgress(task string, percent int32) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	if known, found := worker.running[task]; found {
-		known.percent = percent
+		known.progressPercent = percent
 	}
 }
 
@@ -207,7 +207,7 @@
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	if known, found := worker.running[task]; found {
-		known.pace, known.figure = percent, milliCPU
+		known.pacePercent, known.reading = percent, milliCPU
 	}
 }
 
@@ -216,99 +216,99 @@
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	if known, found := worker.running[task]; found {
-		return known.pace
+		return known.pacePercent
 	}
 	return 0
 }
 
-// Number has ends counted from a number on, as if earlier ones were forgotten.
-func (worker *Worker) Number(last int64) {
+// SetLastEndNumber has ends counted from a number on, as if earlier ones were forgotten.
+func (worker *Worker) SetLastEndNumber(last int64) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.numbered = last
+	worker.lastEndNumber = last
 }
 
 // End ends a run.
 func (worker *Worker) End(task, how string) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.end(task, how)
+	worker.endRun(task, how)
 }
 
-// EndRun ends a run if it is still the one that runs of its task.
-func (worker *Worker) EndRun(task string, attempt int32, how string) {
+// EndAttempt ends a run if it is still the one that runs of its task.
+func (worker *Worker) EndAttempt(task string, attempt int32, how string) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.lapse()
+	worker.expireLease()
 	if known, found := worker.running[task]; found && known.attempt == attempt {
-		worker.end(task, how)
+		worker.endRun(task, how)
 	}
 }
 
-func (worker *Worker) end(task, how string) {
+func (worker *Worker) endRun(task, how string) {
 	known, found := worker.running[task]
 	if !found {
 		return
 	}
 	delete(worker.running, task)
-	worker.highest[task] = max(worker.highest[task], known.attempt)
-	worker.numbered++
-	worker.ends = append(worker.ends, end{worker.numbered, task, known.attempt, how, worker.lapses})
-	worker.watch(Change{Kind: Ended, Task: task, Attempt: known.attempt, How: how})
+	worker.highestAttempts[task] = max(worker.highestAttempts[task], known.attempt)
+	worker.lastEndNumber++
+	worker.ends = append(worker.ends, end{worker.lastEndNumber, task, known.attempt, how, worker.leaseExpirations})
+	worker.onChange(Change{Kind: Ended, Task: task, Attempt: known.attempt, Reason: how})
 	close(worker.changed)
 	worker.changed = make(chan struct{})
 }
 
-// CarryOut carries out the orders that were late.
-func (worker *Worker) CarryOut() {
+// ExecuteDelayedStarts carries out the orders that were late.
+func (worker *Worker) ExecuteDelayedStarts() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	for _, start := range worker.late {
-		worker.start(start)
+	for _, start := range worker.delayedStarts {
+		worker.startRun(start)
 	}
-	worker.late = nil
+	worker.delayedStarts = nil
 }
 
-// clockBegins is what the worker's clock shows at its start, in milliseconds.
-const clockBegins = 1000
+// initialClockMs is what the worker's clock shows at its start, in milliseconds.
+const initialClockMs = 1000
 
-func (worker *Worker) clock() int64 {
-	return worker.clocks.Now().Sub(worker.began).Milliseconds() + clockBegins
+func (worker *Worker) clockMs() int64 {
+	return worker.clocks.Now().Sub(worker.startedAt).Milliseconds() + initialClockMs
 }
 
-func (worker *Worker) lapse() {
-	if worker.clock() < worker.deadline {
+func (worker *Worker) expireLease() {
+	if worker.clockMs() < worker.leaseEndMs {
 		return
 	}
-	if worker.deadline > worker.lapsedAt {
-		worker.lapsedAt = worker.deadline
-		worker.lapses++
+	if worker.leaseEndMs > worker.expiredLeaseEndMs {
+		worker.expiredLeaseEndMs = worker.leaseEndMs
+		worker.leaseExpirations++
 	}
 	for task := range worker.running {
-		worker.end(task, "lapsed")
+		worker.endRun(task, "lapsed")
 	}
 }
 
-// start carries out a start and returns why it does not.
-func (worker *Worker) start(order Start) string {
-	worker.lapse()
+// startRun carries out a start and returns why it does not.
+func (worker *Worker) startRun(order Start) string {
+	worker.expireLease()
 	known, found := worker.running[order.Task]
 	switch {
-	case worker.over:
+	case worker.stopped:
 		return "over"
-	case order.FencingToken < worker.token:
+	case order.FencingToken < worker.fencingToken:
 		return "fence"
-	case order.DeadlineMs <= worker.clock():
+	case order.DeadlineMs <= worker.clockMs():
 		return "late"
 	case found && known.attempt == order.Attempt:
 		return ""
-	case found || order.Attempt <= worker.highest[order.Task]:
+	case found || order.Attempt <= worker.highestAttempts[order.Task]:
 		return "old"
 	}
-	worker.token = order.FencingToken
-	worker.renew(order.DeadlineMs)
-	worker.running[order.Task] = &run{attempt: order.Attempt, checkpoint: order.Checkpoint, pace: fullPace}
+	worker.fencingToken = order.FencingToken
+	worker.renewLease(order.DeadlineMs)
+	worker.running[order.Task] = &run{attempt: order.Attempt, checkpoint: order.Checkpoint, pacePercent: fullPacePercent}
 	worker.starts = append(worker.starts, order)
-	worker.watch(Change{Kind: Started, Task: order.Task, Attempt: order.Attempt})
+	worker.onChange(Change{Kind: Started, Task: order.Task, Attempt: order.Attempt})
 	return ""
 }
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	stepTime     = 20 * time.Millisecond
-	watchEvery   = 5 // steps between two outputs of a watch
-	outputsKept  = 10_000
-	defaultTime  = 500 * time.Millisecond
-	failureInput = "fail"
-	// watchClass marks a task that streams until it is cancelled.
-	watchClass = "watch"
+	stepInterval   = 20 * time.Millisecond
+	stepsPerOutput = 5 // steps between two outputs of a watch
+	maxOutputs     = 10_000
+	defaultRunTime = 500 * time.Millisecond
+	failureInput   = "fail"
+	// watchKind marks a task that streams until it is cancelled.
+	watchKind = "watch"
 )
 
 // WorkerOptions sets up a stand-in worker.
@@ -50,29 +50,29 @@
 type Worker struct {
 	options WorkerOptions
 
-	mu        sync.Mutex
-	uptime    time.Duration
-	tasks     map[string]*running
-	newest    map[string]uint64
-	failStart bool
-	started   []Run
+	mu             sync.Mutex
+	uptime         time.Duration
+	tasks          map[string]*taskState
+	newestAttempts map[string]uint64
+	failStarts     bool
+	runs           []Run
 }
 
 // Run is one attempt that the worker has begun, and its end if it has one.
 type Run struct {
-	Task    string
-	Attempt uint64
-	Began   time.Time
-	Ended   time.Time
+	Task      string
+	Attempt   uint64
+	StartedAt time.Time
+	EndedAt   time.Time
 }
 
-type running struct {
+type taskState struct {
 	worker.Task
 	progress time.Duration
 	sequence uint64
 	outputs  []worker.Output
-	grown    chan struct{}
-	run      int
+	changed  chan struct{}
+	runIndex int
 	throttle float64
 }
 
@@ -84,26 +84,26 @@
 
 // NewWorker returns a worker that runs nothing. Run makes its time pass.
 func NewWorker(options WorkerOptions) *Worker {
-	return &Worker{options: options, tasks: map[string]*running{}, newest: map[string]uint64{}}
+	return &Worker{options: options, tasks: map[string]*taskState{}, newestAttempts: map[string]uint64{}}
 }
 
 // FailStarts makes every start fail, or no longer.
 func (fake *Worker) FailStarts(fail bool) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	fake.failStart = fail
+	fake.failStarts = fail
 }
 
 // Runs returns every attempt the worker has begun, oldest first.
 func (fake *Worker) Runs() []Run {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	return slices.Clone(fake.started)
+	return slices.Clone(fake.runs)
 }
 
 // Run makes time pass until ctx ends.
 func (fake *Worker) Run(ctx context.Context) {
-	ticker := time.NewTicker(stepTime)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	before := time.Now()
 	for {
@@ -124,41 +124,41 @@
 	defer fake.mu.Unlock()
 	fake.uptime += span
 	for _, each := range fake.tasks {
-		fake.step(each, now, span)
+		fake.stepTask(each, now, span)
 	}
 }
 
-func (fake *Worker) step(each *running, now time.Time, span time.Duration) {
+func (fake *Worker) stepTask(each *taskState, now time.Time, span time.Duration) {
 	switch each.Phase {
 	case worker.Stopping:
-		fake.end(each, worker.Stopped, "stopped", now)
+		fake.endTask(each, worker.Stopped, "stopped", now)
 		return
 	case worker.Running:
 	default:
 		return
 	}
 	if fake.uptime >= each.LeaseEnd && !fake.options.IgnoreLeases {
-		fake.end(each, worker.Lapsed, "its lease ended", now)
+		fake.endTask(each, worker.Lapsed, "its lease ended", now)
 		return
 	}
 	each.progress += time.Duration(float64(span) * each.throttle)
-	if slices.Contains(fake.options.WatchKinds, each.Kind) || each.Kind == watchClass {
-		fake.emit(each)
+	if slices.Contains(fake.options.WatchKinds, each.Kind) || each.Kind == watchKind {
+		fake.emitOutput(each)
 		return
 	}
 	if each.progress < each.RunTime {
 		return
 	}
 	if string(each.Input) == failureInput {
-		fake.end(each, worker.Failed, "the task failed, as its input asked", now)
+		fake.endTask(each, worker.Failed, "the task failed, as its input asked", now)
 		return
 	}
 	each.Result = fmt.Appendf(nil, "%s of %q by %s, attempt %d", each.Kind, each.Input, fake.options.Name, each.Attempt)
-	fake.end(each, worker.Finished, "finished", now)
+	fake.endTask(each, worker.Finished, "finished", now)
 }
 
-func (fake *Worker) emit(each *running) {
-	if each.progress < time.Duration(each.sequence+1)*watchEvery*stepTime {
+func (fake *Worker) emitOutput(each *taskState) {
+	if each.progress < time.Duration(each.sequence+1)*stepsPerOutput*stepInterval {
 		return
 	}
 	each.sequence++
@@ -167,43 +167,43 @@
 		Sequence: each.sequence,
 		Data:     fmt.Appendf(nil, "%s heard %q, part %d", fake.options.Name, each.Input, each.sequence),
 	})
-	if len(each.outputs) > outputsKept {
+	if len(each.outputs) > maxOutputs {
 		each.outputs = each.outputs[1:]
 	}
-	close(each.grown)
-	each.grown = make(chan struct{})
+	close(each.changed)
+	each.changed = make(chan struct{})
 }
 
-func (fake *Worker) end(each *running, phase worker.Phase, reason string, now time.Time) {
+func (fake *Worker) endTask(each *taskState, phase worker.Phase, reason string, now time.Time) {
 	each.Phase = phase
 	each.Reason = reason
-	fake.started[each.run].Ended = now
-	fake.observe(each, true)
+	fake.runs[each.runIndex].EndedAt = now
+	fake.notifyObserver(each, true)
 	if phase == worker.Stopped || phase == worker.Lapsed {
 		// A checkpoint is a small JSON value; encoding it cannot fail.
 		each.Checkpoint, _ = json.Marshal(checkpoint{Progress: each.progress, Sequence: each.sequence})
 	}
-	close(each.grown)
-	each.grown = make(chan struct{})
+	close(each.changed)
+	each.changed = make(chan struct{})
 }
 
-// start begins an attempt, or says why not: stale or an error in words.
-func (fake *Worker) start(start worker.StartRequest, now time.Time) (stale bool, failure string) {
+// startTask begins an attempt, or says why not: stale or an error in words.
+func (fake *Worker) startTask(start worker.StartRequest, now time.Time) (stale bool, failure string) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	if start.Attempt <= fake.newest[start.Task] {
+	if start.Attempt <= fake.newestAttempts[start.Task] {
 		return true, ""
 	}
 	if fake.uptime >= start.LeaseEnd {
 		return true, ""
 	}
-	if fake.failStart {
+	if fake.failStarts {
 		return false, "this worker fails every start"
 	}
-	if before, found := fake.tasks[start.Task]; found && !ended(before.Phase) {
+	if before, found := fake.tasks[start.Task]; found && !hasEnded(before.Phase) {
 		return false, "an earlier attempt still runs"
 	}
-	fake.newest[start.Task] = start.Attempt
+	fake.newestAttempts[start.Task] = start.Attempt
 	var from checkpoint
 	if len(start.Checkpoint) > 0 {
 		if err := json.Unmarshal(start.Checkpoint, &from); err != nil {
@@ -211,22 +211,22 @@
 		}
 	}
 	if start.RunTime == 0 {
-		start.RunTime = defaultTime
+		start.RunTime = defaultRunTime
 	}
-	fake.started = append(fake.started, Run{Task: start.Task, Attempt: start.Attempt, Began: now})
-	fake.tasks[start.Task] = &running{
+	fake.runs = append(fake.runs, Run{Task: start.Task, Attempt: start.Attempt, StartedAt: now})
+	fake.tasks[start.Task] = &taskState{
 		Task:     worker.Task{StartRequest: start, Phase: worker.Running},
 		progress: from.Progress,
 		sequence: from.Sequence,
-		grown:    make(chan struct{}),
-		run:      len(fake.started) - 1,
+		changed:  make(chan struct{}),
+		runIndex: len(fake.runs) - 1,
 		throttle: 1,
 	}
-	fake.observe(fake.tasks[start.Task], false)
+	fake.notifyObserver(fake.tasks[start.Task], false)
 	return false, ""
 }
 
-func (fake *Worker) observe(each *running, over bool) {
+func (fake *Worker) notifyObserver(each *taskState, over bool) {
 	if fake.options.Observe == nil {
 		return
 	}
@@ -235,34 +235,34 @@
 	})
 }
 
-func stopRunning(each *running) {
+func requestStop(each *taskState) {
 	if each.Phase == worker.Running {
 		each.Phase = worker.Stopping
 	}
 }
 
-// forgetEnded drops an attempt that has ended; the worker's lock is held.
-func (fake *Worker) forgetEnded(each *running) {
-	if ended(each.Phase) {
+// removeEnded drops an attempt that has ended; the worker's lock is held.
+func (fake *Worker) removeEnded(each *taskState) {
+	if hasEnded(each.Phase) {
 		delete(fake.tasks, each.Task.Task)
 	}
 }
 
-func (fake *Worker) renew(renewals []worker.Renewal) {
+func (fake *Worker) renewLeases(renewals []worker.Renewal) {
 	for _, renewal := range renewals {
-		fake.withAttempt(renewal.Task, renewal.Attempt, func(each *running) {
+		fake.updateAttempt(renewal.Task, renewal.Attempt, func(each *taskState) {
 			each.LeaseEnd = max(each.LeaseEnd, renewal.LeaseEnd)
 		})
 	}
 }
 
-func ended(phase worker.Phase) bool {
+func hasEnded(phase worker.Phase) bool {
 	return phase != worker.Running && phase != worker.Stopping
 }
 
-// withAttempt calls change on the attempt, and reports whether it is the
+// updateAttempt calls change on the attempt, and reports whether it is the
 // newest one.
-func (fake *Worker) withAttempt(task string, attempt uint64, change func(each *running)) bool {
+func (fake *Worker) updateAttempt(task string, attempt uint64, change func(each *taskState)) bool {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	each, found := fake.tasks[task]
@@ -273,7 +273,7 @@
 	return true
 }
 
-func (fake *Worker) list() worker.Listing {
+func (fake *Worker) listTasks() worker.Listing {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	listing := worker.Listing{Uptime: fake.uptime, Tasks: make([]worker.Task, 0, len(fake.tasks))}
@@ -310,7 +310,7 @@
 	}
 	from := slices.IndexFunc(each.outputs, func(output worker.Output) bool { return output.Sequence > after })
 	if from < 0 {
-		return nil, ended(each.Phase), each.grown
+		return nil, hasEnded(each.Phase), each.changed
 	}
-	return slices.Clone(each.outputs[from:]), ended(each.Phase), each.grown
+	return slices.Clone(each.outputs[from:]), hasEnded(each.Phase), each.changed
 }
