--- a/session/transcript_test.go
+++ b/session/transcript_test.go
@@ -9,8 +9,8 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// transcript collects what was said and logged. IDs are replaced by numbers in
-// the order of their first appearance.
+// transcript records requests, responses and log lines. Its text has a numbered placeholder for each UUID, in
+// the order of first appearance, so that it is the same in every run.
 type transcript struct {
 	mu           sync.Mutex
 	lines        []string
@@ -19,43 +19,42 @@
 
 var uuidPattern = regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
 
-func (said *transcript) add(who, text string) {
-	said.mu.Lock()
-	defer said.mu.Unlock()
-	said.lines = append(said.lines, fmt.Sprintf("%-9s | %s", who, text))
+func (t *transcript) add(source, text string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lines = append(t.lines, fmt.Sprintf("%-9s | %s", source, text))
 }
 
-func (said *transcript) addHeading(title string) {
-	said.mu.Lock()
-	defer said.mu.Unlock()
-	said.lines = append(said.lines, "", "# "+title)
+func (t *transcript) addHeading(title string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lines = append(t.lines, "", "# "+title)
 }
 
-func (said *transcript) text() string {
-	said.mu.Lock()
-	defer said.mu.Unlock()
-	joined := strings.TrimSpace(strings.Join(said.lines, "\n")) + "\n"
+func (t *transcript) text() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	joined := strings.TrimSpace(strings.Join(t.lines, "\n")) + "\n"
 	return uuidPattern.ReplaceAllStringFunc(joined, func(id string) string {
-		if _, known := said.placeholders[id]; !known {
-			said.placeholders[id] = fmt.Sprintf("<id-%d>", len(said.placeholders)+1)
+		if _, known := t.placeholders[id]; !known {
+			t.placeholders[id] = fmt.Sprintf("<id-%d>", len(t.placeholders)+1)
 		}
-		return said.placeholders[id]
+		return t.placeholders[id]
 	})
 }
 
-// lineWriter puts log lines into a transcript.
+// lineWriter adds log lines to a transcript.
 type lineWriter struct {
 	transcript *transcript
 	name       string
 }
 
 // Write implements io.Writer.
-func (lines *lineWriter) Write(line []byte) (int, error) {
-	// How often a read of the log fails while it is down depends on the pace of
-	// the machine.
+func (w *lineWriter) Write(line []byte) (int, error) {
+	// Failed reads of the log are omitted: their number during an outage depends on the speed of the machine.
 	if strings.Contains(string(line), fmt.Sprintf("event=%d ", event.ReadFailed)) {
 		return len(line), nil
 	}
-	lines.transcript.add(lines.name, "logs "+strings.TrimSpace(string(line)))
+	w.transcript.add(w.name, "logs "+strings.TrimSpace(string(line)))
 	return len(line), nil
 }
