--- a/session/switchedlog_test.go
+++ b/session/switchedlog_test.go
@@ -9,39 +9,39 @@
 	"ambertiller.example/ambertiller/logservice"
 )
 
-// switchableLog is one entry's way to the log, which can be cut.
+// switchableLog is the connection of one entry to the log. A test can replace or disconnect it.
 type switchableLog struct {
 	mu      sync.Mutex
 	service logservice.Service
 }
 
-var errLogDisconnected = errors.New("the way to the log is cut")
+var errLogDisconnected = errors.New("the log is disconnected")
 
-// set changes the way to the log; nil cuts it.
-func (switched *switchableLog) set(way logservice.Service) {
-	switched.mu.Lock()
-	defer switched.mu.Unlock()
-	switched.service = way
+// set replaces the log service; nil disconnects it.
+func (l *switchableLog) set(service logservice.Service) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.service = service
 }
 
-func (switched *switchableLog) get() logservice.Service {
-	switched.mu.Lock()
-	defer switched.mu.Unlock()
-	return switched.service
+func (l *switchableLog) get() logservice.Service {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.service
 }
 
 // Append implements logservice.Service.
-func (switched *switchableLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
-	if way := switched.get(); way != nil {
-		return way.Append(ctx, stream, data)
+func (l *switchableLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
+	if service := l.get(); service != nil {
+		return service.Append(ctx, stream, data)
 	}
 	return 0, errLogDisconnected
 }
 
 // Read implements logservice.Service.
-func (switched *switchableLog) Read(ctx context.Context, stream string, options logservice.ReadOptions) (logservice.Page, error) {
-	if way := switched.get(); way != nil {
-		return way.Read(ctx, stream, options)
+func (l *switchableLog) Read(ctx context.Context, stream string, options logservice.ReadOptions) (logservice.Page, error) {
+	if service := l.get(); service != nil {
+		return service.Read(ctx, stream, options)
 	}
 	return logservice.Page{}, errLogDisconnected
 }
