--- a/session/network_test.go
+++ b/session/network_test.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// network connects addresses in memory. A cut address can't be dialled, and
-// its connections are broken off.
+// network is an in-memory network. A disconnected address can't be dialled, and its open connections are
+// closed.
 type network struct {
 	mu           sync.Mutex
 	listeners    map[string]*pipeListener
@@ -20,19 +20,19 @@
 	return &network{listeners: map[string]*pipeListener{}, disconnected: map[string]bool{}}
 }
 
-func (links *network) dial(ctx context.Context, address string) (net.Conn, error) {
-	links.mu.Lock()
-	listener, found := links.listeners[address]
-	cut := links.disconnected[address]
-	links.mu.Unlock()
+func (n *network) dial(ctx context.Context, address string) (net.Conn, error) {
+	n.mu.Lock()
+	listener, found := n.listeners[address]
+	cut := n.disconnected[address]
+	n.mu.Unlock()
 	if !found || cut {
 		return nil, errors.New("connection refused")
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case listener.incoming <- far:
-		listener.addConn(near)
-		return near, nil
+	case listener.incoming <- server:
+		listener.addConn(client)
+		return client, nil
 	case <-listener.closed:
 		return nil, errors.New("connection refused")
 	case <-ctx.Done():
@@ -40,24 +40,25 @@
 	}
 }
 
-func (links *network) listen(address string) *pipeListener {
-	links.mu.Lock()
-	defer links.mu.Unlock()
+func (n *network) listen(address string) *pipeListener {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	listener := &pipeListener{incoming: make(chan net.Conn), closed: make(chan struct{}), address: address}
-	links.listeners[address] = listener
+	n.listeners[address] = listener
 	return listener
 }
 
-// setDisconnected cuts an address off, or joins it again.
-func (links *network) setDisconnected(address string, cut bool) {
-	links.mu.Lock()
-	defer links.mu.Unlock()
-	links.disconnected[address] = cut
-	if listener := links.listeners[address]; cut && listener != nil {
+// setDisconnected disconnects or reconnects an address. Disconnecting closes its open connections.
+func (n *network) setDisconnected(address string, cut bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.disconnected[address] = cut
+	if listener := n.listeners[address]; cut && listener != nil {
 		listener.closeConns()
 	}
 }
 
+// pipeListener implements net.Listener for connections made with net.Pipe.
 type pipeListener struct {
 	incoming  chan net.Conn
 	closed    chan struct{}
@@ -68,33 +69,34 @@
 	conns []net.Conn
 }
 
-func (listener *pipeListener) addConn(conn net.Conn) {
-	listener.mu.Lock()
-	defer listener.mu.Unlock()
-	listener.conns = append(listener.conns, conn)
+func (l *pipeListener) addConn(conn net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conns = append(l.conns, conn)
 }
 
-func (listener *pipeListener) closeConns() {
-	listener.mu.Lock()
-	defer listener.mu.Unlock()
-	for _, conn := range listener.conns {
+// closeConns closes all connections that were made to the listener.
+func (l *pipeListener) closeConns() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, conn := range l.conns {
 		_ = conn.Close()
 	}
-	listener.conns = nil
+	l.conns = nil
 }
 
-func (listener *pipeListener) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-listener.incoming:
+	case conn := <-l.incoming:
 		return conn, nil
-	case <-listener.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (listener *pipeListener) Close() error {
-	listener.closeOnce.Do(func() { close(listener.closed) })
+func (l *pipeListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (listener *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: listener.address} }
+func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: l.address} }
