--- a/session/ask_test.go
+++ b/session/ask_test.go
@@ -11,67 +11,70 @@
 	"ambertiller.example/ambertiller/state"
 )
 
-// doRecorded sends one HTTP request to an entry and notes both ways.
-func (made *harness) doRecorded(name, method, path, body string, headers ...string) *httptest.ResponseRecorder {
-	made.t.Helper()
-	request := httptest.NewRequestWithContext(made.ctx, method, path, strings.NewReader(body))
+// doRecorded sends one HTTP request to an entry and adds the request and the response to the transcript.
+func (h *harness) doRecorded(name, method, path, body string, headers ...string) *httptest.ResponseRecorder {
+	h.t.Helper()
+	request := httptest.NewRequestWithContext(h.ctx, method, path, strings.NewReader(body))
 	for index := 0; index+1 < len(headers); index += 2 {
 		request.Header.Set(headers[index], headers[index+1])
 	}
-	made.transcript.add("caller", strings.TrimSpace(fmt.Sprintf("%s %s %s %q", method, path, strings.Join(headers, " "), body)))
+	h.transcript.add("caller", strings.TrimSpace(fmt.Sprintf("%s %s %s %q", method, path, strings.Join(headers, " "), body)))
 	recorder := httptest.NewRecorder()
-	if broken := serveHTTP(made.entries[name].handler, recorder, request); broken {
-		made.transcript.add(name, "breaks the connection off")
+	if aborted := serveHTTP(h.entries[name].handler, recorder, request); aborted {
+		h.transcript.add(name, "breaks the connection off")
 		return recorder
 	}
-	made.transcript.add(name, fmt.Sprintf("answers %d %s", recorder.Code, strings.TrimSpace(recorder.Body.String())))
+	h.transcript.add(name, fmt.Sprintf("answers %d %s", recorder.Code, strings.TrimSpace(recorder.Body.String())))
 	return recorder
 }
 
-func serveHTTP(handler http.Handler, recorder *httptest.ResponseRecorder, request *http.Request) (broken bool) {
+// serveHTTP calls the handler and reports whether it aborted the connection with http.ErrAbortHandler.
+func serveHTTP(handler http.Handler, recorder *httptest.ResponseRecorder, request *http.Request) (aborted bool) {
 	defer func() {
-		if failure := recover(); failure != nil {
-			if failure != http.ErrAbortHandler {
-				panic(failure)
+		if recovered := recover(); recovered != nil {
+			if recovered != http.ErrAbortHandler {
+				panic(recovered)
 			}
-			broken = true
+			aborted = true
 		}
 	}()
 	handler.ServeHTTP(recorder, request)
 	return false
 }
 
-func (made *harness) publishExampleConfig(entryName string) {
-	made.t.Helper()
+// publishExampleConfig publishes the example configuration of Verbalia.
+func (h *harness) publishExampleConfig(entryName string) {
+	h.t.Helper()
 	content, err := examples.Files.ReadFile("verbalia/config.yaml")
 	if err != nil {
-		made.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	rec := made.doRequest(entryName, http.MethodPut, "/v1/documents/config", fmt.Sprintf(`{"content":%q,"author":"anna"}`, content))
+	rec := h.doRequest(entryName, http.MethodPut, "/v1/documents/config", fmt.Sprintf(`{"content":%q,"author":"anna"}`, content))
 	if rec.Code != http.StatusOK {
-		made.t.Fatalf("publish: %d %s", rec.Code, rec.Body)
+		h.t.Fatalf("publish example configuration: status %d: %s", rec.Code, rec.Body)
 	}
-	made.catchUp()
+	h.catchUp()
 }
 
-func (made *harness) doRequest(name, method, path, body string, headers ...string) *httptest.ResponseRecorder {
-	request := httptest.NewRequestWithContext(made.ctx, method, path, strings.NewReader(body))
+// doRequest sends one HTTP request to an entry without adding it to the transcript.
+func (h *harness) doRequest(name, method, path, body string, headers ...string) *httptest.ResponseRecorder {
+	request := httptest.NewRequestWithContext(h.ctx, method, path, strings.NewReader(body))
 	for index := 0; index+1 < len(headers); index += 2 {
 		request.Header.Set(headers[index], headers[index+1])
 	}
 	recorder := httptest.NewRecorder()
-	serveHTTP(made.entries[name].handler, recorder, request)
+	serveHTTP(h.entries[name].handler, recorder, request)
 	return recorder
 }
 
-// task returns a task as an entry's state has it.
-func (made *harness) task(name, id string) api.Task {
-	made.t.Helper()
-	var shown api.Task
-	made.entries[name].journal.View(func(folded *state.State) {
-		if task := folded.Task(id); task != nil {
-			shown = api.Task{ID: id, Phase: task.Phase().String(), Worker: task.Worker(), Attempt: task.Attempt(), Reason: task.Reason(), Evictions: task.Evictions()}
+// task returns a task as recorded in an entry's state, or a zero Task if the entry doesn't know it.
+func (h *harness) task(name, id string) api.Task {
+	h.t.Helper()
+	var result api.Task
+	h.entries[name].journal.View(func(st *state.State) {
+		if task := st.Task(id); task != nil {
+			result = api.Task{ID: id, Phase: task.Phase().String(), Worker: task.Worker(), Attempt: task.Attempt(), Reason: task.Reason(), Evictions: task.Evictions()}
 		}
 	})
-	return shown
+	return result
 }
