--- a/session/harness_test.go
+++ b/session/harness_test.go
@@ -1,6 +1,5 @@
-// Package session_test runs whole sessions of entries and guards in one
-// process, with a fake clock and a network in memory, and compares what was
-// said and logged with golden files.
+// Package session_test runs entries and guards together in one process, with a fake clock and an in-memory
+// network. Some tests compare the recorded requests, responses and log lines with golden files.
 package session_test
 
 import (
@@ -34,7 +33,7 @@
 
 const bytesPerGiB = 1 << 30
 
-// harness holds one session.
+// harness runs the entries, guards, workers and backend servers of one session.
 type harness struct {
 	t         *testing.T
 	ctx       context.Context
@@ -46,19 +45,21 @@
 	guards    map[string]*guardInstance
 	workers   map[string]*standin.Worker
 	backends  map[string]http.Handler
-	// backendOverride takes the place of every stand-in backend server, if it is set.
+	// backendOverride replaces the stand-in backend server of every worker, if it is set.
 	backendOverride http.Handler
 	transcript      transcript
 	observations    observationLog
-	// advanceDuringReads lets time pass while the entries read the log: after an outage
-	// they wait before they read again.
+	// advanceDuringReads advances the clock while catchUp waits for the entries to read the log. It is needed
+	// after an outage, when the entries back off before they read again.
 	advanceDuringReads bool
-	// blockedReports names the guards that can't reach any entry.
+	// blockedReports has the names of guards whose reports reach no entry, and keys like "worker-01 to
+	// entry-1" for reports that don't reach one entry.
 	blockedReports map[string]bool
-	// ignoreLeases breaks the workers on purpose.
+	// ignoreLeases makes the workers keep running tasks whose lease has expired.
 	ignoreLeases bool
 }
 
+// entryInstance is a running entry.
 type entryInstance struct {
 	entry   *entry.Entry
 	journal *changelog.Journal
@@ -68,6 +69,7 @@
 	log     *switchableLog
 }
 
+// guardInstance is a running guard.
 type guardInstance struct {
 	guard   *guard.Guard
 	address string
@@ -94,243 +96,252 @@
 }
 
 // List implements instances.Lister.
-func (made *harness) List(_ context.Context, role instances.Role) ([]instances.Instance, error) {
+func (h *harness) List(_ context.Context, role instances.Role) ([]instances.Instance, error) {
 	var listed []instances.Instance
-	for _, each := range made.instances {
-		if role == instances.AllRoles || each.Role == role {
-			listed = append(listed, each)
+	for _, instance := range h.instances {
+		if role == instances.AllRoles || instance.Role == role {
+			listed = append(listed, instance)
 		}
 	}
 	return listed, nil
 }
 
-// newEventLogger returns a logger whose lines go into the transcript.
-func (made *harness) newEventLogger(name string) *event.Logger {
-	options := &slog.HandlerOptions{ReplaceAttr: func(_ []string, attribute slog.Attr) slog.Attr {
-		switch attribute.Key {
+// newEventLogger returns a logger that writes to the transcript. It omits the attributes that vary between
+// runs.
+func (h *harness) newEventLogger(name string) *event.Logger {
+	options := &slog.HandlerOptions{ReplaceAttr: func(_ []string, attr slog.Attr) slog.Attr {
+		switch attr.Key {
 		case slog.TimeKey, "took":
 			return slog.Attr{}
 		}
-		return attribute
+		return attr
 	}}
-	return event.New(slog.New(slog.NewTextHandler(&lineWriter{transcript: &made.transcript, name: name}, options)))
+	return event.New(slog.New(slog.NewTextHandler(&lineWriter{transcript: &h.transcript, name: name}, options)))
 }
 
-func (made *harness) addEntry(name, domain string) {
-	made.t.Helper()
+// addEntry adds an entry to the instance list and starts it.
+func (h *harness) addEntry(name, domain string) {
+	h.t.Helper()
 	address := name + ":rpc"
-	made.instances = append(made.instances, instances.Instance{Name: name, Role: instances.Entry, Address: address, FailureDomain: domain, State: instances.Live})
-	made.startEntry(name, domain)
+	h.instances = append(h.instances, instances.Instance{Name: name, Role: instances.Entry, Address: address, FailureDomain: domain, State: instances.Live})
+	h.startEntry(name, domain)
 }
 
-// startEntry starts an entry that is on the list, with empty memory.
-func (made *harness) startEntry(name, domain string) {
-	made.t.Helper()
-	ctx, stop := context.WithCancel(made.ctx)
-	log := &switchableLog{service: made.log}
-	kept := changelog.New(log, changelog.Options{Writer: name, AppendsPerSecond: 1e6, Clock: made.clock, Events: made.newEventLogger(name)})
-	go kept.Run(ctx)
-	role := entry.New(entry.Options{
-		Name: name, FailureDomain: domain, Journal: kept, Instances: made,
-		Pool: rpc.NewPoolWithDialFunc(made.network.dial), Clock: made.clock, Events: made.newEventLogger(name),
+// startEntry starts an entry that is on the instance list. The entry has no state from an earlier process.
+func (h *harness) startEntry(name, domain string) {
+	h.t.Helper()
+	ctx, stop := context.WithCancel(h.ctx)
+	log := &switchableLog{service: h.log}
+	journal := changelog.New(log, changelog.Options{Writer: name, AppendsPerSecond: 1e6, Clock: h.clock, Events: h.newEventLogger(name)})
+	go journal.Run(ctx)
+	e := entry.New(entry.Options{
+		Name: name, FailureDomain: domain, Journal: journal, Instances: h,
+		Pool: rpc.NewPoolWithDialFunc(h.network.dial), Clock: h.clock, Events: h.newEventLogger(name),
 	})
-	handler, err := role.Handler()
+	handler, err := e.Handler()
 	if err != nil {
-		made.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	seated := &entryInstance{entry: role, journal: kept, handler: handler, address: name + ":rpc", stop: stop, log: log}
-	made.serveRPC(ctx, seated.address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterEntry(mux, role) })
-	made.entries[name] = seated
-	made.waitFor("the entry reads the log", func() bool { return kept.Ready() == nil || made.log.IsDown() })
-	role.SyncDocuments(ctx)
-	role.RefreshInstances(ctx)
+	instance := &entryInstance{entry: e, journal: journal, handler: handler, address: name + ":rpc", stop: stop, log: log}
+	h.serveRPC(ctx, instance.address, func(mux *drpcmux.Mux) error { return wire.DRPCRegisterEntry(mux, e) })
+	h.entries[name] = instance
+	h.waitFor("the entry has read the log", func() bool { return journal.Ready() == nil || h.log.IsDown() })
+	e.SyncDocuments(ctx)
+	e.RefreshInstances(ctx)
 }
 
-func (made *harness) serveRPC(ctx context.Context, address string, register func(mux *drpcmux.Mux) error) {
-	server, err := rpc.NewServer(made.network.listen(address), register)
+// serveRPC serves RPCs at an address of the in-memory network.
+func (h *harness) serveRPC(ctx context.Context, address string, register func(mux *drpcmux.Mux) error) {
+	server, err := rpc.NewServer(h.network.listen(address), register)
 	if err != nil {
-		made.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	go func() { _ = server.Serve(ctx) }()
 }
 
-func (made *harness) addWorker(name, domain string) {
-	made.t.Helper()
+// addWorker adds a worker with its backend server and starts its guard.
+func (h *harness) addWorker(name, domain string) {
+	h.t.Helper()
 	address := name + ":rpc"
-	made.instances = append(made.instances, instances.Instance{Name: name, Role: instances.Guard, Address: address, FailureDomain: domain, State: instances.Live})
-	made.workers[name] = standin.NewWorker(standin.WorkerOptions{
+	h.instances = append(h.instances, instances.Instance{Name: name, Role: instances.Guard, Address: address, FailureDomain: domain, State: instances.Live})
+	h.workers[name] = standin.NewWorker(standin.WorkerOptions{
 		Name:     name,
 		Capacity: worker.Capacity{MilliCPU: 32_000, MemoryBytes: 125 * bytesPerGiB, Accelerators: 1, Rack: "rack-1"},
-		Observe:  made.observations.record, IgnoreLeases: made.ignoreLeases,
+		Observe:  h.observations.record, IgnoreLeases: h.ignoreLeases,
 	})
-	made.backends[name] = standin.NewBackend(name, 0)
-	if made.backendOverride != nil {
-		made.backends[name] = made.backendOverride
+	h.backends[name] = standin.NewBackend(name, 0)
+	if h.backendOverride != nil {
+		h.backends[name] = h.backendOverride
 	}
-	made.startGuard(name, domain)
+	h.startGuard(name, domain)
 }
 
-// startGuard starts a guard of a worker that is there, as a new incarnation.
-func (made *harness) startGuard(name, domain string) {
-	made.t.Helper()
-	ctx, stop := context.WithCancel(made.ctx)
-	backend := httptest.NewServer(made.backends[name])
-	made.t.Cleanup(backend.Close)
-	role := guard.New(guard.Options{
+// startGuard starts a guard for an existing worker. Each start is a new incarnation.
+func (h *harness) startGuard(name, domain string) {
+	h.t.Helper()
+	ctx, stop := context.WithCancel(h.ctx)
+	backend := httptest.NewServer(h.backends[name])
+	h.t.Cleanup(backend.Close)
+	g := guard.New(guard.Options{
 		Name: name, Address: name + ":rpc", FailureDomain: domain, Service: "verbale", BackendURL: backend.URL,
-		Worker: made.workers[name].Direct(), Instances: made, Pool: rpc.NewPoolWithDialFunc(made.network.dial),
-		Clock: made.clock, Events: made.newEventLogger(name),
+		Worker: h.workers[name].Direct(), Instances: h, Pool: rpc.NewPoolWithDialFunc(h.network.dial),
+		Clock: h.clock, Events: h.newEventLogger(name),
 	})
-	made.serveRPC(ctx, name+":rpc", func(mux *drpcmux.Mux) error { return wire.DRPCRegisterGuard(mux, role) })
-	seated := &guardInstance{guard: role, address: name + ":rpc", stop: stop}
-	made.guards[name] = seated
-	if err := role.PollWorker(ctx); err != nil {
-		made.t.Fatal(err)
+	h.serveRPC(ctx, name+":rpc", func(mux *drpcmux.Mux) error { return wire.DRPCRegisterGuard(mux, g) })
+	instance := &guardInstance{guard: g, address: name + ":rpc", stop: stop}
+	h.guards[name] = instance
+	if err := g.PollWorker(ctx); err != nil {
+		h.t.Fatal(err)
 	}
-	role.RefreshInstances(ctx)
+	g.RefreshInstances(ctx)
 }
 
-// kill ends an instance without any goodbye.
-func (made *harness) kill(name string) {
-	made.network.mu.Lock()
-	listener := made.network.listeners[name+":rpc"]
-	delete(made.network.listeners, name+":rpc")
-	made.network.mu.Unlock()
+// kill stops an entry or guard without a graceful shutdown.
+func (h *harness) kill(name string) {
+	h.network.mu.Lock()
+	listener := h.network.listeners[name+":rpc"]
+	delete(h.network.listeners, name+":rpc")
+	h.network.mu.Unlock()
 	if listener != nil {
 		_ = listener.Close()
 		listener.closeConns()
 	}
-	if seated, found := made.entries[name]; found {
-		seated.stop()
-		delete(made.entries, name)
+	if instance, found := h.entries[name]; found {
+		instance.stop()
+		delete(h.entries, name)
 	}
-	if seated, found := made.guards[name]; found {
-		seated.stop()
-		delete(made.guards, name)
+	if instance, found := h.guards[name]; found {
+		instance.stop()
+		delete(h.guards, name)
 	}
 }
 
-// waitFor spins until the condition holds.
-func (made *harness) waitFor(what string, holds func() bool) {
-	made.t.Helper()
+// waitFor polls a condition until it holds. It fails the test after 20 seconds of real time.
+func (h *harness) waitFor(description string, condition func() bool) {
+	h.t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
-			made.t.Fatalf("waited in vain: %s", what)
+			h.t.Fatalf("timed out waiting: %s", description)
 		}
 		runtime.Gosched()
 	}
 }
 
-// advance lets time pass for everything, and then lets every entry read the log.
-func (made *harness) advance(span time.Duration) {
-	made.t.Helper()
-	made.advanceClock(span)
-	made.catchUp()
+// advance advances the clock and the workers, and then waits until every entry has read the log.
+func (h *harness) advance(d time.Duration) {
+	h.t.Helper()
+	h.advanceClock(d)
+	h.catchUp()
 }
 
-// advanceClock moves the clock and every worker's time on.
-func (made *harness) advanceClock(span time.Duration) {
-	made.clock.Advance(span)
-	now := made.clock.Now()
-	for _, name := range slices.Sorted(maps.Keys(made.workers)) {
-		made.workers[name].Step(now, span)
+// advanceClock advances the fake clock and steps every worker by the same duration.
+func (h *harness) advanceClock(d time.Duration) {
+	h.clock.Advance(d)
+	now := h.clock.Now()
+	for _, name := range slices.Sorted(maps.Keys(h.workers)) {
+		h.workers[name].Step(now, d)
 	}
 }
 
-// catchUp lets every entry read the log to its end.
-func (made *harness) catchUp() {
-	made.t.Helper()
-	now := made.clock.Now()
-	if made.log.IsDown() {
+// catchUp waits until every entry that is connected to the log has read it to its end, and puts the newest
+// documents in force. It does nothing while the log is down.
+func (h *harness) catchUp() {
+	h.t.Helper()
+	now := h.clock.Now()
+	if h.log.IsDown() {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(made.entries)) {
-		seated := made.entries[name]
-		if seated.log.get() == nil {
+	for _, name := range slices.Sorted(maps.Keys(h.entries)) {
+		instance := h.entries[name]
+		if instance.log.get() == nil {
 			continue
 		}
-		made.waitFor(name+" reads the log", func() bool {
-			made.log.ExpireReads()
-			if made.advanceDuringReads {
-				made.advanceClock(time.Millisecond)
+		h.waitFor(name+" has read the log", func() bool {
+			h.log.ExpireReads()
+			if h.advanceDuringReads {
+				h.advanceClock(time.Millisecond)
 			}
-			var next int64
-			seated.journal.View(func(folded *state.State) { next = folded.NextOffset() })
-			return !seated.journal.SyncedAt().Before(now) && next == made.log.EndOffset(changelog.RecordStream)
+			var nextOffset int64
+			instance.journal.View(func(st *state.State) { nextOffset = st.NextOffset() })
+			return !instance.journal.SyncedAt().Before(now) && nextOffset == h.log.EndOffset(changelog.RecordStream)
 		})
-		seated.entry.SyncDocuments(made.ctx)
+		instance.entry.SyncDocuments(h.ctx)
 	}
 }
 
-// report lets the guards poll their workers and report, by name, and the
-// entries act on what they heard.
-func (made *harness) report(names ...string) {
-	made.t.Helper()
+// report makes the named guards poll their workers and report to every listed entry, except for the reports
+// in blockedReports. After each report it waits until the entries have acted on it.
+func (h *harness) report(names ...string) {
+	h.t.Helper()
 	for _, name := range names {
-		seated, found := made.guards[name]
+		reporter, found := h.guards[name]
 		if !found {
 			continue
 		}
-		if err := seated.guard.PollWorker(made.ctx); err != nil {
-			made.t.Fatal(err)
+		if err := reporter.guard.PollWorker(h.ctx); err != nil {
+			h.t.Fatal(err)
 		}
-		for _, each := range made.instances {
-			if each.Role != instances.Entry || made.blockedReports[name] || made.blockedReports[name+" to "+each.Name] {
+		for _, instance := range h.instances {
+			if instance.Role != instances.Entry || h.blockedReports[name] || h.blockedReports[name+" to "+instance.Name] {
 				continue
 			}
-			seated.guard.ReportTo(made.ctx, each)
-			made.waitBackground()
+			reporter.guard.ReportTo(h.ctx, instance)
+			h.waitBackground()
 		}
 	}
 }
 
-func (made *harness) waitBackground() {
-	for _, name := range slices.Sorted(maps.Keys(made.entries)) {
-		seated := made.entries[name]
-		seated.entry.WaitBackground()
-		seated.entry.RecordClaims(made.ctx)
+// waitBackground waits for the background actions of every entry and records the ends of its claims. Then it
+// waits until the entries have read the log.
+func (h *harness) waitBackground() {
+	for _, name := range slices.Sorted(maps.Keys(h.entries)) {
+		instance := h.entries[name]
+		instance.entry.WaitBackground()
+		instance.entry.RecordClaims(h.ctx)
 	}
-	made.catchUp()
+	h.catchUp()
 }
 
-// syncPeers lets the entries ask each other, by name.
-func (made *harness) syncPeers() {
-	for _, name := range slices.Sorted(maps.Keys(made.entries)) {
-		made.entries[name].entry.RefreshInstances(made.ctx)
-		made.entries[name].entry.SyncPeers(made.ctx)
+// syncPeers makes every entry, in the order of the names, refresh its instance list and synchronise with its
+// peers.
+func (h *harness) syncPeers() {
+	for _, name := range slices.Sorted(maps.Keys(h.entries)) {
+		h.entries[name].entry.RefreshInstances(h.ctx)
+		h.entries[name].entry.SyncPeers(h.ctx)
 	}
 }
 
-// runMaintenance lets the entries look for silent workers.
-func (made *harness) runMaintenance() {
-	for _, name := range slices.Sorted(maps.Keys(made.entries)) {
-		made.entries[name].entry.RunMaintenance(made.ctx)
-		made.waitBackground()
+// runMaintenance runs a maintenance round on every entry, which suspects workers that have timed out, and
+// then synchronises the peers.
+func (h *harness) runMaintenance() {
+	for _, name := range slices.Sorted(maps.Keys(h.entries)) {
+		h.entries[name].entry.RunMaintenance(h.ctx)
+		h.waitBackground()
 	}
-	made.syncPeers()
+	h.syncPeers()
 }
 
-// startTask submits a long transcription and has it run on worker-01.
-func (made *harness) startTask(key string) string {
-	made.t.Helper()
+// startTask submits a transcription of six hours, checks that it is placed on worker-01, and returns its ID.
+func (h *harness) startTask(key string) string {
+	h.t.Helper()
 	body := `{"team":"councils","kind":"transcription","processors":4,"run_time":"6h","input":"seduta"}`
-	id := parseTaskID(made.t, made.doRequest("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, key).Body.Bytes())
-	made.waitBackground()
-	made.placePending("entry-1", "entry-2")
-	made.report("worker-01", "worker-02")
-	if worker := made.task("entry-1", id).Worker; worker != "worker-01" {
-		made.t.Fatalf("the task is on %q", worker)
+	id := parseTaskID(h.t, h.doRequest("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, key).Body.Bytes())
+	h.waitBackground()
+	h.placePending("entry-1", "entry-2")
+	h.report("worker-01", "worker-02")
+	if worker := h.task("entry-1", id).Worker; worker != "worker-01" {
+		h.t.Fatalf("got the task on %q, want worker-01", worker)
 	}
 	return id
 }
 
-// placePending lets the entries place what waits, by name.
-func (made *harness) placePending(names ...string) {
+// placePending runs a placement round on each of the named entries that is running.
+func (h *harness) placePending(names ...string) {
 	for _, name := range names {
-		if seated, found := made.entries[name]; found {
-			seated.entry.PlacePending(made.ctx, made.clock.Now())
-			made.waitBackground()
+		if instance, found := h.entries[name]; found {
+			instance.entry.PlacePending(h.ctx, h.clock.Now())
+			h.waitBackground()
 		}
 	}
 }
