--- a/session/answer_test.go
+++ b/session/answer_test.go
@@ -15,16 +15,16 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-// newSessionWithBackend returns a session all of whose backend servers are the handler.
+// newSessionWithBackend returns a session in which every backend server runs the given handler.
 func newSessionWithBackend(t *testing.T, handler http.HandlerFunc) *harness {
 	t.Helper()
-	made := newHarness(t)
-	made.backendOverride = handler
-	made.startAll()
-	return made
+	h := newHarness(t)
+	h.backendOverride = handler
+	h.startAll()
+	return h
 }
 
-// abortResponse ends a response before it is whole.
+// abortResponse flushes what has been written and closes the connection before the response is complete.
 func abortResponse(writer http.ResponseWriter) {
 	_ = http.NewResponseController(writer).Flush()
 	panic(http.ErrAbortHandler)
@@ -32,21 +32,22 @@
 
 const largeBodyBytes = 1 << 20
 
-// TestBackendResponses: an answer reaches the caller whole and to the caller's own
-// request, or not as an answer at all.
+// TestBackendResponses checks that a caller receives either the complete response to its own request or a
+// failure. A truncated response, and a response that carries another request's ID, must not look like a
+// successful one.
 func TestBackendResponses(t *testing.T) {
 	tests := map[string]struct {
 		backend http.HandlerFunc
 		status  int
 		outcome api.Outcome
 		body    string
-		broken  bool
+		aborted bool
 	}{
-		"whole": {
+		"complete": {
 			func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "whole") },
 			http.StatusOK, "", "whole", false,
 		},
-		"whole, of unknown length": {
+		"complete, unknown length": {
 			func(writer http.ResponseWriter, _ *http.Request) {
 				_, _ = io.WriteString(writer, "whole")
 				_ = http.NewResponseController(writer).Flush()
@@ -54,23 +55,23 @@
 			},
 			http.StatusOK, "", "whole too", false,
 		},
-		"empty": {
+		"no content": {
 			func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNoContent) },
 			http.StatusNoContent, "", "", false,
 		},
-		"a failure of the backend server's own": {
+		"error status from the backend server": {
 			func(writer http.ResponseWriter, _ *http.Request) {
 				http.Error(writer, "broken", http.StatusInternalServerError)
 			},
 			http.StatusInternalServerError, "", "broken\n", false,
 		},
-		"large": {
+		"large body": {
 			func(writer http.ResponseWriter, _ *http.Request) {
 				_, _ = writer.Write(bytes.Repeat([]byte("x"), largeBodyBytes))
 			},
 			http.StatusOK, "", strings.Repeat("x", largeBodyBytes), false,
 		},
-		"half of a small one": {
+		"truncated small body": {
 			func(writer http.ResponseWriter, _ *http.Request) {
 				writer.Header().Set("Content-Length", "10")
 				_, _ = io.WriteString(writer, "half")
@@ -78,14 +79,14 @@
 			},
 			http.StatusBadGateway, api.OutcomeUnknown, "", false,
 		},
-		"half of a small one of unknown length": {
+		"truncated small body, unknown length": {
 			func(writer http.ResponseWriter, _ *http.Request) {
 				_, _ = io.WriteString(writer, "half")
 				abortResponse(writer)
 			},
 			http.StatusBadGateway, api.OutcomeUnknown, "", false,
 		},
-		"half of a large one": {
+		"truncated large body": {
 			func(writer http.ResponseWriter, _ *http.Request) {
 				writer.Header().Set("Content-Length", strconv.Itoa(largeBodyBytes))
 				_, _ = writer.Write(bytes.Repeat([]byte("x"), largeBodyBytes/2))
@@ -93,11 +94,11 @@
 			},
 			http.StatusOK, "", "", true,
 		},
-		"nothing": {
+		"connection closed without a response": {
 			func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			http.StatusBadGateway, api.OutcomeUnknown, "", false,
 		},
-		"to another request": {
+		"response to another request": {
 			func(writer http.ResponseWriter, _ *http.Request) {
 				writer.Header().Set(standin.HeaderRequestID, "somebody else's")
 				_, _ = io.WriteString(writer, "secret")
@@ -107,34 +108,34 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newSessionWithBackend(t, test.backend)
-			request := httptest.NewRequestWithContext(made.ctx, http.MethodPost, "/v1/services/verbale/snippets", strings.NewReader("x"))
-			answer := httptest.NewRecorder()
-			broken := serveHTTP(made.entries["entry-1"].handler, answer, request)
-			if broken != test.broken || answer.Code != test.status {
-				t.Fatalf("broken off: %t, status %d", broken, answer.Code)
+			h := newSessionWithBackend(t, test.backend)
+			request := httptest.NewRequestWithContext(h.ctx, http.MethodPost, "/v1/services/verbale/snippets", strings.NewReader("x"))
+			response := httptest.NewRecorder()
+			aborted := serveHTTP(h.entries["entry-1"].handler, response, request)
+			if aborted != test.aborted || response.Code != test.status {
+				t.Fatalf("connection aborted: %t, status %d", aborted, response.Code)
 			}
-			checkAnswer(t, answer.Body.Bytes(), test.outcome, test.body, broken)
+			checkAnswer(t, response.Body.Bytes(), test.outcome, test.body, aborted)
 		})
 	}
 }
 
-func checkAnswer(t *testing.T, body []byte, outcome api.Outcome, want string, broken bool) {
+func checkAnswer(t *testing.T, body []byte, outcome api.Outcome, want string, aborted bool) {
 	t.Helper()
 	switch {
-	case broken:
+	case aborted:
 	case outcome != "":
 		var problem api.Problem
 		if err := json.Unmarshal(body, &problem); err != nil || problem.Outcome != outcome {
-			t.Errorf("outcome %q, %v", problem.Outcome, err)
+			t.Errorf("got outcome %q (decode error: %v)", problem.Outcome, err)
 		}
 	case string(body) != want:
-		t.Errorf("the answer has %d bytes and not %d", len(body), len(want))
+		t.Errorf("got a body of %d bytes, want %d", len(body), len(want))
 	}
 }
 
-// echoBody sends the body back, once it has all of it: net/http drops the rest of
-// a body when its answer has begun.
+// echoBody returns the request body as the response. It reads the whole body first, because net/http
+// discards the unread rest of a request body once the response has begun.
 func echoBody(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -143,21 +144,23 @@
 	_, _ = writer.Write(body)
 }
 
-// truncatedReader gives a few bytes and then fails, as a caller who goes away.
+// truncatedReader returns a number of bytes and then fails, like a caller that disconnects in the middle of
+// its request body.
 type truncatedReader struct{ remaining int }
 
 // Read implements io.Reader.
-func (reader *truncatedReader) Read(into []byte) (int, error) {
-	if reader.remaining == 0 {
+func (r *truncatedReader) Read(buffer []byte) (int, error) {
+	if r.remaining == 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
-	count := min(len(into), reader.remaining)
-	reader.remaining -= count
-	return count, nil
+	n := min(len(buffer), r.remaining)
+	r.remaining -= n
+	return n, nil
 }
 
-// TestRequestBodies: bodies of every size arrive as they were sent; what is too
-// large or breaks off is refused before it runs, if it can be.
+// TestRequestBodies checks that request bodies of every size arrive unchanged. A body that is too large, or
+// that ends early while the entry still buffers it, is rejected with the outcome "not run". If a body ends
+// early while it is streamed to the backend server, the outcome is unknown.
 func TestRequestBodies(t *testing.T) {
 	tests := map[string]struct {
 		body    io.Reader
@@ -166,49 +169,48 @@
 		outcome api.Outcome
 		bytes   int
 	}{
-		"none":                        {http.NoBody, 0, http.StatusOK, "", 0},
-		"small":                       {strings.NewReader("la seduta"), 9, http.StatusOK, "", 9},
-		"small, of unknown length":    {strings.NewReader("la seduta"), -1, http.StatusOK, "", 9},
-		"at the bound of what's kept": {strings.NewReader(strings.Repeat("x", 64<<10)), 64 << 10, http.StatusOK, "", 64 << 10},
-		"streamed":                    {strings.NewReader(strings.Repeat("x", 500_000)), 500_000, http.StatusOK, "", 500_000},
-		"streamed, of unknown length": {strings.NewReader(strings.Repeat("x", 500_000)), -1, http.StatusOK, "", 500_000},
-		"too large":                   {strings.NewReader(strings.Repeat("x", 2<<20)), 2 << 20, http.StatusRequestEntityTooLarge, api.OutcomeNotRun, 0},
-		"broken off while small":      {&truncatedReader{remaining: 10}, 100, http.StatusBadRequest, api.OutcomeNotRun, 0},
-		"broken off while streamed":   {&truncatedReader{remaining: 300_000}, 500_000, http.StatusBadGateway, api.OutcomeUnknown, 0},
+		"empty":                    {http.NoBody, 0, http.StatusOK, "", 0},
+		"small":                    {strings.NewReader("la seduta"), 9, http.StatusOK, "", 9},
+		"small, unknown length":    {strings.NewReader("la seduta"), -1, http.StatusOK, "", 9},
+		"at the buffer limit":      {strings.NewReader(strings.Repeat("x", 64<<10)), 64 << 10, http.StatusOK, "", 64 << 10},
+		"streamed":                 {strings.NewReader(strings.Repeat("x", 500_000)), 500_000, http.StatusOK, "", 500_000},
+		"streamed, unknown length": {strings.NewReader(strings.Repeat("x", 500_000)), -1, http.StatusOK, "", 500_000},
+		"too large":                {strings.NewReader(strings.Repeat("x", 2<<20)), 2 << 20, http.StatusRequestEntityTooLarge, api.OutcomeNotRun, 0},
+		"truncated while buffered": {&truncatedReader{remaining: 10}, 100, http.StatusBadRequest, api.OutcomeNotRun, 0},
+		"truncated while streamed": {&truncatedReader{remaining: 300_000}, 500_000, http.StatusBadGateway, api.OutcomeUnknown, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newSessionWithBackend(t, echoBody)
-			request := httptest.NewRequestWithContext(made.ctx, http.MethodPost, "/v1/services/verbale/snippets", test.body)
+			h := newSessionWithBackend(t, echoBody)
+			request := httptest.NewRequestWithContext(h.ctx, http.MethodPost, "/v1/services/verbale/snippets", test.body)
 			request.ContentLength = test.length
-			answer := httptest.NewRecorder()
-			serveHTTP(made.entries["entry-1"].handler, answer, request)
-			if answer.Code != test.status {
-				t.Fatalf("status %d: %.200s", answer.Code, answer.Body)
+			response := httptest.NewRecorder()
+			serveHTTP(h.entries["entry-1"].handler, response, request)
+			if response.Code != test.status {
+				t.Fatalf("status %d: %.200s", response.Code, response.Body)
 			}
-			if test.outcome == "" && answer.Body.Len() != test.bytes {
-				t.Errorf("%d bytes came back", answer.Body.Len())
+			if test.outcome == "" && response.Body.Len() != test.bytes {
+				t.Errorf("got a body of %d bytes", response.Body.Len())
 			}
-			checkAnswer(t, answer.Body.Bytes(), test.outcome, answer.Body.String(), false)
+			checkAnswer(t, response.Body.Bytes(), test.outcome, response.Body.String(), false)
 		})
 	}
 }
 
-// TestRepeatableRequestRetried: a repeatable request whose backend server
-// breaks off is answered by another one; one that is not repeatable isn't sent
-// a second time.
+// TestRepeatableRequestRetried checks that a repeatable request is retried on another backend server when the
+// first one closes the connection, and that a request that is not repeatable is sent only once.
 func TestRepeatableRequestRetried(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		t.Run(fmt.Sprint("repeatable ", repeatable), func(t *testing.T) {
-			made := newSession(t)
-			made.kill("worker-01")
-			made.backends["worker-01"] = abortingBackend
-			made.startGuard("worker-01", "milano-a")
-			made.report("worker-01", "worker-02")
-			answer := made.doRequest("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x",
+			h := newSession(t)
+			h.kill("worker-01")
+			h.backends["worker-01"] = abortingBackend
+			h.startGuard("worker-01", "milano-a")
+			h.report("worker-01", "worker-02")
+			response := h.doRequest("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x",
 				api.HeaderRepeatable, fmt.Sprint(repeatable), api.HeaderIdempotencyKey, "bill-7")
-			if whole := answer.Code == http.StatusOK; whole != repeatable {
-				t.Errorf("status %d: %s", answer.Code, answer.Body)
+			if whole := response.Code == http.StatusOK; whole != repeatable {
+				t.Errorf("status %d: %s", response.Code, response.Body)
 			}
 		})
 	}
