--- a/session/claims_test.go
+++ b/session/claims_test.go
@@ -17,8 +17,8 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-// lossyLog loses some appends before and some after they took effect, as drawn
-// from a seed.
+// lossyLog fails appends at random: one in six before it takes effect and one in six after. The random source
+// is seeded.
 type lossyLog struct {
 	*standin.Log
 	mu     sync.Mutex
@@ -26,47 +26,48 @@
 }
 
 // Append implements logservice.Service.
-func (way *lossyLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
-	way.mu.Lock()
-	fault := way.random.IntN(6)
-	way.mu.Unlock()
+func (l *lossyLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
+	l.mu.Lock()
+	fault := l.random.IntN(6)
+	l.mu.Unlock()
 	switch fault {
 	case 0:
-		return 0, errors.New("lost on the way there")
+		return 0, errors.New("append request lost")
 	case 1:
-		_, _ = way.Log.Append(ctx, stream, data)
-		return 0, errors.New("lost on the way back")
+		_, _ = l.Log.Append(ctx, stream, data)
+		return 0, errors.New("append response lost")
 	}
-	return way.Log.Append(ctx, stream, data)
+	return l.Log.Append(ctx, stream, data)
 }
 
-// countingBackend counts the runs of each key.
+// countingBackend counts how often it runs each idempotency key. For keys of even length it closes the
+// connection without a response on every odd run.
 type countingBackend struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
 // ServeHTTP implements http.Handler.
-func (backend *countingBackend) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (b *countingBackend) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	key := request.Header.Get(api.HeaderIdempotencyKey)
-	backend.mu.Lock()
-	backend.runs[key]++
-	broken := backend.runs[key]%2 == 1 && len(key)%2 == 0
-	backend.mu.Unlock()
-	if broken {
+	b.mu.Lock()
+	b.runs[key]++
+	abort := b.runs[key]%2 == 1 && len(key)%2 == 0
+	b.mu.Unlock()
+	if abort {
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = fmt.Fprintf(writer, "billed %s", key)
 }
 
-func (backend *countingBackend) runCount(key string) int {
-	backend.mu.Lock()
-	defer backend.mu.Unlock()
-	return backend.runs[key]
+func (b *countingBackend) runCount(key string) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.runs[key]
 }
 
-// runWhileAdvancing runs work while the clock goes on by itself.
-func (made *harness) runWhileAdvancing(work func()) {
+// runWhileAdvancing runs a function in a goroutine and advances the clock until the function returns.
+func (h *harness) runWhileAdvancing(work func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -77,14 +78,14 @@
 		case <-done:
 			return
 		default:
-			made.advanceClock(time.Millisecond)
-			made.log.ExpireReads()
+			h.advanceClock(time.Millisecond)
+			h.log.ExpireReads()
 			runtime.Gosched()
 		}
 	}
 }
 
-// outcomeCounts counts how the requests with one key ended.
+// outcomeCounts counts the outcomes of the requests that share an idempotency key.
 type outcomeCounts struct {
 	mu        sync.Mutex
 	succeeded int
@@ -92,45 +93,45 @@
 	other     int
 }
 
-func (counted *outcomeCounts) add(status int, body []byte, want string) {
-	counted.mu.Lock()
-	defer counted.mu.Unlock()
+func (c *outcomeCounts) add(status int, body []byte, want string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var problem api.Problem
 	switch {
 	case status == http.StatusOK && string(body) == want:
-		counted.succeeded++
+		c.succeeded++
 	case json.Unmarshal(body, &problem) == nil && problem.Outcome == api.OutcomeNotRun:
-		counted.notRun++
+		c.notRun++
 	default:
-		counted.other++
+		c.other++
 	}
 }
 
-// TestNonRepeatableRunsAtMostOnce sends the same keys to both entries at the
-// same time, over a log that loses appends and answers and with a backend
-// server that breaks off. No key runs twice, and a key all of whose requests
-// were called not run has not run.
+// TestNonRepeatableRunsAtMostOnce sends non-repeatable requests with the same idempotency keys to both
+// entries concurrently. The log loses appends and responses to appends, and the backend server closes some
+// connections without a response. No key may run twice, and a key whose requests were all reported as not run
+// must not have run.
 func TestNonRepeatableRunsAtMostOnce(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			made := newHarness(t)
+			h := newHarness(t)
 			backend := &countingBackend{runs: map[string]int{}}
-			made.backendOverride = backend
-			made.startAll()
-			for _, seated := range made.entries {
-				seated.log.set(&lossyLog{Log: made.log, random: rand.New(rand.NewPCG(seed, 7))})
+			h.backendOverride = backend
+			h.startAll()
+			for _, instance := range h.entries {
+				instance.log.set(&lossyLog{Log: h.log, random: rand.New(rand.NewPCG(seed, 7))})
 			}
 			const keys = 20
 			counts := make([]outcomeCounts, keys)
-			made.runWhileAdvancing(func() { made.sendDuplicates(counts) })
+			h.runWhileAdvancing(func() { h.sendDuplicates(counts) })
 			for number := range keys {
-				key, counted := idempotencyKey(number), &counts[number]
+				key, outcomes := idempotencyKey(number), &counts[number]
 				runs := backend.runCount(key)
-				if runs > 1 || counted.succeeded > runs {
-					t.Errorf("%s ran %d times and was answered %d times", key, runs, counted.succeeded)
+				if runs > 1 || outcomes.succeeded > runs {
+					t.Errorf("%s ran %d times and got %d successful responses", key, runs, outcomes.succeeded)
 				}
-				if counted.succeeded+counted.other == 0 && runs > 0 {
-					t.Errorf("%s was called not run and ran", key)
+				if outcomes.succeeded+outcomes.other == 0 && runs > 0 {
+					t.Errorf("%s ran although every request was reported as not run", key)
 				}
 			}
 		})
@@ -139,16 +140,18 @@
 
 func idempotencyKey(number int) string { return fmt.Sprintf("key-%d", number) }
 
-func (made *harness) sendDuplicates(counts []outcomeCounts) {
-	var callers sync.WaitGroup
+// sendDuplicates sends three concurrent requests for each key, two to entry-1 and one to entry-2, and counts
+// their outcomes.
+func (h *harness) sendDuplicates(counts []outcomeCounts) {
+	var wg sync.WaitGroup
 	for number := range counts {
 		for _, name := range []string{"entry-1", "entry-2", "entry-1"} {
-			callers.Go(func() {
+			wg.Go(func() {
 				key := idempotencyKey(number)
-				answer := made.doRequest(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, key)
-				counts[number].add(answer.Code, answer.Body.Bytes(), "billed "+key)
+				response := h.doRequest(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, key)
+				counts[number].add(response.Code, response.Body.Bytes(), "billed "+key)
 			})
 		}
 	}
-	callers.Wait()
+	wg.Wait()
 }
