--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -10,33 +10,33 @@
 	"ambertiller.example/ambertiller/changelog"
 )
 
-// maxAppendsPerTask bounds what a task's life costs in the log when nothing
-// else shares its appends: submitted, assigned, running, finished.
+// maxAppendsPerTask bounds the log appends of one task if no append is shared with another task: one each for
+// submitted, assigned, running and finished.
 const maxAppendsPerTask = 4
 
-// TestAppendsPerTask runs batch jobs from submission to result, at sizes, and
-// counts what they cost in the log.
+// TestAppendsPerTask runs batch jobs from submission to result, for several numbers of jobs, and checks the
+// number of log appends.
 func TestAppendsPerTask(t *testing.T) {
 	for _, jobs := range []int{1, 8, 32} {
 		t.Run(fmt.Sprint(jobs, " jobs"), func(t *testing.T) {
-			made := newSession(t)
-			appends, bytes := made.log.Appends(), made.log.StreamBytes(changelog.RecordStream)
+			h := newSession(t)
+			appends, bytes := h.log.Appends(), h.log.StreamBytes(changelog.RecordStream)
 			for number := range jobs {
 				body := `{"team":"councils","kind":"transcription","processors":1,"memory":"1GiB","run_time":"1s","input":"seduta"}`
-				if answer := made.doRequest("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, fmt.Sprint(number)); answer.Code != http.StatusCreated {
-					t.Fatalf("status %d: %s", answer.Code, answer.Body)
+				if response := h.doRequest("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, fmt.Sprint(number)); response.Code != http.StatusCreated {
+					t.Fatalf("status %d: %s", response.Code, response.Body)
 				}
 			}
-			made.waitBackground()
-			made.placePending("entry-1", "entry-2")
-			made.report("worker-01", "worker-02")
-			made.advance(2 * time.Second)
-			made.report("worker-01", "worker-02")
-			appends, bytes = made.log.Appends()-appends, made.log.StreamBytes(changelog.RecordStream)-bytes
+			h.waitBackground()
+			h.placePending("entry-1", "entry-2")
+			h.report("worker-01", "worker-02")
+			h.advance(2 * time.Second)
+			h.report("worker-01", "worker-02")
+			appends, bytes = h.log.Appends()-appends, h.log.StreamBytes(changelog.RecordStream)-bytes
 			if appends > int64(maxAppendsPerTask*jobs) {
-				t.Errorf("%d appends for %d jobs", appends, jobs)
+				t.Errorf("got %d appends for %d jobs", appends, jobs)
 			}
-			t.Logf("%d jobs: %.2f appends and %d bytes for each", jobs, float64(appends)/float64(jobs), bytes/jobs)
+			t.Logf("%d jobs: %.2f appends and %d bytes per job", jobs, float64(appends)/float64(jobs), bytes/jobs)
 		})
 	}
 }
