--- a/session/failure_test.go
+++ b/session/failure_test.go
@@ -10,13 +10,13 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// newOffer places a task and returns the offer that the entry makes, as a
-// message that can be sent again later.
-func (made *harness) newOffer(id string) *wire.StartRequest {
-	made.t.Helper()
+// newOffer returns the start request that entry-1 sends for a task of submitWithLostOffer, so that a test can
+// send it later.
+func (h *harness) newOffer(id string) *wire.StartRequest {
+	h.t.Helper()
 	var offer *wire.StartRequest
-	made.entries["entry-1"].journal.View(func(folded *state.State) {
-		task := folded.Task(id)
+	h.entries["entry-1"].journal.View(func(st *state.State) {
+		task := st.Task(id)
 		offer = &wire.StartRequest{
 			Task: task.ID(), Attempt: task.Attempt(), Incarnation: task.Incarnation(),
 			OfferDeadlineNanos: task.OfferDeadline().Nanoseconds(), Kind: task.Spec().GetKind(), Team: task.Spec().GetTeam(),
@@ -26,227 +26,232 @@
 	return offer
 }
 
-// sendOffer sends an offer to a guard, as a message that was held up would come.
-func (made *harness) sendOffer(name string, offer *wire.StartRequest) *wire.Refusal {
-	made.t.Helper()
-	reply, err := made.guards[name].guard.Start(made.ctx, offer)
+// sendOffer delivers a start request to a guard, as if it had been delayed in the network. It returns the
+// refusal, or nil if the guard accepted.
+func (h *harness) sendOffer(name string, offer *wire.StartRequest) *wire.Refusal {
+	h.t.Helper()
+	reply, err := h.guards[name].guard.Start(h.ctx, offer)
 	if err != nil {
-		made.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return reply.GetRefusal()
 }
 
-// submitWithLostOffer submits a task and has it assigned to worker-01 without the
-// offer reaching the guard: the entry pauses between its append and its message.
-func (made *harness) submitWithLostOffer() string {
-	made.t.Helper()
+// submitWithLostOffer submits a task and has it assigned to worker-01 while the guard of worker-01 is
+// disconnected: the assignment is in the log, but the offer does not reach the guard, as when the entry stops
+// between its append and its message.
+func (h *harness) submitWithLostOffer() string {
+	h.t.Helper()
 	body := `{"team":"councils","kind":"transcription","processors":4,"run_time":"6h","input":"seduta","failure_domain":"milano-a"}`
-	id := parseTaskID(made.t, made.doRequest("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, "t-1").Body.Bytes())
-	made.waitBackground()
-	made.network.setDisconnected("worker-01:rpc", true)
-	made.placePending("entry-1", "entry-2")
-	made.network.setDisconnected("worker-01:rpc", false)
-	if task := made.task("entry-1", id); task.Phase != "assigned" || task.Worker != "worker-01" {
-		made.t.Fatalf("the task is %s on %q", task.Phase, task.Worker)
+	id := parseTaskID(h.t, h.doRequest("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, "t-1").Body.Bytes())
+	h.waitBackground()
+	h.network.setDisconnected("worker-01:rpc", true)
+	h.placePending("entry-1", "entry-2")
+	h.network.setDisconnected("worker-01:rpc", false)
+	if task := h.task("entry-1", id); task.Phase != "assigned" || task.Worker != "worker-01" {
+		h.t.Fatalf("got task %s on %q, want assigned on worker-01", task.Phase, task.Worker)
 	}
 	return id
 }
 
-func countStarts(made *harness) (count int) {
-	for _, seen := range made.observations.all() {
-		if !seen.Ended {
+// countStarts returns how many attempts the workers have started.
+func countStarts(h *harness) (count int) {
+	for _, observation := range h.observations.all() {
+		if !observation.Ended {
 			count++
 		}
 	}
 	return count
 }
 
-// TestDelayedOffersRefused: an offer that comes after its attempt was given up starts
-// nothing, whatever happened in between.
+// TestDelayedOffersRefused checks that an offer that arrives after its attempt was abandoned does not start
+// anything.
 func TestDelayedOffersRefused(t *testing.T) {
-	tests := map[string]func(made *harness, id string, offer *wire.StartRequest){
-		"the task was cancelled": func(made *harness, id string, _ *wire.StartRequest) {
-			made.doRequest("entry-1", http.MethodDelete, "/v1/tasks/"+id, "")
-			made.waitBackground()
-			made.report("worker-01")
+	tests := map[string]func(h *harness, id string, offer *wire.StartRequest){
+		"task cancelled": func(h *harness, id string, _ *wire.StartRequest) {
+			h.doRequest("entry-1", http.MethodDelete, "/v1/tasks/"+id, "")
+			h.waitBackground()
+			h.report("worker-01")
 		},
-		"the guard's own clock has passed the offer's end": func(made *harness, _ string, _ *wire.StartRequest) {
-			made.advance(20 * time.Second)
+		"offer expired on the guard's clock": func(h *harness, _ string, _ *wire.StartRequest) {
+			h.advance(20 * time.Second)
 		},
-		"the guard was replaced at the same address": func(made *harness, _ string, _ *wire.StartRequest) {
-			made.kill("worker-01")
-			made.startGuard("worker-01", "milano-a")
+		"guard replaced at the same address": func(h *harness, _ string, _ *wire.StartRequest) {
+			h.kill("worker-01")
+			h.startGuard("worker-01", "milano-a")
 		},
-		"the guard was replaced, and the task assigned again and finished": func(made *harness, _ string, _ *wire.StartRequest) {
-			made.kill("worker-01")
-			made.startGuard("worker-01", "milano-a")
+		"guard replaced, task reassigned": func(h *harness, _ string, _ *wire.StartRequest) {
+			h.kill("worker-01")
+			h.startGuard("worker-01", "milano-a")
 			for range 3 {
-				made.advance(5 * time.Second)
-				made.report("worker-01")
-				made.placePending("entry-1", "entry-2")
-				made.report("worker-01")
+				h.advance(5 * time.Second)
+				h.report("worker-01")
+				h.placePending("entry-1", "entry-2")
+				h.report("worker-01")
 			}
 		},
 	}
-	for name, between := range tests {
+	for name, disturb := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newSession(t)
-			id := made.submitWithLostOffer()
-			offer := made.newOffer(id)
-			between(made, id, offer)
-			before := countStarts(made)
-			if refusal := made.sendOffer("worker-01", offer); refusal == nil {
-				t.Error("the offer was taken up")
+			h := newSession(t)
+			id := h.submitWithLostOffer()
+			offer := h.newOffer(id)
+			disturb(h, id, offer)
+			before := countStarts(h)
+			if refusal := h.sendOffer("worker-01", offer); refusal == nil {
+				t.Error("the guard accepted the offer")
 			}
-			if after := countStarts(made); after != before {
-				t.Errorf("%d attempts began", after-before)
+			if after := countStarts(h); after != before {
+				t.Errorf("%d attempts started", after-before)
 			}
 		})
 	}
 }
 
-// TestSurvivingEntryResendsOffer: an entry dies between its append and its message;
-// another one makes the offer when the guard reports without the task.
+// TestSurvivingEntryResendsOffer checks that when an entry crashes after appending an assignment and before
+// sending the offer, another entry sends it once the guard reports that it does not run the task.
 func TestSurvivingEntryResendsOffer(t *testing.T) {
-	made := newSession(t)
-	id := made.submitWithLostOffer()
-	made.kill("entry-1")
-	made.advance(time.Second)
+	h := newSession(t)
+	id := h.submitWithLostOffer()
+	h.kill("entry-1")
+	h.advance(time.Second)
 	for range 20 {
-		// The survivor acts for everything once the dead one is silent.
-		made.advance(time.Second)
-		made.report("worker-01")
+		// The surviving entry becomes responsible for all workers once the crashed one has timed out.
+		h.advance(time.Second)
+		h.report("worker-01")
 	}
-	made.placePending("entry-2")
-	made.report("worker-01")
-	if task := made.task("entry-2", id); task.Phase != "running" || countStarts(made) != 1 {
-		t.Errorf("the task is %s on %q after %d begins", task.Phase, task.Worker, countStarts(made))
+	h.placePending("entry-2")
+	h.report("worker-01")
+	if task := h.task("entry-2", id); task.Phase != "running" || countStarts(h) != 1 {
+		t.Errorf("got task %s on %q after %d starts, want running after one", task.Phase, task.Worker, countStarts(h))
 	}
 }
 
-// TestRetryAtOtherEntryRunsOnce: the claim's answer is lost and the entry that made
-// it dies; the caller's retry at another entry is not run a second time.
+// TestRetryAtOtherEntryRunsOnce checks that a request is not run a second time when the response to the
+// append of its claim is lost, the entry that made the claim crashes and the caller retries at another entry.
 func TestRetryAtOtherEntryRunsOnce(t *testing.T) {
-	made := newHarness(t)
+	h := newHarness(t)
 	backend := &countingBackend{runs: map[string]int{}}
-	made.backendOverride = backend
-	made.startAll()
-	made.log.LoseResponses(1)
-	first := made.doRequest("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-77")
-	made.kill("entry-1")
-	made.catchUp()
-	second := made.doRequest("entry-2", http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-77")
+	h.backendOverride = backend
+	h.startAll()
+	h.log.LoseResponses(1)
+	first := h.doRequest("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-77")
+	h.kill("entry-1")
+	h.catchUp()
+	second := h.doRequest("entry-2", http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-77")
 	if runs := backend.runCount("bill-77"); runs != 1 || first.Code != http.StatusOK || second.Code != http.StatusConflict {
-		t.Errorf("%d runs, answers %d and %d", runs, first.Code, second.Code)
+		t.Errorf("got %d runs, statuses %d and %d", runs, first.Code, second.Code)
 	}
 }
 
-// TestColdStartWithLogDown: every entry is replaced while the log is down.
-// The new ones learn the configuration from the guards and serve.
+// TestColdStartWithLogDown checks that entries that start while the log is down get the configuration from
+// the guards and serve repeatable requests. They must refuse requests that are not repeatable.
 func TestColdStartWithLogDown(t *testing.T) {
-	made := newSession(t)
-	made.advance(time.Second)
-	made.log.SetDown(true)
+	h := newSession(t)
+	h.advance(time.Second)
+	h.log.SetDown(true)
 	for _, name := range entryNames {
-		made.kill(name)
+		h.kill(name)
 	}
 	for _, name := range entryNames {
-		made.startEntry(name, "milano-a")
+		h.startEntry(name, "milano-a")
 	}
-	made.report("worker-01", "worker-02")
-	made.report("worker-01", "worker-02")
+	h.report("worker-01", "worker-02")
+	h.report("worker-01", "worker-02")
 	for _, name := range entryNames {
-		if versions := made.entries[name].entry.ActiveDocuments().Versions(); len(versions) != 1 || versions[0].Version != 1 {
-			t.Fatalf("%s decides by %v", name, versions)
+		if versions := h.entries[name].entry.ActiveDocuments().Versions(); len(versions) != 1 || versions[0].Version != 1 {
+			t.Fatalf("%s has documents %v in force", name, versions)
 		}
-		if answer := made.doRequest(name, http.MethodPost, "/v1/services/verbale/snippets", "x"); answer.Code != http.StatusOK {
-			t.Errorf("%s answers %d: %s", name, answer.Code, answer.Body)
+		if response := h.doRequest(name, http.MethodPost, "/v1/services/verbale/snippets", "x"); response.Code != http.StatusOK {
+			t.Errorf("%s: status %d: %s", name, response.Code, response.Body)
 		}
-		refused := made.doRequest(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-7")
+		refused := h.doRequest(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, "bill-7")
 		if refused.Code != http.StatusServiceUnavailable {
-			t.Errorf("%s answers %d to a request that must not be repeated", name, refused.Code)
+			t.Errorf("%s: status %d for a request that is not repeatable", name, refused.Code)
 		}
 	}
 }
 
-// TestDocumentVersionsNeverDecrease: an entry restarts with the log down; of its two
-// peers one holds an older version.
+// TestDocumentVersionsNeverDecrease restarts an entry while the log is down and one of the two guards holds
+// an older version of a document. Afterwards neither the entry nor that guard may have the older version in
+// force.
 func TestDocumentVersionsNeverDecrease(t *testing.T) {
-	made := newSession(t)
-	// worker-02 does not hear of the second version.
-	made.blockedReports["worker-02"] = true
-	made.doRequest("entry-1", http.MethodPut, "/v1/documents/policy-placement", `{"based_on":0,"content":"1"}`)
-	made.catchUp()
-	made.report("worker-01", "worker-02")
-	made.doRequest("entry-1", http.MethodPut, "/v1/documents/policy-placement", `{"based_on":1,"content":"2"}`)
-	made.catchUp()
-	made.report("worker-01")
-	made.log.SetDown(true)
-	made.kill("entry-1")
-	made.kill("entry-2")
-	made.startEntry("entry-1", "milano-a")
-	made.blockedReports["worker-02"] = false
-	made.report("worker-01", "worker-01", "worker-02", "worker-02")
-	for _, each := range made.entries["entry-1"].entry.ActiveDocuments().Versions() {
-		if each.Name == "policy-placement" && each.Version != 2 {
-			t.Errorf("version %d of %s is in force", each.Version, each.Name)
+	h := newSession(t)
+	// The guard of worker-02 must not receive the second version.
+	h.blockedReports["worker-02"] = true
+	h.doRequest("entry-1", http.MethodPut, "/v1/documents/policy-placement", `{"based_on":0,"content":"1"}`)
+	h.catchUp()
+	h.report("worker-01", "worker-02")
+	h.doRequest("entry-1", http.MethodPut, "/v1/documents/policy-placement", `{"based_on":1,"content":"2"}`)
+	h.catchUp()
+	h.report("worker-01")
+	h.log.SetDown(true)
+	h.kill("entry-1")
+	h.kill("entry-2")
+	h.startEntry("entry-1", "milano-a")
+	h.blockedReports["worker-02"] = false
+	h.report("worker-01", "worker-01", "worker-02", "worker-02")
+	for _, active := range h.entries["entry-1"].entry.ActiveDocuments().Versions() {
+		if active.Name == "policy-placement" && active.Version != 2 {
+			t.Errorf("entry-1 has version %d of %s in force, want version 2", active.Version, active.Name)
 		}
 	}
-	for _, each := range made.guards["worker-02"].guard.ActiveDocuments().Versions() {
-		if each.Name == "policy-placement" && each.Version != 2 {
-			t.Errorf("the guard that was cut off decides by version %d", each.Version)
+	for _, active := range h.guards["worker-02"].guard.ActiveDocuments().Versions() {
+		if active.Name == "policy-placement" && active.Version != 2 {
+			t.Errorf("the guard of worker-02 has version %d in force, want version 2", active.Version)
 		}
 	}
 }
 
-// TestGuardValidatesOffers is the guard's own judgement of offers.
+// TestGuardValidatesOffers checks which offers a guard accepts, and the reason that it gives for a refusal.
+// Every refusal must say that the task was not run, and an accepted offer that is sent again must be refused.
 func TestGuardValidatesOffers(t *testing.T) {
 	tests := map[string]struct {
 		change func(offer *wire.StartRequest)
 		want   wire.RefusalReason
 	}{
-		"taken up":            {func(*wire.StartRequest) {}, wire.RefusalReason_REFUSAL_UNSPECIFIED},
-		"too much memory":     {func(offer *wire.StartRequest) { offer.Resources.MemoryBytes = 1 << 50 }, wire.RefusalReason_REFUSAL_NO_MEMORY},
-		"too many processors": {func(offer *wire.StartRequest) { offer.Resources.MilliCpu = 33_000 }, wire.RefusalReason_REFUSAL_NO_PROCESSOR},
-		"no accelerator":      {func(offer *wire.StartRequest) { offer.Resources.Accelerators = 2 }, wire.RefusalReason_REFUSAL_NO_ACCELERATOR},
-		"negative size":       {func(offer *wire.StartRequest) { offer.Resources.MilliCpu = -1 }, wire.RefusalReason_REFUSAL_BAD_REQUEST},
-		"other incarnation":   {func(offer *wire.StartRequest) { offer.Incarnation = "i-0" }, wire.RefusalReason_REFUSAL_WRONG_INCARNATION},
-		"ended":               {func(offer *wire.StartRequest) { offer.OfferDeadlineNanos = 0 }, wire.RefusalReason_REFUSAL_OFFER_EXPIRED},
-		"far ahead":           {func(offer *wire.StartRequest) { offer.OfferDeadlineNanos = int64(time.Hour) }, wire.RefusalReason_REFUSAL_OFFER_EXPIRED},
+		"accepted":                {func(*wire.StartRequest) {}, wire.RefusalReason_REFUSAL_UNSPECIFIED},
+		"not enough memory":       {func(offer *wire.StartRequest) { offer.Resources.MemoryBytes = 1 << 50 }, wire.RefusalReason_REFUSAL_NO_MEMORY},
+		"not enough CPU":          {func(offer *wire.StartRequest) { offer.Resources.MilliCpu = 33_000 }, wire.RefusalReason_REFUSAL_NO_PROCESSOR},
+		"not enough accelerators": {func(offer *wire.StartRequest) { offer.Resources.Accelerators = 2 }, wire.RefusalReason_REFUSAL_NO_ACCELERATOR},
+		"negative CPU":            {func(offer *wire.StartRequest) { offer.Resources.MilliCpu = -1 }, wire.RefusalReason_REFUSAL_BAD_REQUEST},
+		"other incarnation":       {func(offer *wire.StartRequest) { offer.Incarnation = "i-0" }, wire.RefusalReason_REFUSAL_WRONG_INCARNATION},
+		"expired":                 {func(offer *wire.StartRequest) { offer.OfferDeadlineNanos = 0 }, wire.RefusalReason_REFUSAL_OFFER_EXPIRED},
+		"deadline too late":       {func(offer *wire.StartRequest) { offer.OfferDeadlineNanos = int64(time.Hour) }, wire.RefusalReason_REFUSAL_OFFER_EXPIRED},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newHarness(t)
-			made.addWorker("worker-01", "milano-a")
+			h := newHarness(t)
+			h.addWorker("worker-01", "milano-a")
 			offer := &wire.StartRequest{
-				Task: "t-1", Attempt: 1, Incarnation: made.guards["worker-01"].guard.Incarnation(), OfferDeadlineNanos: int64(5 * time.Second),
+				Task: "t-1", Attempt: 1, Incarnation: h.guards["worker-01"].guard.Incarnation(), OfferDeadlineNanos: int64(5 * time.Second),
 				Kind: "transcription", Resources: &wire.Resources{MilliCpu: 1000, MemoryBytes: 1}, RunTimeNanos: int64(time.Hour), LeaseNanos: int64(time.Hour),
 			}
 			test.change(offer)
-			refusal := made.sendOffer("worker-01", offer)
+			refusal := h.sendOffer("worker-01", offer)
 			if refusal.GetReason() != test.want || (refusal != nil && !refusal.GetNotRun()) {
-				t.Errorf("got %v", refusal)
+				t.Errorf("got refusal: %v", refusal)
 			}
 			if refusal == nil {
-				if again := made.sendOffer("worker-01", offer); again.GetReason() != wire.RefusalReason_REFUSAL_ALREADY_RUNNING {
-					t.Errorf("a second copy got %v", again)
+				if again := h.sendOffer("worker-01", offer); again.GetReason() != wire.RefusalReason_REFUSAL_ALREADY_RUNNING {
+					t.Errorf("duplicate offer: got refusal %v", again)
 				}
 			}
-			if used := made.guards["worker-01"].guard.Gate().Usage().Tasks; (used == 1) != (refusal == nil) {
-				t.Errorf("%d tasks are counted", used)
+			if used := h.guards["worker-01"].guard.Gate().Usage().Tasks; (used == 1) != (refusal == nil) {
+				t.Errorf("the guard counts %d tasks", used)
 			}
 		})
 	}
 }
 
-// TestLostOfferIsResent: the offer is lost on its way; the guard's next
-// report shows that it lacks the task, and the same attempt is offered again.
+// TestLostOfferIsResent checks that when an offer is lost and the next report of the guard does not list the
+// task, the entry offers the same attempt again.
 func TestLostOfferIsResent(t *testing.T) {
-	made := newSession(t)
-	id := made.submitWithLostOffer()
-	made.report("worker-01")
-	made.report("worker-01")
-	if task := made.task("entry-1", id); task.Phase != "running" || task.Attempt != 1 {
-		t.Errorf("the task is %s in attempt %d", task.Phase, task.Attempt)
+	h := newSession(t)
+	id := h.submitWithLostOffer()
+	h.report("worker-01")
+	h.report("worker-01")
+	if task := h.task("entry-1", id); task.Phase != "running" || task.Attempt != 1 {
+		t.Errorf("got task %s in attempt %d, want running in attempt 1", task.Phase, task.Attempt)
 	}
 }
