--- a/session/ownership_test.go
+++ b/session/ownership_test.go
@@ -10,34 +10,35 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-// observationLog collects what the workers say of begins and ends, in order.
+// observationLog collects, in order, the starts and ends of attempts that the workers report.
 type observationLog struct {
 	mu           sync.Mutex
 	observations []standin.Observation
 }
 
-func (owned *observationLog) record(observation standin.Observation) {
-	owned.mu.Lock()
-	defer owned.mu.Unlock()
-	owned.observations = append(owned.observations, observation)
+func (l *observationLog) record(observation standin.Observation) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.observations = append(l.observations, observation)
 }
 
-func (owned *observationLog) all() []standin.Observation {
-	owned.mu.Lock()
-	defer owned.mu.Unlock()
-	return append([]standin.Observation(nil), owned.observations...)
+func (l *observationLog) all() []standin.Observation {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]standin.Observation(nil), l.observations...)
 }
 
-// ownershipState is the state of the ownership model: which worker runs the task, and
-// how far it has come.
+// ownershipState is the state of the ownership model for one task: the worker that runs it, or "" for none,
+// and the progress of the task.
 type ownershipState struct {
 	worker   string
 	progress time.Duration
 }
 
-// ownershipModel: a task is begun only while nobody runs it, and never from
-// further on than the attempt before it had come. What was done since the last
-// checkpoint is gone with a worker that is lost.
+// ownershipModel requires that an attempt starts only while no worker runs the task, that only the worker
+// that runs the task ends the attempt, and that an attempt doesn't start with more progress than the attempt
+// before it had made. It may start with less, because the progress since the last checkpoint is lost with a
+// worker.
 var ownershipModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byTask := map[string][]porcupine.Operation{}
@@ -45,71 +46,71 @@
 			task := operation.Input.(standin.Observation).Task
 			byTask[task] = append(byTask[task], operation)
 		}
-		var parts [][]porcupine.Operation
-		for _, part := range byTask {
-			parts = append(parts, part)
+		var partitions [][]porcupine.Operation
+		for _, partition := range byTask {
+			partitions = append(partitions, partition)
 		}
-		return parts
+		return partitions
 	},
 	Init: func() any { return ownershipState{} },
 	Step: func(before, input, _ any) (bool, any) {
-		held, seen := before.(ownershipState), input.(standin.Observation)
-		if seen.Ended {
-			return held.worker == seen.Worker, ownershipState{progress: seen.Progress}
+		state, observation := before.(ownershipState), input.(standin.Observation)
+		if observation.Ended {
+			return state.worker == observation.Worker, ownershipState{progress: observation.Progress}
 		}
-		return held.worker == "" && seen.Progress <= held.progress, ownershipState{worker: seen.Worker, progress: seen.Progress}
+		return state.worker == "" && observation.Progress <= state.progress, ownershipState{worker: observation.Worker, progress: observation.Progress}
 	},
 }
 
-// checkOwnership checks everything that the workers began and ended.
-func (made *harness) checkOwnership() porcupine.CheckResult {
+// checkOwnership checks all recorded starts and ends of attempts against ownershipModel.
+func (h *harness) checkOwnership() porcupine.CheckResult {
 	var history []porcupine.Operation
-	for index, seen := range made.observations.all() {
+	for index, observation := range h.observations.all() {
 		at := int64(index)
-		history = append(history, porcupine.Operation{Input: seen, Call: at, Return: at})
+		history = append(history, porcupine.Operation{Input: observation, Call: at, Return: at})
 	}
 	return porcupine.CheckOperationsTimeout(ownershipModel, history, time.Minute)
 }
 
-// partitionWorker cuts a worker's guard off from everything until its task must
-// have been moved, and lets it come back.
-func partitionWorker(made *harness) {
-	made.startTask("t-1")
-	made.network.setDisconnected("worker-01:rpc", true)
-	made.blockedReports["worker-01"] = true
+// partitionWorker starts a task on worker-01, cuts its guard off from all entries for an hour, long
+// enough for the task to be moved, and reconnects it.
+func partitionWorker(h *harness) {
+	h.startTask("t-1")
+	h.network.setDisconnected("worker-01:rpc", true)
+	h.blockedReports["worker-01"] = true
 	for range 60 {
-		made.advance(time.Minute)
-		made.report("worker-02")
-		made.runMaintenance()
-		made.placePending("entry-1", "entry-2")
-		made.report("worker-02")
+		h.advance(time.Minute)
+		h.report("worker-02")
+		h.runMaintenance()
+		h.placePending("entry-1", "entry-2")
+		h.report("worker-02")
 	}
-	made.network.setDisconnected("worker-01:rpc", false)
-	made.blockedReports["worker-01"] = false
-	made.report("worker-01", "worker-02")
+	h.network.setDisconnected("worker-01:rpc", false)
+	h.blockedReports["worker-01"] = false
+	h.report("worker-01", "worker-02")
 }
 
-// TestOwnershipDuringPartition: the task of a worker that is cut off goes
-// on elsewhere once its lease must have ended, and never runs twice.
+// TestOwnershipDuringPartition checks that the task of a partitioned worker continues on another worker once
+// its lease must have expired, and that it never runs on both at the same time.
 func TestOwnershipDuringPartition(t *testing.T) {
-	made := newSession(t)
-	partitionWorker(made)
-	if result := made.checkOwnership(); result != porcupine.Ok {
-		t.Fatalf("%s: %+v", result, made.observations.all())
+	h := newSession(t)
+	partitionWorker(h)
+	if result := h.checkOwnership(); result != porcupine.Ok {
+		t.Fatalf("%s: %+v", result, h.observations.all())
 	}
-	if seen := made.observations.all(); len(seen) != 3 || seen[2].Worker != "worker-02" {
-		t.Errorf("the task did not move: %+v", seen)
+	if observations := h.observations.all(); len(observations) != 3 || observations[2].Worker != "worker-02" {
+		t.Errorf("the task was not moved to worker-02: %+v", observations)
 	}
 }
 
-// TestOwnershipCheckDetectsViolation breaks the workers on purpose: they run on
-// after a lease has ended. The check must see it.
+// TestOwnershipCheckDetectsViolation checks that the ownership check fails for workers that keep running a
+// task after its lease has expired.
 func TestOwnershipCheckDetectsViolation(t *testing.T) {
-	made := newHarness(t)
-	made.ignoreLeases = true
-	made.startAll()
-	partitionWorker(made)
-	if result := made.checkOwnership(); result != porcupine.Illegal {
-		t.Errorf("the check says %s of %+v", result, made.observations.all())
+	h := newHarness(t)
+	h.ignoreLeases = true
+	h.startAll()
+	partitionWorker(h)
+	if result := h.checkOwnership(); result != porcupine.Illegal {
+		t.Errorf("the ownership check returned %s for %+v, want Illegal", result, h.observations.all())
 	}
 }
