--- a/session/part_test.go
+++ b/session/part_test.go
@@ -9,23 +9,23 @@
 	"ambertiller.example/ambertiller/membership"
 )
 
-// TestPartialPartition: a guard reaches only the entry that does not act for its
-// worker. The other one suspects it; because somebody hears it, its task runs
-// on where it is.
+// TestPartialPartition checks that a task keeps running on its worker when the guard reaches only the entry
+// that is not responsible for that worker. The responsible entry suspects the worker, but must not move the
+// task, because the other entry still receives its reports.
 func TestPartialPartition(t *testing.T) {
-	made := newSession(t)
-	id := made.startTask("t-1")
-	made.blockedReports["worker-01 to "+membership.Owner("worker-01", entryNames)] = true
+	h := newSession(t)
+	id := h.startTask("t-1")
+	h.blockedReports["worker-01 to "+membership.Owner("worker-01", entryNames)] = true
 	for range 2 * 60 * 4 {
-		made.advance(15 * time.Second)
-		made.report("worker-01", "worker-02")
-		made.runMaintenance()
-		made.placePending(entryNames...)
+		h.advance(15 * time.Second)
+		h.report("worker-01", "worker-02")
+		h.runMaintenance()
+		h.placePending(entryNames...)
 	}
-	if task := made.task("entry-1", id); task.Phase != "running" || task.Worker != "worker-01" || task.Attempt != 1 {
-		t.Errorf("the task is %s on %q in attempt %d: %s", task.Phase, task.Worker, task.Attempt, task.Reason)
+	if task := h.task("entry-1", id); task.Phase != "running" || task.Worker != "worker-01" || task.Attempt != 1 {
+		t.Errorf("got task %s on %q in attempt %d: %s", task.Phase, task.Worker, task.Attempt, task.Reason)
 	}
-	if result := made.checkOwnership(); result != porcupine.Ok {
-		t.Errorf("%s: %+v", result, made.observations.all())
+	if result := h.checkOwnership(); result != porcupine.Ok {
+		t.Errorf("%s: %+v", result, h.observations.all())
 	}
 }
