--- a/session/soak_test.go
+++ b/session/soak_test.go
@@ -20,16 +20,17 @@
 )
 
 const (
-	// soakDurationEnv is how long the soak runs; without it a few seeds do.
+	// soakDurationEnv names the variable that sets how long the soak runs. If it is not set, the test runs
+	// defaultSeedCount seeds.
 	soakDurationEnv = "AMBERTILLER_SOAK"
-	// soakSeedEnv is the seed to begin with, to repeat a schedule.
+	// soakSeedEnv names the variable that sets the first seed, to repeat a schedule.
 	soakSeedEnv      = "AMBERTILLER_SOAK_SEED"
 	defaultSeedCount = 6
 	stepsPerRun      = 120
 	maxTasksPerRun   = 8
 )
 
-// soak is one randomised schedule.
+// soak runs one randomised schedule of work and faults.
 type soak struct {
 	*harness
 	random      *rand.Rand
@@ -37,222 +38,227 @@
 	faultCounts map[string]int
 }
 
-// TestSoak runs randomised schedules of work and faults and checks that no
-// task ever ran in two places, and that once the faults are over every task
-// that was not cancelled ends with a result. AMBERTILLER_SOAK=20m runs longer.
+// TestSoak runs randomised schedules of work and faults. It checks that no task ever runs on two workers at
+// the same time, and that every task finishes once the faults have ended. AMBERTILLER_SOAK=20m runs it for 20
+// minutes.
 func TestSoak(t *testing.T) {
-	span, err := time.ParseDuration(os.Getenv(soakDurationEnv))
-	long := err == nil
-	began, runs, observations := time.Now(), 0, 0
+	duration, err := time.ParseDuration(os.Getenv(soakDurationEnv))
+	hasDuration := err == nil
+	start, runs, observations := time.Now(), 0, 0
 	faults := map[string]int{}
 	first, _ := strconv.ParseUint(os.Getenv(soakSeedEnv), 10, 64)
-	for seed := first; (long && time.Since(began) < span) || (!long && seed < first+defaultSeedCount); seed++ {
+	for seed := first; (hasDuration && time.Since(start) < duration) || (!hasDuration && seed < first+defaultSeedCount); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			made := &soak{harness: newHarness(t), random: rand.New(rand.NewPCG(seed, 11)), faultCounts: faults}
-			made.startAll()
-			made.advanceDuringReads = true
+			s := &soak{harness: newHarness(t), random: rand.New(rand.NewPCG(seed, 11)), faultCounts: faults}
+			s.startAll()
+			s.advanceDuringReads = true
 			for range maxTasksPerRun / 2 {
-				made.submitTask()
+				s.submitTask()
 			}
 			for range stepsPerRun {
-				made.step()
+				s.step()
 			}
-			made.endFaults()
-			made.checkResults()
-			observations += len(made.observations.all())
-			made.killAll()
+			s.endFaults()
+			s.checkResults()
+			observations += len(s.observations.all())
+			s.killAll()
 		})
 		runs++
 		if t.Failed() {
 			break
 		}
 	}
-	t.Logf("%d runs, %d begins and ends of attempts checked, faults: %v", runs, observations, faults)
+	t.Logf("%d runs, %d starts and ends of attempts checked, faults: %v", runs, observations, faults)
 }
 
 var workerNames = []string{"worker-01", "worker-02"}
 var entryNames = []string{"entry-1", "entry-2"}
 
-func (made *soak) pick(names []string) string { return names[made.random.IntN(len(names))] }
+func (s *soak) pick(names []string) string { return names[s.random.IntN(len(names))] }
 
-// step does one thing, by chance work or a fault.
-func (made *soak) step() {
-	switch made.random.IntN(16) {
+// step performs one random action: work or a fault.
+func (s *soak) step() {
+	switch s.random.IntN(16) {
 	case 0:
-		made.submitTask()
+		s.submitTask()
 	case 1, 2, 3:
-		made.runIfLogUp(made.placePending, made.pick(entryNames))
+		s.runIfLogUp(s.placePending, s.pick(entryNames))
 	case 4, 5, 6, 7:
-		made.report(made.pick(workerNames))
+		s.report(s.pick(workerNames))
 	case 8:
-		made.advance(time.Duration(1+made.random.IntN(20)) * time.Second)
+		s.advance(time.Duration(1+s.random.IntN(20)) * time.Second)
 	case 9:
-		made.advance(time.Duration(1+made.random.IntN(3)) * time.Minute)
-		made.runMaintenance()
+		s.advance(time.Duration(1+s.random.IntN(3)) * time.Minute)
+		s.runMaintenance()
 	case 10:
-		made.injectFault("guard restarted", func() { made.restartGuard(made.pick(workerNames)) })
+		s.injectFault("guard restarted", func() { s.restartGuard(s.pick(workerNames)) })
 	case 11:
-		made.injectFault("entry restarted", func() { made.restartEntry(made.pick(entryNames)) })
+		s.injectFault("entry restarted", func() { s.restartEntry(s.pick(entryNames)) })
 	case 12:
-		made.injectFault("guard cut off or joined", func() { made.togglePartition(made.pick(workerNames)) })
+		s.injectFault("guard partitioned or reconnected", func() { s.togglePartition(s.pick(workerNames)) })
 	case 13:
-		made.injectFault("log down or up", made.toggleLog)
+		s.injectFault("log outage started or ended", s.toggleLog)
 	case 14:
-		made.injectFault("drain begun or ended", func() { made.toggleDrain(made.pick(workerNames)) })
+		s.injectFault("drain started or ended", func() { s.toggleDrain(s.pick(workerNames)) })
 	case 15:
-		made.injectFault("answers lost", func() { made.log.LoseResponses(1 + made.random.IntN(2)) })
+		s.injectFault("append responses lost", func() { s.log.LoseResponses(1 + s.random.IntN(2)) })
 	}
 }
 
-// runIfLogUp does work that needs the log only while it is up: with the clock
-// standing still an append would wait for as long as a caller's patience.
-func (made *soak) runIfLogUp(work func(names ...string), name string) {
-	if !made.log.IsDown() {
+// runIfLogUp skips work that appends to the log while the log is down. The fake clock does not advance during
+// an append, so the append would block until its caller times out.
+func (s *soak) runIfLogUp(work func(names ...string), name string) {
+	if !s.log.IsDown() {
 		work(name)
 	}
 }
 
-func (made *soak) injectFault(name string, bring func()) {
-	made.faultCounts[name]++
-	bring()
+// injectFault injects a fault and counts it by name.
+func (s *soak) injectFault(name string, inject func()) {
+	s.faultCounts[name]++
+	inject()
 }
 
-func (made *soak) submitTask() {
-	if len(made.taskIDs) == maxTasksPerRun || made.log.IsDown() || made.entries["entry-1"] == nil {
+// submitTask submits a task, unless the log or entry-1 is down or maxTasksPerRun tasks have been submitted.
+func (s *soak) submitTask() {
+	if len(s.taskIDs) == maxTasksPerRun || s.log.IsDown() || s.entries["entry-1"] == nil {
 		return
 	}
 	body := `{"team":"councils","kind":"transcription","processors":4,"run_time":"5m","input":"seduta"}`
-	answer := made.doRequest("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, fmt.Sprint("t-", len(made.taskIDs)))
-	if answer.Code == http.StatusCreated {
-		made.taskIDs = append(made.taskIDs, parseTaskID(made.t, answer.Body.Bytes()))
+	response := s.doRequest("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, fmt.Sprint("t-", len(s.taskIDs)))
+	if response.Code == http.StatusCreated {
+		s.taskIDs = append(s.taskIDs, parseTaskID(s.t, response.Body.Bytes()))
 	}
 }
 
-// toggleLog begins or ends an outage. It passes the time after which entries
-// count the log as down, so that they don't wait for it.
-func (made *soak) toggleLog() {
-	down := !made.log.IsDown()
-	made.log.SetDown(down)
+// toggleLog starts or ends an outage of the log. When it starts one, it advances the clock past the time
+// after which entries consider the log down, so that they don't wait for it.
+func (s *soak) toggleLog() {
+	down := !s.log.IsDown()
+	s.log.SetDown(down)
 	if down {
-		made.advance(5 * time.Second)
+		s.advance(5 * time.Second)
 	}
 }
 
-func (made *soak) restartGuard(name string) {
-	made.kill(name)
-	made.startGuard(name, "milano-a")
-	made.network.setDisconnected(name+":rpc", made.blockedReports[name])
+func (s *soak) restartGuard(name string) {
+	s.kill(name)
+	s.startGuard(name, "milano-a")
+	s.network.setDisconnected(name+":rpc", s.blockedReports[name])
 }
 
-func (made *soak) restartEntry(name string) {
-	if made.log.IsDown() {
+func (s *soak) restartEntry(name string) {
+	if s.log.IsDown() {
 		return
 	}
-	made.kill(name)
-	made.startEntry(name, "milano-a")
-	made.syncPeers()
+	s.kill(name)
+	s.startEntry(name, "milano-a")
+	s.syncPeers()
 }
 
-// togglePartition cuts a guard off from every entry, both ways, or joins it again.
-func (made *soak) togglePartition(name string) {
-	made.blockedReports[name] = !made.blockedReports[name]
-	made.network.setDisconnected(name+":rpc", made.blockedReports[name])
+// togglePartition partitions a guard from all entries in both directions, or reconnects it.
+func (s *soak) togglePartition(name string) {
+	s.blockedReports[name] = !s.blockedReports[name]
+	s.network.setDisconnected(name+":rpc", s.blockedReports[name])
 }
 
-func (made *soak) toggleDrain(name string) {
-	if made.log.IsDown() || made.entries["entry-1"] == nil {
+func (s *soak) toggleDrain(name string) {
+	if s.log.IsDown() || s.entries["entry-1"] == nil {
 		return
 	}
-	made.doRequest("entry-1", http.MethodPut, "/v1/workers/"+name+"/drain", fmt.Sprintf(`{"draining":%t}`, !made.isDraining(name)))
+	s.doRequest("entry-1", http.MethodPut, "/v1/workers/"+name+"/drain", fmt.Sprintf(`{"draining":%t}`, !s.isDraining(name)))
 }
 
-func (made *soak) isDraining(name string) (draining bool) {
-	made.entries["entry-1"].journal.View(func(folded *state.State) { draining = folded.IsDraining(name) })
+func (s *soak) isDraining(name string) (draining bool) {
+	s.entries["entry-1"].journal.View(func(st *state.State) { draining = st.IsDraining(name) })
 	return draining
 }
 
-// endFaults ends every fault and lets the work come to its end.
-func (made *soak) endFaults() {
-	made.log.SetDown(false)
-	made.log.LoseResponses(0)
+// endFaults ends all faults and drains, and then advances the clock by 40 minutes so that the tasks can
+// finish.
+func (s *soak) endFaults() {
+	s.log.SetDown(false)
+	s.log.LoseResponses(0)
 	for _, name := range workerNames {
-		made.blockedReports[name] = false
-		made.network.setDisconnected(name+":rpc", false)
+		s.blockedReports[name] = false
+		s.network.setDisconnected(name+":rpc", false)
 	}
-	made.catchUp()
+	s.catchUp()
 	for _, name := range workerNames {
-		if !made.isDraining(name) {
+		if !s.isDraining(name) {
 			continue
 		}
-		made.endDrain(name)
+		s.endDrain(name)
 	}
 	for range 40 {
-		made.advance(time.Minute)
-		made.report(workerNames...)
-		made.runMaintenance()
-		made.placePending(entryNames...)
-		made.report(workerNames...)
+		s.advance(time.Minute)
+		s.report(workerNames...)
+		s.runMaintenance()
+		s.placePending(entryNames...)
+		s.report(workerNames...)
 	}
 }
 
-// maxEndDrainTries is how often the end of a drain is asked for at most.
+// maxEndDrainTries bounds how often the test requests the end of a drain.
 const maxEndDrainTries = 5
 
-// endDrain has a worker no longer drain. An entry that refuses because it has not read
-// the log to its end is asked again, as it says: the clock of the test may run ahead of
-// the goroutine that reads, where the machine is busy with other things.
-func (made *soak) endDrain(name string) {
-	made.t.Helper()
+// endDrain ends the drain of a worker. It retries if the entry refuses because it has not read the log to its
+// end, as the response asks for: on a busy machine the fake clock can run ahead of the goroutine that reads
+// the log.
+func (s *soak) endDrain(name string) {
+	s.t.Helper()
 	for try := 1; ; try++ {
-		var answer *httptest.ResponseRecorder
-		// The entry may still wait, on the clock, to send an earlier append again.
-		made.runWhileAdvancing(func() {
-			answer = made.doRequest("entry-1", http.MethodPut, "/v1/workers/"+name+"/drain", `{"draining":false}`)
+		var response *httptest.ResponseRecorder
+		// The clock must advance, because the entry may still be waiting to retry an earlier append.
+		s.runWhileAdvancing(func() {
+			response = s.doRequest("entry-1", http.MethodPut, "/v1/workers/"+name+"/drain", `{"draining":false}`)
 		})
-		if answer.Code == http.StatusOK {
+		if response.Code == http.StatusOK {
 			return
 		}
-		if answer.Code != http.StatusServiceUnavailable || !strings.Contains(answer.Body.String(), `"not run"`) || try == maxEndDrainTries {
-			made.t.Errorf("the drain of %s can't be ended, try %d: %s", name, try, answer.Body)
+		if response.Code != http.StatusServiceUnavailable || !strings.Contains(response.Body.String(), `"not run"`) || try == maxEndDrainTries {
+			s.t.Errorf("the drain of %s can't be ended, try %d: %s", name, try, response.Body)
 			return
 		}
-		made.catchUp()
+		s.catchUp()
 	}
 }
 
-func (made *soak) checkResults() {
-	made.t.Helper()
-	if result := made.checkOwnership(); result != porcupine.Ok {
-		made.t.Fatalf("%s: %+v", result, made.observations.all())
+// checkResults checks the ownership of the tasks, that all of them finished, and that the entries agree.
+func (s *soak) checkResults() {
+	s.t.Helper()
+	if result := s.checkOwnership(); result != porcupine.Ok {
+		s.t.Fatalf("%s: %+v", result, s.observations.all())
 	}
-	for _, id := range made.taskIDs {
-		if task := made.task("entry-1", id); task.Phase != "finished" {
-			made.t.Errorf("task %s is %s on %q: %s; %s", id, task.Phase, task.Worker, task.Reason, made.doRequest("entry-1", http.MethodGet, "/v1/tasks/"+id+"/explain", "").Body)
+	for _, id := range s.taskIDs {
+		if task := s.task("entry-1", id); task.Phase != "finished" {
+			s.t.Errorf("task %s is %s on %q: %s; %s", id, task.Phase, task.Worker, task.Reason, s.doRequest("entry-1", http.MethodGet, "/v1/tasks/"+id+"/explain", "").Body)
 		}
 	}
-	made.checkStatesEqual()
+	s.checkStatesEqual()
 }
 
-// checkAgreement: both entries hold the same state.
-func (made *soak) checkStatesEqual() {
-	made.catchUp()
+// checkStatesEqual checks that both entries have the same state.
+func (s *soak) checkStatesEqual() {
+	s.catchUp()
 	var snapshots []string
-	for _, name := range slices.Sorted(maps.Keys(made.entries)) {
-		made.entries[name].journal.View(func(folded *state.State) {
-			data, err := folded.Snapshot()
+	for _, name := range slices.Sorted(maps.Keys(s.entries)) {
+		s.entries[name].journal.View(func(st *state.State) {
+			data, err := st.Snapshot()
 			if err != nil {
-				made.t.Fatal(err)
+				s.t.Fatal(err)
 			}
 			snapshots = append(snapshots, string(data))
 		})
 	}
 	if len(snapshots) != 2 || snapshots[0] != snapshots[1] {
-		made.t.Error("the entries' states differ")
+		s.t.Error("the entries have different states")
 	}
 }
 
-func (made *soak) killAll() {
-	for _, each := range slices.Clone(made.instances) {
-		made.kill(each.Name)
+// killAll stops all entries and guards.
+func (s *soak) killAll() {
+	for _, instance := range slices.Clone(s.instances) {
+		s.kill(instance.Name)
 	}
 }
