--- a/session/throttle_test.go
+++ b/session/throttle_test.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// TestThrottle: a throttled task takes longer by its share, and only shares
-// that make sense are taken.
+// TestThrottle checks that a throttled task runs at the requested share of its speed, and that a share
+// outside (0, 1] is rejected.
 func TestThrottle(t *testing.T) {
 	tests := map[string]struct {
 		body   string
 		status int
 		phase  string
 	}{
-		"a quarter":    {`{"share":0.25}`, http.StatusOK, "running"},
-		"all of it":    {`{"share":1}`, http.StatusOK, "finished"},
-		"nothing":      {`{"share":0}`, http.StatusBadRequest, "finished"},
-		"more than it": {`{"share":1.5}`, http.StatusBadRequest, "finished"},
-		"no number":    {`{"share":"half"}`, http.StatusBadRequest, "finished"},
+		"one quarter":  {`{"share":0.25}`, http.StatusOK, "running"},
+		"full speed":   {`{"share":1}`, http.StatusOK, "finished"},
+		"zero":         {`{"share":0}`, http.StatusBadRequest, "finished"},
+		"above one":    {`{"share":1.5}`, http.StatusBadRequest, "finished"},
+		"not a number": {`{"share":"half"}`, http.StatusBadRequest, "finished"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := newSession(t)
-			id := parseTaskID(t, made.doRequest("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody).Body.Bytes())
-			made.waitBackground()
-			made.placePending(entryNames...)
-			made.report(workerNames...)
-			if answer := made.doRequest("entry-2", http.MethodPut, "/v1/tasks/"+id+"/throttle", test.body); answer.Code != test.status {
-				t.Fatalf("status %d: %s", answer.Code, answer.Body)
+			h := newSession(t)
+			id := parseTaskID(t, h.doRequest("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody).Body.Bytes())
+			h.waitBackground()
+			h.placePending(entryNames...)
+			h.report(workerNames...)
+			if response := h.doRequest("entry-2", http.MethodPut, "/v1/tasks/"+id+"/throttle", test.body); response.Code != test.status {
+				t.Fatalf("status %d: %s", response.Code, response.Body)
 			}
-			made.advance(4 * time.Second)
-			made.report(workerNames...)
-			if task := made.task("entry-1", id); task.Phase != test.phase {
-				t.Errorf("the task is %s", task.Phase)
+			h.advance(4 * time.Second)
+			h.report(workerNames...)
+			if task := h.task("entry-1", id); task.Phase != test.phase {
+				t.Errorf("got phase %s", task.Phase)
 			}
 		})
 	}
-	made := newSession(t)
-	if answer := made.doRequest("entry-1", http.MethodPut, "/v1/tasks/none/throttle", `{"share":1}`); answer.Code != http.StatusNotFound {
-		t.Errorf("status %d", answer.Code)
+	h := newSession(t)
+	if response := h.doRequest("entry-1", http.MethodPut, "/v1/tasks/none/throttle", `{"share":1}`); response.Code != http.StatusNotFound {
+		t.Errorf("unknown task: status %d", response.Code)
 	}
 }
