--- a/session/failure_test.go
+++ b/session/failure_test.go
@@ -64,8 +64,8 @@
 	return count
 }
 
-// TestDelayedOffersRefused checks that an offer that arrives after its attempt was abandoned does not start
-// anything.
+// TestDelayedOffersRefused checks that an offer that arrives late does not start anything: the task has been
+// cancelled or reassigned, the offer has expired, or another incarnation of the guard has taken over.
 func TestDelayedOffersRefused(t *testing.T) {
 	tests := map[string]func(h *harness, id string, offer *wire.StartRequest){
 		"task cancelled": func(h *harness, id string, _ *wire.StartRequest) {
--- a/session/ownership_test.go
+++ b/session/ownership_test.go
@@ -72,8 +72,8 @@
 	return porcupine.CheckOperationsTimeout(ownershipModel, history, time.Minute)
 }
 
-// partitionWorker starts a task on worker-01, cuts its guard off from all entries for an hour, long
-// enough for the task to be moved, and reconnects it.
+// partitionWorker starts a task on worker-01, partitions its guard from all entries for an hour, which is long
+// enough for the task to be moved, and then reconnects the guard.
 func partitionWorker(h *harness) {
 	h.startTask("t-1")
 	h.network.setDisconnected("worker-01:rpc", true)
