--- a/standin/wirestore/calls.go
+++ b/standin/wirestore/calls.go
@@ -10,118 +10,130 @@
 	"time"
 )
 
+// queryInt returns a query parameter as an integer, or 0 if it is absent or not an integer.
 func queryInt(request *http.Request, name string) int64 {
-	count, err := strconv.ParseInt(request.URL.Query().Get(name), 10, 64)
+	value, err := strconv.ParseInt(request.URL.Query().Get(name), 10, 64)
 	if err != nil {
 		return 0
 	}
-	return count
+	return value
 }
 
-func writeJSON(answer http.ResponseWriter, status int, body any) {
-	answer.Header().Set("Content-Type", "application/json")
-	answer.WriteHeader(status)
-	_ = json.NewEncoder(answer).Encode(body)
+// writeJSON writes a response with a JSON body. Write errors are ignored: the client has disconnected.
+func writeJSON(writer http.ResponseWriter, status int, body any) {
+	writer.Header().Set("Content-Type", "application/json")
+	writer.WriteHeader(status)
+	_ = json.NewEncoder(writer).Encode(body)
 }
 
+// refusalResponse is the body of a response to a rejected append.
 type refusalResponse struct {
 	Reason string `json:"reason"`
 }
 
+// appendResponse is the body of the response to an append. A repeated append is answered with End only.
 type appendResponse struct {
 	Offset int64 `json:"offset"`
 	End    int64 `json:"end"`
 }
 
-func (store *Store) serveAppend(answer http.ResponseWriter, request *http.Request) {
+// serveAppend appends the records of the request body to a partition. An append that names a producer is
+// checked against the epoch and the sequence number of that producer's last append.
+func (store *Store) serveAppend(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		answer.WriteHeader(http.StatusBadRequest)
+		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	if !store.awaitAppend(partitionKey{request.URL.Query().Get("topic"), int(queryInt(request, "part"))}) {
-		answer.WriteHeader(http.StatusServiceUnavailable)
+		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	kept := store.requestedPartition(request)
+	partition := store.requestedPartition(request)
 	name := request.URL.Query().Get("producer")
 	if name != "" {
-		status, reason, end := kept.admitAppend(name, queryInt(request, "epoch"), queryInt(request, "seq"))
+		status, reason, end := partition.admitAppend(name, queryInt(request, "epoch"), queryInt(request, "seq"))
 		if status == http.StatusOK {
-			writeJSON(answer, status, appendResponse{End: end})
+			writeJSON(writer, status, appendResponse{End: end})
 			return
 		}
 		if status != 0 {
-			writeJSON(answer, status, refusalResponse{reason})
+			writeJSON(writer, status, refusalResponse{reason})
 			return
 		}
 	}
 	added := decodeEntries(body)
-	if change, found := store.rewrites[request.URL.Query().Get("topic")]; found {
+	if rewrite, found := store.rewrites[request.URL.Query().Get("topic")]; found {
 		for index := range added {
-			added[index].value = change(added[index].value)
+			added[index].value = rewrite(added[index].value)
 		}
 	}
-	store.appendEntries(kept, added)
+	store.appendEntries(partition, added)
 	if name != "" {
-		kept.producers[name].endOffsets[queryInt(request, "seq")] = kept.endOffset
+		partition.producers[name].endOffsets[queryInt(request, "seq")] = partition.endOffset
 	}
-	writeJSON(answer, http.StatusOK, appendResponse{Offset: kept.endOffset - int64(len(added)), End: kept.endOffset})
+	writeJSON(writer, http.StatusOK, appendResponse{Offset: partition.endOffset - int64(len(added)), End: partition.endOffset})
 }
 
-func (store *Store) serveRead(answer http.ResponseWriter, request *http.Request) {
+// serveRead responds with the records from the requested offset on. If there are none, it waits for an append
+// for up to wait_ms milliseconds. A read below the first readable offset is answered with 410 Gone and that
+// offset.
+func (store *Store) serveRead(writer http.ResponseWriter, request *http.Request) {
 	from := queryInt(request, "source")
 	timer := time.NewTimer(time.Duration(queryInt(request, "wait_ms")) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		store.mu.Lock()
-		kept := store.requestedPartition(request)
-		grown := store.appended
-		if from < kept.firstOffset {
+		partition := store.requestedPartition(request)
+		appended := store.appended
+		if from < partition.firstOffset {
 			store.mu.Unlock()
-			writeJSON(answer, http.StatusGone, struct {
+			writeJSON(writer, http.StatusGone, struct {
 				First int64 `json:"first"`
-			}{kept.firstOffset})
+			}{partition.firstOffset})
 			return
 		}
-		body := kept.encodeFrom(from)
-		found := kept.endOffset > from
+		body := partition.encodeFrom(from)
+		hasEntries := partition.endOffset > from
 		store.mu.Unlock()
-		if found {
-			_, _ = answer.Write(body) //nolint:gosec // raw records, which no browser reads.
+		if hasEntries {
+			_, _ = writer.Write(body) //nolint:gosec // the body is binary records and is not rendered by a browser.
 			return
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-request.Context().Done():
 			return
 		case <-timer.C:
-			_, _ = answer.Write(body) //nolint:gosec // raw records, which no browser reads.
+			_, _ = writer.Write(body) //nolint:gosec // the body is binary records and is not rendered by a browser.
 			return
 		}
 	}
 }
 
+// newestRecord is the newest record of a key. Value is base64-encoded.
 type newestRecord struct {
 	Key    string `json:"key"`
 	Value  string `json:"value"`
 	Offset int64  `json:"offset"`
 }
 
-func (store *Store) serveNewest(answer http.ResponseWriter, request *http.Request) {
+// serveNewest responds with the newest record of every key that is greater than the query parameter "after",
+// sorted by key. A key whose newest value is empty counts as deleted and is left out.
+func (store *Store) serveNewest(writer http.ResponseWriter, request *http.Request) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	kept := store.requestedPartition(request)
-	last := map[string]entry{}
-	for _, one := range kept.entries {
-		last[one.key] = one
+	partition := store.requestedPartition(request)
+	newest := map[string]entry{}
+	for _, entry := range partition.entries {
+		newest[entry.key] = entry
 	}
 	items := []newestRecord{}
-	for key, one := range last {
-		if len(one.value) > 0 && key > request.URL.Query().Get("after") {
-			items = append(items, newestRecord{Key: key, Value: base64.StdEncoding.EncodeToString(one.value), Offset: one.offset})
+	for key, entry := range newest {
+		if len(entry.value) > 0 && key > request.URL.Query().Get("after") {
+			items = append(items, newestRecord{Key: key, Value: base64.StdEncoding.EncodeToString(entry.value), Offset: entry.offset})
 		}
 	}
 	slices.SortFunc(items, func(a, b newestRecord) int {
@@ -130,9 +142,9 @@
 		}
 		return 1
 	})
-	writeJSON(answer, http.StatusOK, struct {
+	writeJSON(writer, http.StatusOK, struct {
 		Items []newestRecord `json:"items"`
 		More  bool           `json:"more"`
 		End   int64          `json:"end"`
-	}{items, false, kept.endOffset})
+	}{items, false, partition.endOffset})
 }
--- a/standin/wirestore/group.go
+++ b/standin/wirestore/group.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// joinRequest is the body of a join and of a leave request.
 type joinRequest struct {
 	Group      string   `json:"group"`
 	Member     string   `json:"member"`
@@ -15,6 +16,7 @@
 	Generation int64    `json:"generation"`
 }
 
+// getGroup returns the group with the given name. It creates the group if there is none.
 func (store *Store) getGroup(name string) *group {
 	if store.groups[name] == nil {
 		store.groups[name] = &group{owners: map[int]string{}, nextOwners: map[int]string{}}
@@ -22,147 +24,157 @@
 	return store.groups[name]
 }
 
-// decodeBody decodes a call; one that it can't decode is answered.
-func decodeBody(answer http.ResponseWriter, request *http.Request, body any) bool {
+// decodeBody decodes the JSON body of a request. If that fails, it responds with 400 Bad Request and returns
+// false.
+func decodeBody(writer http.ResponseWriter, request *http.Request, body any) bool {
 	if err := json.NewDecoder(request.Body).Decode(body); err != nil {
-		answer.WriteHeader(http.StatusBadRequest)
+		writer.WriteHeader(http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-func (store *Store) serveJoin(answer http.ResponseWriter, request *http.Request) {
+// serveJoin adds a member to a group or renews its membership, and responds with the partitions that the
+// member owns. Partitions that are to move to another member are left out of the response.
+func (store *Store) serveJoin(writer http.ResponseWriter, request *http.Request) {
 	var body joinRequest
-	if !decodeBody(answer, request, &body) {
+	if !decodeBody(writer, request, &body) {
 		return
 	}
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	joined := store.getGroup(body.Group)
-	joined.topics, joined.partitionsPerTopic = body.Topics, store.partitionsPerTopic
+	group := store.getGroup(body.Group)
+	group.topics, group.partitionsPerTopic = body.Topics, store.partitionsPerTopic
 	now := store.now()
-	joined.expireMembers(now)
-	at := slices.IndexFunc(joined.members, func(known *member) bool { return known.name == body.Member })
-	if at < 0 {
-		joined.members = append(joined.members, &member{name: body.Member})
-		at = len(joined.members) - 1
-		joined.assignPartitions()
+	group.expireMembers(now)
+	memberIndex := slices.IndexFunc(group.members, func(candidate *member) bool { return candidate.name == body.Member })
+	if memberIndex < 0 {
+		group.members = append(group.members, &member{name: body.Member})
+		memberIndex = len(group.members) - 1
+		group.assignPartitions()
 	}
-	joined.members[at].timeout = time.Duration(body.TTLMs) * time.Millisecond
-	joined.members[at].lastJoin = now
-	joined.members[at].generation = body.Generation
-	joined.handOverPartitions(body.Member, body.Generation)
-	parts := [][]any{}
-	for slot, owner := range joined.owners {
-		if owner == body.Member && joined.nextOwners[slot] == owner {
-			parts = append(parts, joined.describePartition(slot, 0))
+	group.members[memberIndex].timeout = time.Duration(body.TTLMs) * time.Millisecond
+	group.members[memberIndex].lastJoin = now
+	group.members[memberIndex].generation = body.Generation
+	group.handOverPartitions(body.Member, body.Generation)
+	partitions := [][]any{}
+	for index, owner := range group.owners {
+		if owner == body.Member && group.nextOwners[index] == owner {
+			partitions = append(partitions, group.describePartition(index, 0))
 		}
 	}
-	writeJSON(answer, http.StatusOK, struct {
+	writeJSON(writer, http.StatusOK, struct {
 		Generation int64   `json:"generation"`
 		Parts      [][]any `json:"parts"`
-	}{joined.generation, parts})
+	}{group.generation, partitions})
 }
 
-// describePartition describes a partition, with what else is told of it.
-func (joined *group) describePartition(slot int, more ...any) []any {
-	return append([]any{joined.topics[slot/joined.partitionsPerTopic], slot % joined.partitionsPerTopic}, more...)
+// describePartition returns the topic and the partition number for an index into owners, followed by the
+// values in more.
+func (group *group) describePartition(index int, more ...any) []any {
+	return append([]any{group.topics[index/group.partitionsPerTopic], index % group.partitionsPerTopic}, more...)
 }
 
-// assignPartitions spreads the partitions of all topics evenly over the members. A partition passes on
-// once its owner has heard of it.
-func (joined *group) assignPartitions() {
-	joined.generation++
-	if len(joined.members) == 0 {
-		joined.owners, joined.nextOwners = map[int]string{}, map[int]string{}
+// assignPartitions starts a new generation and distributes the partitions of all topics evenly over the
+// members. A partition that has an owner moves only when that owner has confirmed the new generation; see
+// handOverPartitions.
+func (group *group) assignPartitions() {
+	group.generation++
+	if len(group.members) == 0 {
+		group.owners, group.nextOwners = map[int]string{}, map[int]string{}
 		return
 	}
-	slots := len(joined.topics) * joined.partitionsPerTopic
-	for part := range slots {
-		to := joined.members[part*len(joined.members)/slots].name
-		joined.nextOwners[part] = to
-		if joined.owners[part] == "" {
-			joined.owners[part] = to
+	count := len(group.topics) * group.partitionsPerTopic
+	for index := range count {
+		owner := group.members[index*len(group.members)/count].name
+		group.nextOwners[index] = owner
+		if group.owners[index] == "" {
+			group.owners[index] = owner
 		}
 	}
 }
 
-// handOverPartitions passes on the partitions that a member which has heard of the present
-// generation no longer holds.
-func (joined *group) handOverPartitions(name string, heard int64) {
-	if heard < joined.generation {
+// handOverPartitions moves the partitions of a member that are assigned to another one, if the member has
+// confirmed the current generation and has thus given them up.
+func (group *group) handOverPartitions(name string, generation int64) {
+	if generation < group.generation {
 		return
 	}
-	for part, owner := range joined.owners {
+	for index, owner := range group.owners {
 		if owner == name {
-			joined.owners[part] = joined.nextOwners[part]
+			group.owners[index] = group.nextOwners[index]
 		}
 	}
 }
 
-// expireMembers takes out members that have been silent for too long.
-func (joined *group) expireMembers(now time.Time) {
-	before := len(joined.members)
-	joined.members = slices.DeleteFunc(joined.members, func(known *member) bool {
-		return now.Sub(known.lastJoin) >= known.timeout
+// expireMembers removes the members whose last join is at least their timeout ago.
+func (group *group) expireMembers(now time.Time) {
+	before := len(group.members)
+	group.members = slices.DeleteFunc(group.members, func(candidate *member) bool {
+		return now.Sub(candidate.lastJoin) >= candidate.timeout
 	})
-	if len(joined.members) != before {
-		joined.reassignPartitions()
+	if len(group.members) != before {
+		group.reassignPartitions()
 	}
 }
 
-func (joined *group) reassignPartitions() {
-	for part, owner := range joined.owners {
-		if !slices.ContainsFunc(joined.members, func(known *member) bool { return known.name == owner }) {
-			joined.owners[part] = ""
+// reassignPartitions takes the partitions of removed members away from them and assigns all partitions anew.
+func (group *group) reassignPartitions() {
+	for index, owner := range group.owners {
+		if !slices.ContainsFunc(group.members, func(candidate *member) bool { return candidate.name == owner }) {
+			group.owners[index] = ""
 		}
 	}
-	joined.assignPartitions()
+	group.assignPartitions()
 }
 
-func (store *Store) serveLeave(answer http.ResponseWriter, request *http.Request) {
+// serveLeave removes a member from a group. Its partitions are reassigned without waiting for a confirmation.
+func (store *Store) serveLeave(writer http.ResponseWriter, request *http.Request) {
 	var body joinRequest
-	if !decodeBody(answer, request, &body) {
+	if !decodeBody(writer, request, &body) {
 		return
 	}
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	left := store.getGroup(body.Group)
-	left.members = slices.DeleteFunc(left.members, func(known *member) bool { return known.name == body.Member })
-	left.reassignPartitions()
-	writeJSON(answer, http.StatusOK, struct{}{})
+	group := store.getGroup(body.Group)
+	group.members = slices.DeleteFunc(group.members, func(candidate *member) bool { return candidate.name == body.Member })
+	group.reassignPartitions()
+	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-func (store *Store) serveOwners(answer http.ResponseWriter, request *http.Request) {
+// serveOwners responds with the owner of every partition of a group that has one.
+func (store *Store) serveOwners(writer http.ResponseWriter, request *http.Request) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	asked := store.getGroup(request.URL.Query().Get("group"))
-	asked.expireMembers(store.now())
+	group := store.getGroup(request.URL.Query().Get("group"))
+	group.expireMembers(store.now())
 	rows := [][]any{}
-	for slot, owner := range asked.owners {
+	for index, owner := range group.owners {
 		if owner != "" {
-			rows = append(rows, asked.describePartition(slot, owner, 0))
+			rows = append(rows, group.describePartition(index, owner, 0))
 		}
 	}
-	writeJSON(answer, http.StatusOK, struct {
+	writeJSON(writer, http.StatusOK, struct {
 		Owners [][]any `json:"owners"`
 	}{rows})
 }
 
+// member is a member of a group.
 type member struct {
 	name       string
 	timeout    time.Duration
 	lastJoin   time.Time
-	generation int64
+	generation int64 // stated in the last join
 }
 
+// group distributes the partitions of its topics over its members.
 type group struct {
 	generation int64
 	members    []*member
-	// topics are those whose partitions are dealt, of which each has so many parts. A slot counts them one topic
-	// after the other.
+	// topics are the topics whose partitions are distributed. The partitions are numbered consecutively over
+	// all topics, in this order; owners and nextOwners use this number as their key.
 	topics             []string
 	partitionsPerTopic int
-	owners             map[int]string // by slot
-	nextOwners         map[int]string // to whom a slot goes once its owner has heard
+	owners             map[int]string
+	nextOwners         map[int]string // take over once the owner has confirmed the current generation
 }
--- a/standin/wirestore/partition.go
+++ b/standin/wirestore/partition.go
@@ -6,22 +6,27 @@
 	"slices"
 )
 
+// entry is a record and its offset in a partition.
 type entry struct {
 	key    string
 	value  []byte
 	offset int64
 }
 
+// partitionKey identifies a partition of a topic.
 type partitionKey struct {
 	topic     string
 	partition int
 }
 
+// producerState holds the epoch and the last sequence number of a producer.
 type producerState struct {
 	epoch, sequence int64
-	endOffsets      map[int64]int64 // answers by sequence
+	endOffsets      map[int64]int64 // end offsets returned to appends, by sequence number
 }
 
+// partition holds the records of one partition of a topic. Reads by offset start at firstOffset; endOffset is
+// the offset of the next record.
 type partition struct {
 	entries     []entry
 	endOffset   int64
@@ -29,78 +34,89 @@
 	producers   map[string]*producerState
 }
 
-func (store *Store) getPartition(topic string, part int) *partition {
-	place := partitionKey{topic, part}
-	if store.partitions[place] == nil {
-		store.partitions[place] = &partition{producers: map[string]*producerState{}}
+// getPartition returns a partition. It creates the partition if there is none.
+func (store *Store) getPartition(topic string, number int) *partition {
+	key := partitionKey{topic, number}
+	if store.partitions[key] == nil {
+		store.partitions[key] = &partition{producers: map[string]*producerState{}}
 	}
-	return store.partitions[place]
+	return store.partitions[key]
 }
 
-func (store *Store) appendEntries(kept *partition, added []entry) {
-	for _, one := range added {
-		one.offset = kept.endOffset
-		kept.endOffset++
-		kept.entries = append(kept.entries, one)
+// appendEntries appends entries to a partition, assigns their offsets and wakes the reads that wait.
+func (store *Store) appendEntries(partition *partition, added []entry) {
+	for _, entry := range added {
+		entry.offset = partition.endOffset
+		partition.endOffset++
+		partition.entries = append(partition.entries, entry)
 	}
 	close(store.appended)
 	store.appended = make(chan struct{})
 }
 
+// requestedPartition returns the partition that the query of a request names.
 func (store *Store) requestedPartition(request *http.Request) *partition {
 	return store.getPartition(request.URL.Query().Get("topic"), int(queryInt(request, "part")))
 }
 
-// admitAppend judges a fenced append: status 0 lets it in, 200 answers it again.
-func (kept *partition) admitAppend(name string, epoch, sequence int64) (status int, reason string, end int64) {
-	known, found := kept.producers[name]
-	if !found || epoch > known.epoch {
-		kept.producers[name] = &producerState{epoch: epoch, sequence: sequence, endOffsets: map[int64]int64{}}
+// admitAppend checks the epoch and the sequence number of an append. It returns status 0 if the append is to
+// be carried out. It returns 200 and the earlier end offset if it repeats one that was carried out. Otherwise
+// it returns the error status and the reason: "fenced" for an epoch below the producer's current one, "seq"
+// for a sequence number that does not follow the last one.
+func (partition *partition) admitAppend(name string, epoch, sequence int64) (status int, reason string, end int64) {
+	producer, found := partition.producers[name]
+	if !found || epoch > producer.epoch {
+		partition.producers[name] = &producerState{epoch: epoch, sequence: sequence, endOffsets: map[int64]int64{}}
 		return 0, "", 0
 	}
-	if epoch < known.epoch {
+	if epoch < producer.epoch {
 		return http.StatusConflict, "fenced", 0
 	}
-	if again, done := known.endOffsets[sequence]; done {
-		return http.StatusOK, "", again
+	if endOffset, appended := producer.endOffsets[sequence]; appended {
+		return http.StatusOK, "", endOffset
 	}
-	if sequence != known.sequence+1 {
+	if sequence != producer.sequence+1 {
 		return http.StatusConflict, "seq", 0
 	}
-	known.sequence = sequence
+	producer.sequence = sequence
 	return 0, "", 0
 }
 
+// decodeEntries decodes records. Each is a 4-byte big-endian length of the rest, a 1-byte key length, the key
+// and the value.
 func decodeEntries(body []byte) []entry {
-	var found []entry
+	var entries []entry
 	for len(body) > 5 {
 		size := 4 + int(binary.BigEndian.Uint32(body))
 		keyEnd := 5 + int(body[4])
-		found = append(found, entry{key: string(body[5:keyEnd]), value: slices.Clone(body[keyEnd:size])})
+		entries = append(entries, entry{key: string(body[5:keyEnd]), value: slices.Clone(body[keyEnd:size])})
 		body = body[size:]
 	}
-	return found
+	return entries
 }
 
+// encodeEntries encodes records in the format that decodeEntries reads.
 func encodeEntries(entries []entry) []byte {
 	var body []byte
-	for _, one := range entries {
-		body = binary.BigEndian.AppendUint32(body, uint32(1+len(one.key)+len(one.value)))
-		body = append(body, byte(len(one.key)))
-		body = append(body, one.key...)
-		body = append(body, one.value...)
+	for _, entry := range entries {
+		body = binary.BigEndian.AppendUint32(body, uint32(1+len(entry.key)+len(entry.value)))
+		body = append(body, byte(len(entry.key)))
+		body = append(body, entry.key...)
+		body = append(body, entry.value...)
 	}
 	return body
 }
 
-func (kept *partition) encodeFrom(offset int64) []byte {
-	var later []entry
-	for _, one := range kept.entries {
-		if one.offset >= offset {
-			later = append(later, one)
+// encodeFrom encodes the body of a read: the end offset and the first readable offset as 8-byte big-endian
+// integers, followed by the records from offset on.
+func (partition *partition) encodeFrom(offset int64) []byte {
+	var entries []entry
+	for _, entry := range partition.entries {
+		if entry.offset >= offset {
+			entries = append(entries, entry)
 		}
 	}
-	body := binary.BigEndian.AppendUint64(nil, uint64(kept.endOffset))
-	body = binary.BigEndian.AppendUint64(body, uint64(kept.firstOffset))
-	return append(body, encodeEntries(later)...)
+	body := binary.BigEndian.AppendUint64(nil, uint64(partition.endOffset))
+	body = binary.BigEndian.AppendUint64(body, uint64(partition.firstOffset))
+	return append(body, encodeEntries(entries)...)
 }
--- a/standin/wirestore/turn.go
+++ b/standin/wirestore/turn.go
@@ -6,28 +6,29 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// maxAppendWait is how long appends may wait in a partition before more are refused.
+// maxAppendWait is how far an append may start in the future. A partition with a longer queue rejects appends.
 const maxAppendWait = 2 * time.Second
 
-// appendQueue lets the appends of each partition through one after the other. The zero value lets
-// all through at once.
+// appendQueue makes the appends to each partition run one after the other. The zero value does not delay
+// appends.
 type appendQueue struct {
 	clock      clockwork.Clock
 	appendTime time.Duration
-	// freeAt is when the last append that waits will be done.
+	// freeAt is when the last queued append of a partition ends.
 	freeAt map[partitionKey]time.Time
 }
 
-// SetAppendTime has each append of a partition take so long from here on, one after the other. One
-// whose caller gives up while it waits is carried out all the same.
-func (store *Store) SetAppendTime(clock clockwork.Clock, takes time.Duration) {
+// SetAppendTime makes every append to a partition take appendTime from now on, one after the other. An append
+// whose caller gives up while it is queued is still carried out.
+func (store *Store) SetAppendTime(clock clockwork.Clock, appendTime time.Duration) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.appendQueue = appendQueue{clock: clock, appendTime: takes, freeAt: map[partitionKey]time.Time{}}
+	store.appendQueue = appendQueue{clock: clock, appendTime: appendTime, freeAt: map[partitionKey]time.Time{}}
 }
 
-// awaitAppend waits for an append's turn. It reports false, at once, where too many wait.
-func (store *Store) awaitAppend(place partitionKey) bool {
+// awaitAppend waits until an append to a partition ends. It returns false immediately if the queue is too
+// long.
+func (store *Store) awaitAppend(key partitionKey) bool {
 	store.mu.Lock()
 	if store.appendQueue.appendTime == 0 {
 		store.mu.Unlock()
@@ -35,17 +36,17 @@
 	}
 	clock := store.appendQueue.clock
 	now := clock.Now()
-	begins := store.appendQueue.freeAt[place]
-	if begins.Before(now) {
-		begins = now
+	start := store.appendQueue.freeAt[key]
+	if start.Before(now) {
+		start = now
 	}
-	if begins.Sub(now) > maxAppendWait {
+	if start.Sub(now) > maxAppendWait {
 		store.mu.Unlock()
 		return false
 	}
-	done := begins.Add(store.appendQueue.appendTime)
-	store.appendQueue.freeAt[place] = done
+	end := start.Add(store.appendQueue.appendTime)
+	store.appendQueue.freeAt[key] = end
 	store.mu.Unlock()
-	<-clock.After(done.Sub(now))
+	<-clock.After(end.Sub(now))
 	return true
 }
--- a/standin/wirestore/wirestore.go
+++ b/standin/wirestore/wirestore.go
@@ -1,12 +1,12 @@
-// Package wirestore is a small stand-in for the users' store that speaks its
-// protocol over HTTP: keyed topics, fenced appends, reads that wait, and groups
-// that deal partitions. It is for tests; it keeps everything in memory.
+// Package wirestore is an in-memory implementation of the platform's record store for tests. It serves the
+// store's HTTP protocol: topics of keyed records, appends that are fenced by producer epoch, reads that wait
+// for records, and groups that distribute partitions over their members. Faults can be injected into calls.
 //
 // # Usage
 //
 //	store := wirestore.New(8, time.Now)
 //	server := httptest.NewServer(store)
-//	store.Fail(func(call string) wirestore.Fault { return wirestore.FaultNone })
+//	store.InjectFaults(func(call string) wirestore.Fault { return wirestore.FaultNone })
 package wirestore
 
 import (
@@ -16,21 +16,22 @@
 	"time"
 )
 
-// Fault is what befalls one call.
+// Fault is a fault that is injected into a call.
 type Fault int
 
-// The faults of a call.
+// Faults that can be injected into a call.
 const (
 	FaultNone         Fault = iota
-	FaultUnavailable        // answered 503, nothing done
-	FaultLostResponse       // done, and the connection broken off without an answer
-	FaultReset              // not done, and the connection broken off
-	FaultNoResponse         // not done and never answered, until the caller gives up
+	FaultUnavailable        // respond with 503 without carrying out the call
+	FaultLostResponse       // carry out the call, then close the connection without a response
+	FaultReset              // close the connection without carrying out the call
+	FaultNoResponse         // do nothing and never respond; the connection ends when the caller closes it
 )
 
+// topicCall is a call path and the topic of the call.
 type topicCall struct{ call, topic string }
 
-// Store is the stand-in. It is an http.Handler.
+// Store is an in-memory record store. It is an http.Handler and safe for concurrent use.
 type Store struct {
 	partitionsPerTopic int
 	now                func() time.Time
@@ -40,100 +41,104 @@
 	groups             map[string]*group
 	fault              func(call string) Fault
 	calls              map[string]int
-	// topicCalls counts calls by their path and topic.
+	// topicCalls counts calls by path and topic.
 	topicCalls  map[topicCall]int
 	appendQueue appendQueue
-	// topicFaults decide what befalls appends, by topic.
+	// topicFaults chooses the faults of appends, by topic.
 	topicFaults map[string]func() Fault
-	// rewrites change the values that are appended, by topic.
+	// rewrites holds functions that replace appended values, by topic.
 	rewrites map[string]func(value []byte) []byte
 }
 
-// New returns an empty store whose topics have so many partitions.
-func New(parts int, now func() time.Time) *Store {
+// New returns an empty store whose topics have partitionsPerTopic partitions each. Memberships expire by the
+// clock now.
+func New(partitionsPerTopic int, now func() time.Time) *Store {
 	return &Store{
-		partitionsPerTopic: parts, now: now, partitions: map[partitionKey]*partition{}, appended: make(chan struct{}),
+		partitionsPerTopic: partitionsPerTopic, now: now, partitions: map[partitionKey]*partition{}, appended: make(chan struct{}),
 		groups: map[string]*group{}, calls: map[string]int{}, topicCalls: map[topicCall]int{}, topicFaults: map[string]func() Fault{},
 		rewrites: map[string]func(value []byte) []byte{},
 	}
 }
 
-// InjectFaults has fault decide what befalls each call from here on.
+// InjectFaults makes fault choose the fault of every later call. Its argument is the path of the call. A
+// function set by InjectAppendFaults takes precedence.
 func (store *Store) InjectFaults(fault func(call string) Fault) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.fault = fault
 }
 
-// InjectAppendFaults has fault decide what befalls each append to a topic from here on.
+// InjectAppendFaults makes fault choose the fault of every later append to a topic.
 func (store *Store) InjectAppendFaults(topic string, fault func() Fault) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.topicFaults[topic] = fault
 }
 
-// RewriteAppends has change applied to each value that is appended to a topic from here on.
-func (store *Store) RewriteAppends(topic string, change func(value []byte) []byte) {
+// RewriteAppends makes the store keep the result of rewrite in place of each value appended to a topic from
+// now on. Records written by Put are not rewritten.
+func (store *Store) RewriteAppends(topic string, rewrite func(value []byte) []byte) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.rewrites[topic] = change
+	store.rewrites[topic] = rewrite
 }
 
-// Calls returns how often a call was made.
+// Calls returns how many calls were made to a path.
 func (store *Store) Calls(call string) int {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	return store.calls[call]
 }
 
-// TopicCalls returns how often a call was made for a topic.
+// TopicCalls returns how many calls were made to a path for a topic.
 func (store *Store) TopicCalls(call, topic string) int {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	return store.topicCalls[topicCall{call, topic}]
 }
 
-// Compact removes all records but the newest of each key, as far as reads
-// by offset go.
+// Compact makes the records that are stored now unreadable by offset. The newest record of each key can still
+// be read as such.
 func (store *Store) Compact() {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	for _, kept := range store.partitions {
-		kept.firstOffset = kept.endOffset
+	for _, partition := range store.partitions {
+		partition.firstOffset = partition.endOffset
 	}
 }
 
-// Newest returns the newest value of a key.
-func (store *Store) Newest(topic string, part int, key string) ([]byte, bool) {
+// Newest returns the newest value of a key. It returns false if the key is absent or its newest value is
+// empty.
+func (store *Store) Newest(topic string, number int, key string) ([]byte, bool) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	kept := store.getPartition(topic, part)
-	for index := len(kept.entries) - 1; index >= 0; index-- {
-		if kept.entries[index].key == key {
-			return kept.entries[index].value, len(kept.entries[index].value) > 0
+	partition := store.getPartition(topic, number)
+	for index := len(partition.entries) - 1; index >= 0; index-- {
+		if partition.entries[index].key == key {
+			return partition.entries[index].value, len(partition.entries[index].value) > 0
 		}
 	}
 	return nil, false
 }
 
-// Put writes a record as the operator does.
-func (store *Store) Put(topic string, part int, key string, value []byte) {
+// Put appends a record without a producer, as an operator does.
+func (store *Store) Put(topic string, number int, key string, value []byte) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.appendEntries(store.getPartition(topic, part), []entry{{key: key, value: value}})
+	store.appendEntries(store.getPartition(topic, number), []entry{{key: key, value: value}})
 }
 
 // ServeHTTP implements http.Handler.
-func (store *Store) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
+func (store *Store) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	fault := store.recordCall(request.URL.Path, request.URL.Query().Get("topic"))
 	switch fault {
 	case FaultUnavailable:
-		answer.WriteHeader(http.StatusServiceUnavailable)
+		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case FaultReset:
 		panic(http.ErrAbortHandler)
 	case FaultNoResponse:
-		// The end of a connection is noticed only once the body has been read.
+		// net/http detects a closed connection only once the request body has been read.
 		_, _ = io.Copy(io.Discard, request.Body)
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -142,9 +147,10 @@
 		panic(http.ErrAbortHandler)
 	case FaultNone:
 	}
-	store.route(answer, request)
+	store.route(writer, request)
 }
 
+// recordCall counts a call and returns the fault to inject into it.
 func (store *Store) recordCall(call, topic string) Fault {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -159,30 +165,31 @@
 	return store.fault(call)
 }
 
-// discardResponse takes an answer that its caller never gets.
+// discardResponse is a ResponseWriter that discards the response.
 type discardResponse struct{ header http.Header }
 
-func (lost discardResponse) Header() http.Header { return lost.header }
+func (discarded discardResponse) Header() http.Header { return discarded.header }
 
-func (lost discardResponse) Write(text []byte) (int, error) { return len(text), nil }
+func (discarded discardResponse) Write(data []byte) (int, error) { return len(data), nil }
 
-func (lost discardResponse) WriteHeader(int) {}
+func (discarded discardResponse) WriteHeader(int) {}
 
-func (store *Store) route(answer http.ResponseWriter, request *http.Request) {
+// route passes a request to the handler of its path.
+func (store *Store) route(writer http.ResponseWriter, request *http.Request) {
 	switch request.URL.Path {
 	case "/v1/log-append":
-		store.serveAppend(answer, request)
+		store.serveAppend(writer, request)
 	case "/v1/log-read":
-		store.serveRead(answer, request)
+		store.serveRead(writer, request)
 	case "/v1/log-newest":
-		store.serveNewest(answer, request)
+		store.serveNewest(writer, request)
 	case "/v1/log-join":
-		store.serveJoin(answer, request)
+		store.serveJoin(writer, request)
 	case "/v1/log-leave":
-		store.serveLeave(answer, request)
+		store.serveLeave(writer, request)
 	case "/v1/log-owners":
-		store.serveOwners(answer, request)
+		store.serveOwners(writer, request)
 	default:
-		answer.WriteHeader(http.StatusNotFound)
+		writer.WriteHeader(http.StatusNotFound)
 	}
 }
