--- a/standin/wireworker/change.go
+++ b/standin/wireworker/change.go
@@ -2,48 +2,50 @@
 
 import "time"
 
-// ChangeKind says what became of a run.
+// ChangeKind tells what changed: a run, the lease, or the acknowledgement of an end.
 type ChangeKind int
 
-// The kinds of a change.
+// Kinds of changes.
 const (
 	Started ChangeKind = iota
 	Ended
-	// Renewed is that the lease of everything that runs goes on until a later time.
+	// Renewed reports that the lease, which covers all runs, was extended.
 	Renewed
-	// Acknowledged is the word that an end may be forgotten, if the lease has not run out since the
-	// run ended. It stands for good: a task that is noted as done is not to start again. An end
-	// whose lease ran out first does not count.
+	// Acknowledged reports that a poll acknowledged an end. A task whose end with the reason "done" was
+	// acknowledged must never start again. The change is not reported if the lease expired between the end and
+	// the poll.
 	Acknowledged
 )
 
-// Change is what became of a run.
+// Change is a change of a run or of the lease.
 type Change struct {
 	Kind    ChangeKind
 	Task    string
 	Attempt int32
-	Reason  string // of an end
-	// LeaseEnd is when the lease runs out; of a renewal.
+	Reason  string // why the run ended; set for Ended and Acknowledged
+	// LeaseEnd is when the lease expires; set for Renewed.
 	LeaseEnd time.Time
 }
 
-// OnChange has note called with each change, in their order. It must not call the worker.
-func (worker *Worker) OnChange(note func(change Change)) {
+// OnChange makes the worker call onChange with every later change, in order. The function must not call the
+// worker, whose lock is held.
+func (worker *Worker) OnChange(onChange func(change Change)) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.onChange = note
+	worker.onChange = onChange
 }
 
-// renewLease has the lease go on until a deadline on the worker's clock, if it is a later one.
-func (worker *Worker) renewLease(deadline int64) {
-	if deadline <= worker.leaseEndMs {
+// renewLease extends the lease to a time on the worker's clock, in milliseconds. A time that is not later than
+// the current end is ignored.
+func (worker *Worker) renewLease(leaseEndMs int64) {
+	if leaseEndMs <= worker.leaseEndMs {
 		return
 	}
-	worker.leaseEndMs = deadline
-	worker.onChange(Change{Kind: Renewed, LeaseEnd: worker.startedAt.Add(time.Duration(deadline-initialClockMs) * time.Millisecond)})
+	worker.leaseEndMs = leaseEndMs
+	worker.onChange(Change{Kind: Renewed, LeaseEnd: worker.startedAt.Add(time.Duration(leaseEndMs-initialClockMs) * time.Millisecond)})
 }
 
-// RunningCount returns how many runs there are, after those have ended whose lease has run out.
+// RunningCount returns the number of runs. If the lease has expired, the runs are ended first.
 func (worker *Worker) RunningCount() int {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
--- a/standin/wireworker/serve.go
+++ b/standin/wireworker/serve.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// ServeHTTP implements http.Handler.
-func (worker *Worker) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
+// ServeHTTP implements http.Handler. A request that expects another worker is answered with 421 Misdirected
+// Request.
+func (worker *Worker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Header.Get("X-Ambertiller-Expect-Instance") != worker.incarnation {
-		answer.WriteHeader(http.StatusMisdirectedRequest)
+		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	worker.mu.Lock()
@@ -26,42 +27,47 @@
 	}
 	switch request.URL.Path {
 	case "/v1/run-start":
-		worker.serveStart(answer, request, fault)
+		worker.serveStart(writer, request, fault)
 	case "/v1/run-stop":
-		worker.serveStop(answer, request)
+		worker.serveStop(writer, request)
 	case "/v1/hold":
-		worker.servePoll(answer, request)
+		worker.servePoll(writer, request)
 	case "/v1/pace":
-		worker.servePace(answer, request)
+		worker.servePace(writer, request)
 	default:
-		answer.WriteHeader(http.StatusNotFound)
+		writer.WriteHeader(http.StatusNotFound)
 	}
 }
 
+// orderResponse is the response to an order: a start, a stop or a pace.
 type orderResponse struct {
 	ClockMs   int64  `json:"clock_ms"`
 	StartTime int64  `json:"born,omitempty"`
 	Reason    string `json:"reason,omitempty"`
 }
 
-func (worker *Worker) writeResponse(answer http.ResponseWriter, status int, reason string) {
-	answer.Header().Set("Content-Type", "application/json")
-	answer.WriteHeader(status)
-	_ = json.NewEncoder(answer).Encode(orderResponse{worker.clockMs(), worker.startTime, reason})
+// writeResponse responds to an order with the reading of the worker's clock, the start time and, for a
+// rejected order, the reason. The lock must be held.
+func (worker *Worker) writeResponse(writer http.ResponseWriter, status int, reason string) {
+	writer.Header().Set("Content-Type", "application/json")
+	writer.WriteHeader(status)
+	_ = json.NewEncoder(writer).Encode(orderResponse{worker.clockMs(), worker.startTime, reason})
 }
 
-// decodeBody decodes a call; one that it can't decode is answered.
-func decodeBody(answer http.ResponseWriter, request *http.Request, body any) bool {
+// decodeBody decodes the JSON body of a request. If that fails, it responds with 400 Bad Request and returns
+// false.
+func decodeBody(writer http.ResponseWriter, request *http.Request, body any) bool {
 	if err := json.NewDecoder(request.Body).Decode(body); err != nil {
-		answer.WriteHeader(http.StatusBadRequest)
+		writer.WriteHeader(http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-func (worker *Worker) serveStart(answer http.ResponseWriter, request *http.Request, fault Fault) {
+// serveStart starts a run and injects the faults FaultLostResponse and FaultDelayed.
+func (worker *Worker) serveStart(writer http.ResponseWriter, request *http.Request, fault Fault) {
 	var body Start
-	if !decodeBody(answer, request, &body) {
+	if !decodeBody(writer, request, &body) {
 		return
 	}
 	worker.mu.Lock()
@@ -75,45 +81,48 @@
 		panic(http.ErrAbortHandler)
 	}
 	if reason != "" {
-		worker.writeResponse(answer, http.StatusConflict, reason)
+		worker.writeResponse(writer, http.StatusConflict, reason)
 		return
 	}
-	worker.writeResponse(answer, http.StatusOK, "")
+	worker.writeResponse(writer, http.StatusOK, "")
 }
 
-func (worker *Worker) serveStop(answer http.ResponseWriter, request *http.Request) {
+// serveStop ends a run if it has the given attempt.
+func (worker *Worker) serveStop(writer http.ResponseWriter, request *http.Request) {
 	var body Start
-	if !decodeBody(answer, request, &body) {
+	if !decodeBody(writer, request, &body) {
 		return
 	}
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	if body.FencingToken < worker.fencingToken {
-		worker.writeResponse(answer, http.StatusConflict, "fence")
+		worker.writeResponse(writer, http.StatusConflict, "fence")
 		return
 	}
-	if known, found := worker.running[body.Task]; found && known.attempt == body.Attempt {
+	if run, found := worker.running[body.Task]; found && run.attempt == body.Attempt {
 		worker.endRun(body.Task, "stopped")
 	}
-	worker.writeResponse(answer, http.StatusOK, "")
+	worker.writeResponse(writer, http.StatusOK, "")
 }
 
-func (worker *Worker) servePace(answer http.ResponseWriter, request *http.Request) {
+// servePace sets the pace of a run.
+func (worker *Worker) servePace(writer http.ResponseWriter, request *http.Request) {
 	var body struct {
 		Task    string `json:"task"`
 		Percent int32  `json:"percent"`
 	}
-	if !decodeBody(answer, request, &body) {
+	if !decodeBody(writer, request, &body) {
 		return
 	}
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if known, found := worker.running[body.Task]; found {
-		known.pacePercent = body.Percent
+	if run, found := worker.running[body.Task]; found {
+		run.pacePercent = body.Percent
 	}
-	worker.writeResponse(answer, http.StatusOK, "")
+	worker.writeResponse(writer, http.StatusOK, "")
 }
 
+// pollRequest is the body of a poll. LastSeen is the number of the last end that the caller acknowledges.
 type pollRequest struct {
 	DeadlineMs   int64 `json:"deadline_ms"`
 	FencingToken int64 `json:"fencing_token"`
@@ -121,15 +130,17 @@
 	WaitMs       int64 `json:"wait_ms"`
 }
 
-func (worker *Worker) servePoll(answer http.ResponseWriter, request *http.Request) {
+// servePoll renews the lease, drops the acknowledged ends and responds with the runs and the ends. If there
+// are no ends, it waits for one for up to wait_ms milliseconds.
+func (worker *Worker) servePoll(writer http.ResponseWriter, request *http.Request) {
 	var body pollRequest
-	if !decodeBody(answer, request, &body) {
+	if !decodeBody(writer, request, &body) {
 		return
 	}
 	worker.mu.Lock()
 	worker.expireLease()
 	if body.FencingToken < worker.fencingToken {
-		worker.writeResponse(answer, http.StatusConflict, "fence")
+		worker.writeResponse(writer, http.StatusConflict, "fence")
 		worker.mu.Unlock()
 		return
 	}
@@ -137,9 +148,9 @@
 	worker.fencingToken = body.FencingToken
 	worker.renewLease(body.DeadlineMs)
 	worker.forgetEnds(body.LastSeen)
-	changed, waits := worker.changed, len(worker.ends) == 0 && body.WaitMs > 0
+	changed, wait := worker.changed, len(worker.ends) == 0 && body.WaitMs > 0
 	worker.mu.Unlock()
-	if waits {
+	if wait {
 		select {
 		case <-changed:
 		case <-worker.clocks.After(time.Duration(body.WaitMs) * time.Millisecond):
@@ -152,41 +163,44 @@
 	if worker.stopped {
 		panic(http.ErrAbortHandler)
 	}
-	worker.writeList(answer)
+	worker.writeList(writer)
 }
 
-func (worker *Worker) forgetEnds(seen int64) {
-	worker.acknowledgedEnd = max(worker.acknowledgedEnd, seen)
+// forgetEnds drops the ends up to a number. An end after which the lease has expired is not reported as
+// acknowledged.
+func (worker *Worker) forgetEnds(acknowledgedEnd int64) {
+	worker.acknowledgedEnd = max(worker.acknowledgedEnd, acknowledgedEnd)
 	kept := worker.ends[:0]
-	for _, one := range worker.ends {
-		if one.number > seen {
-			kept = append(kept, one)
+	for _, end := range worker.ends {
+		if end.number > acknowledgedEnd {
+			kept = append(kept, end)
 			continue
 		}
-		if one.leaseExpirations == worker.leaseExpirations {
-			worker.onChange(Change{Kind: Acknowledged, Task: one.task, Attempt: one.attempt, Reason: one.reason})
+		if end.leaseExpirations == worker.leaseExpirations {
+			worker.onChange(Change{Kind: Acknowledged, Task: end.task, Attempt: end.attempt, Reason: end.reason})
 		}
 	}
 	worker.ends = kept
 }
 
-// maxListedEnds is how many ends are listed at once.
+// maxListedEnds limits the ends in one response to a poll. Later polls list the others.
 const maxListedEnds = 500
 
-func (worker *Worker) writeList(answer http.ResponseWriter) {
+// writeList responds to a poll with the runs and the ends.
+func (worker *Worker) writeList(writer http.ResponseWriter) {
 	worker.expireLease()
-	running, ended := [][]any{}, [][]any{}
-	for task, known := range worker.running {
-		running = append(running, []any{task, known.attempt, known.checkpoint, known.progressPercent, known.reading})
-	}
-	for _, one := range worker.ends[:min(len(worker.ends), maxListedEnds)] {
-		ended = append(ended, []any{one.number, one.task, one.attempt, one.reason, ""})
-	}
-	answer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(answer).Encode(struct {
-		ClockMs  int64   `json:"clock_ms"`
-		Born     int64   `json:"born,omitempty"`
-		Running  [][]any `json:"running"`
-		Finished [][]any `json:"finished_at"`
-	}{worker.clockMs(), worker.startTime, running, ended})
+	running, finished := [][]any{}, [][]any{}
+	for task, run := range worker.running {
+		running = append(running, []any{task, run.attempt, run.checkpoint, run.progressPercent, run.reading})
+	}
+	for _, end := range worker.ends[:min(len(worker.ends), maxListedEnds)] {
+		finished = append(finished, []any{end.number, end.task, end.attempt, end.reason, ""})
+	}
+	writer.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(writer).Encode(struct {
+		ClockMs   int64   `json:"clock_ms"`
+		StartTime int64   `json:"born,omitempty"`
+		Running   [][]any `json:"running"`
+		Finished  [][]any `json:"finished_at"`
+	}{worker.clockMs(), worker.startTime, running, finished})
 }
--- a/standin/wireworker/wireworker.go
+++ b/standin/wireworker/wireworker.go
@@ -1,8 +1,9 @@
-// Package wireworker is a small stand-in for a worker of the users' platform: it
-// takes starts, stops and looks over HTTP, keeps a lease on its own clock, and
-// lists ends until it is told that they have been seen. It is for tests. Runs
-// end when the test says so, or when the lease does. A worker that says when it started may start
-// again under its id; one that doesn't has a new id in each life.
+// Package wireworker is an in-memory implementation of a platform worker for tests. It serves the worker's
+// HTTP protocol: it starts and stops runs, keeps a lease on its own clock, and lists the ends of runs until a
+// poll acknowledges them. A run ends when the test ends it, when it is stopped, or when the lease expires.
+//
+// A worker from NewWithStartTime reports its start time and can restart under the same ID. A worker from New
+// does not report it and needs a new ID for each incarnation.
 //
 // # Usage
 //
@@ -18,18 +19,19 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Fault is what befalls one order.
+// Fault is a fault that is injected into an order.
 type Fault int
 
-// The faults of an order.
+// Faults that can be injected into an order. FaultLostResponse and FaultDelayed apply to starts only;
+// FaultReset applies to every call.
 const (
 	FaultNone         Fault = iota
-	FaultLostResponse       // carried out, and the connection broken off
-	FaultReset              // not carried out, and the connection broken off
-	FaultDelayed            // the connection broken off; carried out by CarryOut
+	FaultLostResponse       // carry out the order, then close the connection without a response
+	FaultReset              // close the connection without carrying out the order
+	FaultDelayed            // close the connection; ExecuteDelayedStarts carries out the order later
 )
 
-// Start is a start as it arrived.
+// Start is a start order as received. Stop orders use the same body.
 type Start struct {
 	Task         string `json:"task"`
 	Attempt      int32  `json:"attempt"`
@@ -38,39 +40,42 @@
 	Checkpoint   string `json:"checkpoint"`
 }
 
-// fullPacePercent is the pace, in percent, of a run that was not slowed.
+// fullPacePercent is the pace of a run that has not been slowed.
 const fullPacePercent = 100
 
+// run is a task that the worker is running.
 type run struct {
 	attempt         int32
 	checkpoint      string
-	reading         int64
+	reading         int64 // CPU usage in thousandths of a core
 	progressPercent int32
 	pacePercent     int32
 }
 
+// end is the end of a run, listed until it is acknowledged.
 type end struct {
 	number  int64
 	task    string
 	attempt int32
 	reason  string
-	// leaseExpirations is how often the lease had run out when the run ended.
+	// leaseExpirations is how often the lease had expired when the run ended.
 	leaseExpirations int
 }
 
-// Worker is the stand-in. It is an http.Handler.
+// Worker is an in-memory worker. It is an http.Handler and safe for concurrent use.
 type Worker struct {
 	incarnation string
 	clocks      clockwork.Clock
 
-	// startTime is when this life began, in milliseconds since 1970; 0 for a worker that doesn't say it.
+	// startTime is when this incarnation started, in milliseconds since the Unix epoch; 0 if it is not
+	// reported.
 	startTime int64
 
 	mu              sync.Mutex
-	stopped         bool // the life has ended: nothing is answered
+	stopped         bool // this incarnation has ended and responds to nothing
 	startedAt       time.Time
 	running         map[string]*run
-	highestAttempts map[string]int32 // attempts that ended or were stopped
+	highestAttempts map[string]int32 // highest attempt that has ended, by task
 	ends            []end
 	lastEndNumber   int64
 	leaseEndMs      int64
@@ -81,35 +86,37 @@
 	polls           int
 	acknowledgedEnd int64
 	changed         chan struct{}
-	// leaseExpirations counts how often the lease has run out, lapsedAt is the last deadline that did.
+	// leaseExpirations counts how often the lease has expired. expiredLeaseEndMs is the end of the last lease
+	// that did.
 	leaseExpirations  int
 	expiredLeaseEndMs int64
 	onChange          func(change Change)
 }
 
-// New returns a worker that runs nothing.
-func New(incarnation string, clocks clockwork.Clock) *Worker {
+// New returns a worker without runs that does not report its start time.
+func New(incarnation string, clock clockwork.Clock) *Worker {
 	return &Worker{
-		incarnation: incarnation, clocks: clocks, startedAt: clocks.Now(),
+		incarnation: incarnation, clocks: clock, startedAt: clock.Now(),
 		running: map[string]*run{}, highestAttempts: map[string]int32{}, changed: make(chan struct{}), onChange: func(Change) {},
 	}
 }
 
-// NewWithStartTime returns a worker that runs nothing and says when it started.
-func NewWithStartTime(incarnation string, clocks clockwork.Clock) *Worker {
-	made := New(incarnation, clocks)
-	made.startTime = clocks.Now().UnixMilli()
-	return made
+// NewWithStartTime returns a worker without runs that reports its start time.
+func NewWithStartTime(incarnation string, clock clockwork.Clock) *Worker {
+	worker := New(incarnation, clock)
+	worker.startTime = clock.Now().UnixMilli()
+	return worker
 }
 
-// ID returns what the worker calls itself.
+// ID returns the ID of the worker, which calls must state.
 func (worker *Worker) ID() string { return worker.incarnation }
 
-// StartTime returns when this life began, in milliseconds since 1970; 0 for a worker that doesn't say it.
+// StartTime returns when this incarnation started, in milliseconds since the Unix epoch; 0 if it is not
+// reported.
 func (worker *Worker) StartTime() int64 { return worker.startTime }
 
-// Restart ends this life and returns the next one under the same id. Of what this one knew it has
-// nothing; orders that were late may still be carried out there.
+// Restart ends this incarnation and returns the next one, which has the same ID and a later start time. Runs,
+// ends and the lease are lost. Delayed starts are not: the new incarnation can still carry them out.
 func (worker *Worker) Restart() *Worker {
 	next := NewWithStartTime(worker.incarnation, worker.clocks)
 	next.startTime = max(next.startTime, worker.startTime+1)
@@ -120,7 +127,7 @@
 	return next
 }
 
-// Stop ends this life: it answers nothing any more, and nothing is noted of it.
+// Stop ends this incarnation. It closes the connection of every later call and reports no more changes.
 func (worker *Worker) Stop() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -130,19 +137,19 @@
 	worker.changed = make(chan struct{})
 }
 
-// InjectFaults has fault decide what befalls each call from here on.
+// InjectFaults makes fault choose the fault of every later call. Its argument is the path of the call.
 func (worker *Worker) InjectFaults(fault func(path string) Fault) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.fault = fault
 }
 
-// RaiseFencingToken has the worker obey no token of the present moment any more, as after orders
-// of a holder whose clock is ahead by so much.
-func (worker *Worker) RaiseFencingToken(ahead time.Duration) {
+// RaiseFencingToken raises the lowest token that the worker accepts, as if a lease holder whose clock is ahead
+// by offset had given orders. Tokens are in milliseconds.
+func (worker *Worker) RaiseFencingToken(offset time.Duration) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.fencingToken += ahead.Milliseconds()
+	worker.fencingToken += offset.Milliseconds()
 }
 
 // Running reports whether a task runs, and under which attempt.
@@ -150,42 +157,41 @@
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.expireLease()
-	if known, found := worker.running[task]; found {
-		return known.attempt, true
+	if run, found := worker.running[task]; found {
+		return run.attempt, true
 	}
 	return 0, false
 }
 
-// Starts returns the starts that were carried out.
+// Starts returns the starts that were carried out, oldest first.
 func (worker *Worker) Starts() []Start {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	return append([]Start(nil), worker.starts...)
 }
 
-// Polls returns how often the worker was asked what runs, and the number of the
-// last end that it was told to forget.
-func (worker *Worker) Polls() (count int, seen int64) {
+// Polls returns the number of accepted polls and the number of the last end that a poll acknowledged.
+func (worker *Worker) Polls() (count int, acknowledgedEnd int64) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	return worker.polls, worker.acknowledgedEnd
 }
 
-// LeaseEnd returns when everything ends, on the worker's clock.
+// LeaseEnd returns when the lease, and with it every run, ends on the worker's clock.
 func (worker *Worker) LeaseEnd() time.Duration {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	return time.Duration(worker.leaseEndMs) * time.Millisecond
 }
 
-// Clock returns the worker's clock.
+// Clock returns the reading of the worker's clock.
 func (worker *Worker) Clock() time.Duration {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	return time.Duration(worker.clockMs()) * time.Millisecond
 }
 
-// AddRun has a task run that nobody ordered in this test, with a lease.
+// AddRun adds a run of a task without an order and extends the lease to at least the given time from now.
 func (worker *Worker) AddRun(task string, attempt int32, lease time.Duration) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -193,73 +199,76 @@
 	worker.renewLease(worker.clockMs() + lease.Milliseconds())
 }
 
-// SetProgress sets the percent that a run shows.
+// SetProgress sets the progress that a run reports, in percent.
 func (worker *Worker) SetProgress(task string, percent int32) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if known, found := worker.running[task]; found {
-		known.progressPercent = percent
+	if run, found := worker.running[task]; found {
+		run.progressPercent = percent
 	}
 }
 
-// SetPace has a run go at a pace in percent, and use so much of the processors.
+// SetPace sets the pace of a run in percent and the CPU usage that it reports in thousandths of a core.
 func (worker *Worker) SetPace(task string, percent int32, milliCPU int64) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if known, found := worker.running[task]; found {
-		known.pacePercent, known.reading = percent, milliCPU
+	if run, found := worker.running[task]; found {
+		run.pacePercent, run.reading = percent, milliCPU
 	}
 }
 
-// Pace returns the pace of a run in percent, 0 if it does not run.
+// Pace returns the pace of a run in percent, or 0 if the task is not running.
 func (worker *Worker) Pace(task string) int32 {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if known, found := worker.running[task]; found {
-		return known.pacePercent
+	if run, found := worker.running[task]; found {
+		return run.pacePercent
 	}
 	return 0
 }
 
-// SetLastEndNumber has ends counted from a number on, as if earlier ones were forgotten.
+// SetLastEndNumber sets the number of the last end. Later ends are numbered from the next number on, as if the
+// earlier ones had been acknowledged.
 func (worker *Worker) SetLastEndNumber(last int64) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.lastEndNumber = last
 }
 
-// End ends a run.
-func (worker *Worker) End(task, how string) {
+// End ends the run of a task, if there is one, for the given reason.
+func (worker *Worker) End(task, reason string) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.endRun(task, how)
+	worker.endRun(task, reason)
 }
 
-// EndAttempt ends a run if it is still the one that runs of its task.
-func (worker *Worker) EndAttempt(task string, attempt int32, how string) {
+// EndAttempt ends the run of a task if it has the given attempt.
+func (worker *Worker) EndAttempt(task string, attempt int32, reason string) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.expireLease()
-	if known, found := worker.running[task]; found && known.attempt == attempt {
-		worker.endRun(task, how)
+	if run, found := worker.running[task]; found && run.attempt == attempt {
+		worker.endRun(task, reason)
 	}
 }
 
-func (worker *Worker) endRun(task, how string) {
-	known, found := worker.running[task]
+// endRun ends the run of a task, lists the end and wakes the polls that wait. The lock must be held.
+func (worker *Worker) endRun(task, reason string) {
+	run, found := worker.running[task]
 	if !found {
 		return
 	}
 	delete(worker.running, task)
-	worker.highestAttempts[task] = max(worker.highestAttempts[task], known.attempt)
+	worker.highestAttempts[task] = max(worker.highestAttempts[task], run.attempt)
 	worker.lastEndNumber++
-	worker.ends = append(worker.ends, end{worker.lastEndNumber, task, known.attempt, how, worker.leaseExpirations})
-	worker.onChange(Change{Kind: Ended, Task: task, Attempt: known.attempt, Reason: how})
+	worker.ends = append(worker.ends, end{worker.lastEndNumber, task, run.attempt, reason, worker.leaseExpirations})
+	worker.onChange(Change{Kind: Ended, Task: task, Attempt: run.attempt, Reason: reason})
 	close(worker.changed)
 	worker.changed = make(chan struct{})
 }
 
-// ExecuteDelayedStarts carries out the orders that were late.
+// ExecuteDelayedStarts carries out the starts that FaultDelayed held back. Those that are no longer valid are
+// dropped.
 func (worker *Worker) ExecuteDelayedStarts() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -269,13 +278,15 @@
 	worker.delayedStarts = nil
 }
 
-// initialClockMs is what the worker's clock shows at its start, in milliseconds.
+// initialClockMs is the reading of a new worker's clock, in milliseconds.
 const initialClockMs = 1000
 
+// clockMs returns the reading of the worker's clock in milliseconds.
 func (worker *Worker) clockMs() int64 {
 	return worker.clocks.Now().Sub(worker.startedAt).Milliseconds() + initialClockMs
 }
 
+// expireLease ends all runs if the lease has expired. The lock must be held.
 func (worker *Worker) expireLease() {
 	if worker.clockMs() < worker.leaseEndMs {
 		return
@@ -289,10 +300,11 @@
 	}
 }
 
-// startRun carries out a start and returns why it does not.
+// startRun carries out a start. It returns the reason if the start is rejected, and "" otherwise. A repeated
+// start of a run that is still running is accepted. The lock must be held.
 func (worker *Worker) startRun(order Start) string {
 	worker.expireLease()
-	known, found := worker.running[order.Task]
+	current, found := worker.running[order.Task]
 	switch {
 	case worker.stopped:
 		return "over"
@@ -300,7 +312,7 @@
 		return "fence"
 	case order.DeadlineMs <= worker.clockMs():
 		return "late"
-	case found && known.attempt == order.Attempt:
+	case found && current.attempt == order.Attempt:
 		return ""
 	case found || order.Attempt <= worker.highestAttempts[order.Task]:
 		return "old"
