--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,13 +1,12 @@
-// Package relay passes TCP connections on and makes them misbehave on the way, for tests of
-// what a process does when its network does.
+// Package relay implements a TCP proxy that injects network faults, for tests of how a process handles them.
 //
 // # Usage
 //
-//	between, err := relay.New(ctx, server.Address())
-//	client := dial(between.Address())
-//	between.Silence(true, true) // open connections carry nothing, new ones work
-//	between.Hold(isOwner, true, true) // connections carry nothing until they are let go on
-//	between.LetGo()
+//	proxy, err := relay.New(ctx, server.Address())
+//	client := dial(proxy.Address())
+//	proxy.DiscardTraffic(true, true) // open connections lose all data, new ones work
+//	proxy.Pause(isOwner, true, true) // matching connections transfer no data until Resume
+//	proxy.Resume()
 package relay
 
 import (
@@ -20,11 +19,11 @@
 	"github.com/pkg/errors"
 )
 
-// Relay passes connections on to a server.
+// Relay is a TCP proxy in front of a server.
 //
-// Those that are open can be silenced: they stay open and carry nothing, while new ones work.
-// Or what they carry is held up, as by a network that is cut and sends again what was lost: it
-// arrives once they are let go on, new connections included.
+// DiscardTraffic makes the open connections lose all data while they stay open; new connections work. Pause
+// delays the data of open and new connections until Resume, like a network partition that ends and after which
+// the lost packets are sent again. Reset resets the open connections.
 type Relay struct {
 	listener net.Listener
 	server   string
@@ -32,76 +31,78 @@
 
 	mu          sync.Mutex
 	connections map[*connection]bool
-	pause       *pause // nil while nothing is held up
+	pause       *pause // nil unless paused
 }
 
-// pause is what holds connections up until it is let go.
+// pause selects the connections and directions that are paused. resumed is closed when the pause ends.
 type pause struct {
 	matches            func(greeting []byte) bool
 	toServer, toClient bool
 	resumed            chan struct{}
 }
 
-// connection is one connection.
+// connection is a client's connection and the connection to the server that it is forwarded to.
 type connection struct {
 	client, server net.Conn
-	// discardToServer and silentToClient swallow what comes in a direction.
+	// discardToServer and discardToClient discard the data of a direction.
 	discardToServer, discardToClient atomic.Bool
-	// greeting is what the client sent first, up to maxGreetingBytes; it tells clients apart.
+	// greeting is the data that the client sent first, up to about maxGreetingBytes. Pause tells clients apart
+	// by it.
 	greeting atomic.Pointer[[]byte]
 }
 
-// New returns a relay to a server, on an address of loopback of its own. Connections are passed
-// on until ctx ends.
+// New returns a relay to a server, listening on a free port of the loopback address. When ctx ends, open
+// connections stay and new ones are closed without being forwarded. Close ends the listener.
 func New(ctx context.Context, server string) (*Relay, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for connections to relay")
 	}
-	between := &Relay{listener: listener, server: server, connections: map[*connection]bool{}}
-	go between.acceptConnections(ctx)
-	return between, nil
+	relay := &Relay{listener: listener, server: server, connections: map[*connection]bool{}}
+	go relay.acceptConnections(ctx)
+	return relay, nil
 }
 
-// Address returns where the relay listens.
-func (between *Relay) Address() string { return between.listener.Addr().String() }
+// Address returns the address on which the relay listens.
+func (relay *Relay) Address() string { return relay.listener.Addr().String() }
 
-// Accepted counts the connections so far.
-func (between *Relay) Accepted() int { return int(between.accepted.Load()) }
+// Accepted returns the number of connections that were forwarded to the server so far.
+func (relay *Relay) Accepted() int { return int(relay.accepted.Load()) }
 
-// Close ends the listener; connections that are open stay.
-func (between *Relay) Close() error {
-	return errors.Wrap(between.listener.Close(), "close the relay")
+// Close closes the listener. Open connections stay open.
+func (relay *Relay) Close() error {
+	return errors.Wrap(relay.listener.Close(), "close the listener of the relay")
 }
 
-func (between *Relay) acceptConnections(ctx context.Context) {
+// acceptConnections forwards connections until the listener is closed.
+func (relay *Relay) acceptConnections(ctx context.Context) {
 	for {
-		client, err := between.listener.Accept()
+		client, err := relay.listener.Accept()
 		if err != nil {
 			return
 		}
-		server, err := (&net.Dialer{}).DialContext(ctx, "tcp", between.server)
+		server, err := (&net.Dialer{}).DialContext(ctx, "tcp", relay.server)
 		if err != nil {
-			// The server is away: its clients are told so, and find it again later.
+			// The server is not reachable. The client sees its connection close and can connect again later.
 			_ = client.Close()
 			continue
 		}
-		between.accepted.Add(1)
-		made := &connection{client: client, server: server}
-		between.mu.Lock()
-		between.connections[made] = true
-		between.mu.Unlock()
-		go between.forward(made, made.client, made.server, true)
-		go between.forward(made, made.server, made.client, false)
+		relay.accepted.Add(1)
+		conn := &connection{client: client, server: server}
+		relay.mu.Lock()
+		relay.connections[conn] = true
+		relay.mu.Unlock()
+		go relay.forward(conn, conn.client, conn.server, true)
+		go relay.forward(conn, conn.server, conn.client, false)
 	}
 }
 
-// forward copies one direction of a connection until its sender ends.
-func (between *Relay) forward(made *connection, from, to net.Conn, toServer bool) {
-	defer between.closeConnection(made)
-	silent := &made.discardToClient
+// forward copies one direction of a connection until its sender closes it or a write fails.
+func (relay *Relay) forward(conn *connection, from, to net.Conn, toServer bool) {
+	defer relay.closeConnection(conn)
+	discard := &conn.discardToClient
 	if toServer {
-		silent = &made.discardToServer
+		discard = &conn.discardToServer
 	}
 	buffer := make([]byte, 4096)
 	for {
@@ -110,10 +111,10 @@
 			return
 		}
 		if toServer {
-			made.recordGreeting(buffer[:count])
+			conn.recordGreeting(buffer[:count])
 		}
-		between.waitWhilePaused(made, toServer)
-		if silent.Load() {
+		relay.waitWhilePaused(conn, toServer)
+		if discard.Load() {
 			continue
 		}
 		if _, err := to.Write(buffer[:count]); err != nil {
@@ -122,91 +123,94 @@
 	}
 }
 
-// maxGreetingBytes bounds the bytes that tell clients apart.
+// maxGreetingBytes is the length from which on a greeting is not extended.
 const maxGreetingBytes = 512
 
-// recordGreeting keeps what a client sends first. Only one goroutine calls it.
-func (made *connection) recordGreeting(sent []byte) {
+// recordGreeting extends the greeting by data from the client. Only the goroutine that forwards to the server
+// calls it.
+func (conn *connection) recordGreeting(data []byte) {
 	var greeting []byte
-	if before := made.greeting.Load(); before != nil {
-		greeting = *before
+	if previous := conn.greeting.Load(); previous != nil {
+		greeting = *previous
 	}
 	if len(greeting) >= maxGreetingBytes {
 		return
 	}
-	greeting = append(bytes.Clone(greeting), sent...)
-	made.greeting.Store(&greeting)
+	greeting = append(bytes.Clone(greeting), data...)
+	conn.greeting.Store(&greeting)
 }
 
-// waitWhilePaused waits while the connection is held up in a direction.
-func (between *Relay) waitWhilePaused(made *connection, toServer bool) {
+// waitWhilePaused waits while a direction of a connection is paused.
+func (relay *Relay) waitWhilePaused(conn *connection, toServer bool) {
 	for {
-		between.mu.Lock()
-		held := between.pause
-		between.mu.Unlock()
-		if held == nil || !held.appliesTo(made, toServer) {
+		relay.mu.Lock()
+		pause := relay.pause
+		relay.mu.Unlock()
+		if pause == nil || !pause.appliesTo(conn, toServer) {
 			return
 		}
-		<-held.resumed
+		<-pause.resumed
 	}
 }
 
-func (held *pause) appliesTo(made *connection, toServer bool) bool {
-	if toServer && !held.toServer || !toServer && !held.toClient {
+// appliesTo reports whether a direction of a connection is paused. A connection on which the client has not
+// sent anything is not.
+func (pause *pause) appliesTo(conn *connection, toServer bool) bool {
+	if toServer && !pause.toServer || !toServer && !pause.toClient {
 		return false
 	}
-	greeting := made.greeting.Load()
-	return greeting != nil && held.matches(*greeting)
+	greeting := conn.greeting.Load()
+	return greeting != nil && pause.matches(*greeting)
 }
 
 // closeConnection closes both sides of a connection.
-func (between *Relay) closeConnection(made *connection) {
-	// Either side may have closed it already.
-	_ = made.client.Close()
-	_ = made.server.Close()
-	between.mu.Lock()
-	defer between.mu.Unlock()
-	delete(between.connections, made)
+func (relay *Relay) closeConnection(conn *connection) {
+	// Either side may be closed already, which makes Close return an error.
+	_ = conn.client.Close()
+	_ = conn.server.Close()
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
+	delete(relay.connections, conn)
 }
 
-// DiscardTraffic makes the open connections carry nothing any more, in one direction or both. It stays so:
-// a connection that has lost bytes never carries others.
-func (between *Relay) DiscardTraffic(toServer, toClient bool) {
-	between.mu.Lock()
-	defer between.mu.Unlock()
-	for made := range between.connections {
-		made.discardToServer.Store(made.discardToServer.Load() || toServer)
-		made.discardToClient.Store(made.discardToClient.Load() || toClient)
+// DiscardTraffic makes the open connections discard all data, in one direction or both. It cannot be undone: a
+// connection that has lost bytes must not transfer later ones.
+func (relay *Relay) DiscardTraffic(toServer, toClient bool) {
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
+	for conn := range relay.connections {
+		conn.discardToServer.Store(conn.discardToServer.Load() || toServer)
+		conn.discardToClient.Store(conn.discardToClient.Load() || toClient)
 	}
 }
 
-// Pause holds up what connections carry, in one direction or both, until LetGo: those whose
-// client's first bytes whose accepts, new ones too.
-func (between *Relay) Pause(whose func(greeting []byte) bool, toServer, toClient bool) {
-	between.Resume()
-	between.mu.Lock()
-	defer between.mu.Unlock()
-	between.pause = &pause{matches: whose, toServer: toServer, toClient: toClient, resumed: make(chan struct{})}
+// Pause stops the transfer of data, in one direction or both, until Resume. It applies to open and new
+// connections whose greeting matches accepts. An earlier pause ends.
+func (relay *Relay) Pause(matches func(greeting []byte) bool, toServer, toClient bool) {
+	relay.Resume()
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
+	relay.pause = &pause{matches: matches, toServer: toServer, toClient: toClient, resumed: make(chan struct{})}
 }
 
-// Resume has everything that was held up go on.
-func (between *Relay) Resume() {
-	between.mu.Lock()
-	defer between.mu.Unlock()
-	if between.pause != nil {
-		close(between.pause.resumed)
-		between.pause = nil
+// Resume ends a pause. The delayed data is delivered.
+func (relay *Relay) Resume() {
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
+	if relay.pause != nil {
+		close(relay.pause.resumed)
+		relay.pause = nil
 	}
 }
 
-// Reset breaks the open connections off.
-func (between *Relay) Reset() {
-	between.mu.Lock()
-	defer between.mu.Unlock()
-	for made := range between.connections {
-		for _, side := range []net.Conn{made.client, made.server} {
+// Reset resets the open connections on both sides.
+func (relay *Relay) Reset() {
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
+	for conn := range relay.connections {
+		for _, side := range []net.Conn{conn.client, conn.server} {
 			if tcp, isTCP := side.(*net.TCPConn); isTCP {
-				// Without lingering a close is a reset.
+				// With a linger time of 0, Close sends a TCP reset.
 				_ = tcp.SetLinger(0)
 			}
 			_ = side.Close()
