--- a/standin/bootfile/bootfile.go
+++ b/standin/bootfile/bootfile.go
@@ -1,9 +1,9 @@
-// Package bootfile writes the settings file that the users' platform lays down for a process, for
-// tests that run the programs.
+// Package bootfile writes the settings file that the platform gives to a process at its start, for tests that
+// run the programs.
 //
 // # Usage
 //
-//	file := bootfile.File{Name: "side-1", IP: "127.70.2.1", Worker: worker.Address(), Store: store.Address()}
+//	file := bootfile.File{NodeName: "side-1", IP: "127.70.2.1", WorkerAddress: worker.Address(), StoreAddress: store.Address()}
 //	err := file.Write(path)
 package bootfile
 
@@ -16,26 +16,27 @@
 	"github.com/pkg/errors"
 )
 
-// Ports at which the programs are reached, on the address of their own.
+// Ports on which the programs listen. Each program has its own IP address.
 const (
 	clientPort    = "8161"
 	readinessPort = "8167"
 	heartbeatPort = "8166"
-	agentPort     = "7721" // the second of internal_ports
+	agentPort     = "7721" // agents use the second port of internal_ports
 )
 
-// File is what differs from process to process.
+// File holds the settings that differ between processes.
 type File struct {
-	// NodeName is the node's, IP the address that it has for itself.
+	// NodeName is the name of the node, and IP is the address on which the process listens.
 	NodeName, IP string
-	// WorkerAddress is the address of the worker beside an agent, empty for a gateway.
+	// WorkerAddress is the address of the worker on the node of an agent. It is empty for a gateway.
 	WorkerAddress string
 	// StoreAddress is the address of the platform's store.
 	StoreAddress string
-	// MaxLease is the longest lease that workers take.
+	// MaxLease is the longest lease that workers accept.
 	MaxLease time.Duration
 }
 
+// settingsFormat is the settings file as a format string.
 const settingsFormat = `
 node_name = "%s"
 ip = "%s"
@@ -57,18 +58,19 @@
 ttl_min_ms = 1000
 `
 
-// Write writes the file.
+// Write writes the settings file to path, readable by its owner only.
 func (file File) Write(path string) error {
-	filled := fmt.Sprintf(settingsFormat, file.NodeName, file.IP, file.WorkerAddress, ClientAddress(file.IP), net.JoinHostPort(file.IP, readinessPort), HeartbeatAddress(file.IP),
+	content := fmt.Sprintf(settingsFormat, file.NodeName, file.IP, file.WorkerAddress, ClientAddress(file.IP),
+		net.JoinHostPort(file.IP, readinessPort), HeartbeatAddress(file.IP),
 		file.MaxLease.Milliseconds(), file.StoreAddress)
-	return errors.Wrap(os.WriteFile(path, []byte(filled), 0o600), "write the settings file")
+	return errors.Wrap(os.WriteFile(path, []byte(content), 0o600), "write the settings file")
 }
 
-// ClientAddress is where clients reach a gateway.
+// ClientAddress returns the address on which the gateway on an IP address serves clients.
 func ClientAddress(ip string) string { return net.JoinHostPort(ip, clientPort) }
 
-// HeartbeatAddress is where workers reach an agent.
+// HeartbeatAddress returns the address to which workers send heartbeats for the agent on an IP address.
 func HeartbeatAddress(ip string) string { return net.JoinHostPort(ip, heartbeatPort) }
 
-// AgentAddress is where owners reach an agent.
+// AgentAddress returns the address on which the agent on an IP address serves owners.
 func AgentAddress(ip string) string { return net.JoinHostPort(ip, agentPort) }
