--- a/standin/backend.go
+++ b/standin/backend.go
@@ -9,25 +9,27 @@
 	"time"
 )
 
-// Headers that the stand-in backend server understands.
+// Request headers that control the stand-in backend server.
 const (
-	// HeaderWork is how long a request takes, as a Go duration.
+	// HeaderWork is the time that the request takes, as a Go duration. It overrides the work time of the
+	// backend.
 	HeaderWork = "X-Standin-Work"
-	// HeaderBytes is how large the answer is.
+	// HeaderBytes is the size of the response body in bytes.
 	HeaderBytes = "X-Standin-Bytes"
-	// HeaderTruncate breaks the answer off after half of it.
+	// HeaderTruncate aborts the response after half of HeaderBytes. The value must not be empty.
 	HeaderTruncate = "X-Standin-Cut"
-	// HeaderHold keeps the request in flight until its name is let go.
+	// HeaderHold holds the request until Release is called with the name in the header.
 	HeaderHold = "X-Standin-Hold"
-	// HeaderCount counts the run under a name.
+	// HeaderCount is the name under which the request is counted as a run.
 	HeaderCount = "X-Standin-Count"
-	// HeaderRequestID is echoed, so that a caller can tell whose answer it got.
+	// HeaderRequestID is copied to the response, so that a caller can match responses to requests.
 	HeaderRequestID = "X-Request-Id"
 )
 
+// maxResponseBytes is the largest HeaderBytes that is obeyed, 256 MiB.
 const maxResponseBytes = 1 << 28
 
-// Backend is a stand-in for a backend server: it corrects snippets.
+// Backend is a stand-in for a backend server. It responds with the request body, marked as corrected.
 type Backend struct {
 	name     string
 	workTime time.Duration
@@ -37,21 +39,21 @@
 	peak     atomic.Int64
 }
 
-// NewBackend returns a backend server whose requests take workTime.
+// NewBackend returns a backend server whose requests take workTime unless HeaderWork says otherwise.
 func NewBackend(name string, workTime time.Duration) *Backend {
 	return &Backend{name: name, workTime: workTime, holds: newHoldSet()}
 }
 
-// HeldCount returns how many requests have come to be held under the name.
+// HeldCount returns how many requests have been held under a name so far, including released ones.
 func (backend *Backend) HeldCount(name string) int { return backend.holds.waitingCount(name) }
 
-// Release lets the requests go that are held under the name.
+// Release releases the requests that are held under a name. Later requests under that name are not held.
 func (backend *Backend) Release(name string) { backend.holds.release(name) }
 
-// Served returns how many requests were begun.
+// Served returns how many requests have started.
 func (backend *Backend) Served() int64 { return backend.served.Load() }
 
-// Peak returns the most requests that were in flight at once.
+// Peak returns the highest number of concurrent requests.
 func (backend *Backend) Peak() int64 { return backend.peak.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -81,6 +83,7 @@
 	}
 }
 
+// recordRequest counts a request and updates the peak.
 func (backend *Backend) recordRequest(inFlight int64) {
 	backend.served.Add(1)
 	for {
@@ -91,10 +94,11 @@
 	}
 }
 
+// simulateWork waits for the work time of the request, or until the request is cancelled.
 func (backend *Backend) simulateWork(request *http.Request) {
 	workTime := backend.workTime
-	if asked, err := time.ParseDuration(request.Header.Get(HeaderWork)); err == nil {
-		workTime = asked
+	if requested, err := time.ParseDuration(request.Header.Get(HeaderWork)); err == nil {
+		workTime = requested
 	}
 	if workTime <= 0 {
 		return
@@ -105,23 +109,24 @@
 	}
 }
 
-func (backend *Backend) writeBytes(writer http.ResponseWriter, size int, cut bool) {
+// writeBytes writes a body of the given size. With truncate, it aborts the response after half of it.
+func (backend *Backend) writeBytes(writer http.ResponseWriter, size int, truncate bool) {
 	writer.Header().Set("Content-Length", strconv.Itoa(size))
-	part := make([]byte, 32<<10)
-	for index := range part {
-		part[index] = byte('a' + index%26)
+	chunk := make([]byte, 32<<10)
+	for index := range chunk {
+		chunk[index] = byte('a' + index%26)
 	}
 	for sent := 0; sent < size; {
-		if cut && sent >= size/2 {
+		if truncate && sent >= size/2 {
 			panic(http.ErrAbortHandler)
 		}
-		next := min(len(part), size-sent)
-		if cut {
-			next = min(next, max(1, size/2-sent))
+		count := min(len(chunk), size-sent)
+		if truncate {
+			count = min(count, max(1, size/2-sent))
 		}
-		if _, err := writer.Write(part[:next]); err != nil {
+		if _, err := writer.Write(chunk[:count]); err != nil {
 			return
 		}
-		sent += next
+		sent += count
 	}
 }
--- a/standin/direct.go
+++ b/standin/direct.go
@@ -11,15 +11,17 @@
 	"ambertiller.example/ambertiller/worker"
 )
 
-var errOutage = errors.New("the log is out of service")
+// errOutage is returned during an outage of the log. The call had no effect.
+var errOutage = errors.New("the log is unavailable")
 
-var errLostResponse = errors.New("the answer was lost")
+// errLostResponse is returned for an append that took effect.
+var errLostResponse = errors.New("the response to the append was lost")
 
 var _ logservice.Service = (*Log)(nil)
 
-// Append implements logservice.Service without a network between.
-func (kept *Log) Append(_ context.Context, stream string, data []byte) (int64, error) {
-	result := kept.append(stream, append([]byte(nil), data...), time.Now())
+// Append implements logservice.Service without a network in between.
+func (log *Log) Append(_ context.Context, stream string, data []byte) (int64, error) {
+	result := log.append(stream, append([]byte(nil), data...), time.Now())
 	switch {
 	case result.down:
 		return 0, errOutage
@@ -31,10 +33,10 @@
 	return result.offset, nil
 }
 
-// Read implements logservice.Service without a network between.
-func (kept *Log) Read(ctx context.Context, stream string, options logservice.ReadOptions) (logservice.Page, error) {
-	page, up := kept.waitRead(ctx, stream, options)
-	if !up {
+// Read implements logservice.Service without a network in between.
+func (log *Log) Read(ctx context.Context, stream string, options logservice.ReadOptions) (logservice.Page, error) {
+	page, available := log.waitRead(ctx, stream, options)
+	if !available {
 		return logservice.Page{}, errOutage
 	}
 	if options.From < page.Earliest {
@@ -43,24 +45,24 @@
 	return page, nil
 }
 
-// ExpireReads makes every waiting read return at once, as if its time had passed.
-func (kept *Log) ExpireReads() {
-	kept.mu.Lock()
-	defer kept.mu.Unlock()
-	kept.readExpirations++
-	for _, named := range kept.streams {
-		close(named.appended)
-		named.appended = make(chan struct{})
+// ExpireReads makes every waiting read return immediately, as if its wait time had elapsed.
+func (log *Log) ExpireReads() {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.readExpirations++
+	for _, stream := range log.streams {
+		close(stream.appended)
+		stream.appended = make(chan struct{})
 	}
 }
 
-// DirectWorker calls a stand-in worker without a network between. Its Follow
-// is not supported; streams need the real interface.
+// DirectWorker calls a stand-in worker without a network in between. It does not support Follow; streams need
+// the worker's HTTP interface.
 type DirectWorker struct {
 	target *Worker
 }
 
-// Direct returns the worker's interface without a network between.
+// Direct returns a client that calls the worker without a network in between.
 func (fake *Worker) Direct() *DirectWorker { return &DirectWorker{target: fake} }
 
 var _ worker.Worker = (*DirectWorker)(nil)
@@ -99,7 +101,7 @@
 
 // Throttle implements worker.Worker.
 func (direct *DirectWorker) Throttle(_ context.Context, task string, attempt uint64, share float64) error {
-	return direct.updateAttempt(task, attempt, func(each *taskState) { each.throttle = share })
+	return direct.updateAttempt(task, attempt, func(state *taskState) { state.throttle = share })
 }
 
 // Renew implements worker.Worker.
@@ -113,12 +115,14 @@
 	return direct.updateAttempt(task, attempt, direct.target.removeEnded)
 }
 
-// Follow implements worker.Worker.
+// Follow implements worker.Worker. It always returns an error.
 func (direct *DirectWorker) Follow(context.Context, string, uint64) (io.ReadCloser, error) {
-	return nil, errors.New("streams need the worker's HTTP interface")
+	return nil, errors.New("a DirectWorker does not support streams; use the worker's HTTP interface")
 }
 
-func (direct *DirectWorker) updateAttempt(task string, attempt uint64, change func(each *taskState)) error {
+// updateAttempt applies change to the state of an attempt. It returns worker.ErrStale unless the attempt is
+// the task's current one.
+func (direct *DirectWorker) updateAttempt(task string, attempt uint64, change func(state *taskState)) error {
 	if !direct.target.updateAttempt(task, attempt, change) {
 		return worker.ErrStale
 	}
--- a/standin/http.go
+++ b/standin/http.go
@@ -18,12 +18,11 @@
 
 const (
 	maxBodyBytes   = 16 << 20
-	maxReadWait    = 30 * time.Second
-	maxReadEntries = 4096
+	maxReadWait    = 30 * time.Second // longer waits are shortened to it
+	maxReadEntries = 4096             // in one page
 )
 
-// platformHandler serves the log and the instance list, and the controls that
-// bring failures about.
+// platformHandler serves the log, the instance list and the endpoints that inject failures.
 func (platform *Platform) platformHandler() http.Handler {
 	mux := http.NewServeMux()
 	platform.log.routes(mux)
@@ -43,25 +42,27 @@
 	return mux
 }
 
-// LogHandler serves a log alone.
-func LogHandler(kept *Log) http.Handler {
+// LogHandler serves a log.
+func LogHandler(log *Log) http.Handler {
 	mux := http.NewServeMux()
-	kept.routes(mux)
+	log.routes(mux)
 	return mux
 }
 
-func (kept *Log) routes(mux *http.ServeMux) {
-	mux.HandleFunc("POST /streams/{stream}/records", kept.serveAppend)
-	mux.HandleFunc("GET /streams/{stream}/records", kept.serveRead)
+// routes adds the handlers of the log to mux.
+func (log *Log) routes(mux *http.ServeMux) {
+	mux.HandleFunc("POST /streams/{stream}/records", log.serveAppend)
+	mux.HandleFunc("GET /streams/{stream}/records", log.serveRead)
 }
 
-func (kept *Log) serveAppend(writer http.ResponseWriter, request *http.Request) {
+// serveAppend serves an append. If the response is to be lost, it aborts the connection after the append.
+func (log *Log) serveAppend(writer http.ResponseWriter, request *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, logservice.MaxEntryBytes))
 	if err != nil {
 		http.Error(writer, "the entry is too large or cut", http.StatusRequestEntityTooLarge)
 		return
 	}
-	result := kept.append(request.PathValue("stream"), data, time.Now())
+	result := log.append(request.PathValue("stream"), data, time.Now())
 	switch {
 	case result.down:
 		http.Error(writer, "outage", http.StatusServiceUnavailable)
@@ -75,15 +76,16 @@
 	}
 }
 
-func (kept *Log) serveRead(writer http.ResponseWriter, request *http.Request) {
+// serveRead serves a read, which may wait for entries.
+func (log *Log) serveRead(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
 	if err != nil || from < 0 {
 		http.Error(writer, "from must be an offset", http.StatusBadRequest)
 		return
 	}
-	most, err := strconv.Atoi(query.Get("max"))
-	if err != nil || most < 1 {
+	limit, err := strconv.Atoi(query.Get("max"))
+	if err != nil || limit < 1 {
 		http.Error(writer, "max must be a count", http.StatusBadRequest)
 		return
 	}
@@ -91,13 +93,13 @@
 	if err != nil {
 		wait = 0
 	}
-	page, up := kept.waitRead(request.Context(), request.PathValue("stream"), logservice.ReadOptions{
+	page, available := log.waitRead(request.Context(), request.PathValue("stream"), logservice.ReadOptions{
 		From: from,
-		Max:  min(most, maxReadEntries),
+		Max:  min(limit, maxReadEntries),
 		Wait: min(wait, maxReadWait),
 	})
 	switch {
-	case !up:
+	case !available:
 		http.Error(writer, "outage", http.StatusServiceUnavailable)
 	case from < page.Earliest:
 		writeJSON(writer, http.StatusGone, logservice.Page{Earliest: page.Earliest, Next: page.Next})
@@ -106,30 +108,32 @@
 	}
 }
 
-// serveInstances serves the list, of one role if the query names one, and says
-// only that it has not changed to one who has it.
+// serveInstances serves the instance list. The query parameter "role" limits it to one role. A client that
+// already has the list gets 304 Not Modified.
 func (platform *Platform) serveInstances(writer http.ResponseWriter, request *http.Request) {
-	listed := platform.Instances()
+	list := platform.Instances()
 	if role := instances.Role(request.URL.Query().Get("role")); role != instances.AllRoles {
-		listed = slices.DeleteFunc(listed, func(each instances.Instance) bool { return each.Role != role })
+		list = slices.DeleteFunc(list, func(instance instances.Instance) bool { return instance.Role != role })
 	}
-	tag := newEntityTag(listed)
-	writer.Header().Set("ETag", tag)
-	if request.Header.Get("If-None-Match") == tag {
+	entityTag := newEntityTag(list)
+	writer.Header().Set("ETag", entityTag)
+	if request.Header.Get("If-None-Match") == entityTag {
 		writer.WriteHeader(http.StatusNotModified)
 		return
 	}
-	writeJSON(writer, http.StatusOK, listed)
+	writeJSON(writer, http.StatusOK, list)
 }
 
-func newEntityTag(listed []instances.Instance) string {
+// newEntityTag returns an entity tag for a list of instances.
+func newEntityTag(list []instances.Instance) string {
 	hash := xxhash.New()
-	for _, each := range listed {
-		_, _ = fmt.Fprintf(hash, "%+v\n", each)
+	for _, instance := range list {
+		_, _ = fmt.Fprintf(hash, "%+v\n", instance)
 	}
 	return fmt.Sprintf("%q", strconv.FormatUint(hash.Sum64(), 16))
 }
 
+// serveInstanceState changes the state of an instance in the list.
 func (platform *Platform) serveInstanceState(writer http.ResponseWriter, request *http.Request) {
 	if !platform.setInstanceState(request.PathValue("name"), request.PathValue("state")) {
 		http.Error(writer, "no instance of that name, or not one of live, leaving, gone", http.StatusNotFound)
@@ -138,6 +142,7 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
+// serveLogState starts or ends an outage of the log.
 func (platform *Platform) serveLogState(writer http.ResponseWriter, request *http.Request) {
 	switch request.PathValue("state") {
 	case "up":
@@ -151,7 +156,7 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// Handler serves the platform's interface to one worker.
+// Handler serves the platform's interface to this worker.
 func (fake *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /capacity", func(writer http.ResponseWriter, _ *http.Request) {
@@ -164,21 +169,23 @@
 		writeJSON(writer, http.StatusOK, fake.listTasks())
 	})
 	mux.HandleFunc("PUT /tasks/{task}", fake.serveStart)
-	mux.HandleFunc("POST /tasks/{task}/stop", fake.newAttemptHandler(func(each *taskState, _ attemptRequest) { requestStop(each) }))
-	mux.HandleFunc("POST /tasks/{task}/throttle", fake.newAttemptHandler(func(each *taskState, asked attemptRequest) {
-		each.throttle = asked.Share
+	mux.HandleFunc("POST /tasks/{task}/stop", fake.newAttemptHandler(func(state *taskState, _ attemptRequest) { requestStop(state) }))
+	mux.HandleFunc("POST /tasks/{task}/throttle", fake.newAttemptHandler(func(state *taskState, requested attemptRequest) {
+		state.throttle = requested.Share
 	}))
-	mux.HandleFunc("DELETE /tasks/{task}", fake.newAttemptHandler(func(each *taskState, _ attemptRequest) { fake.removeEnded(each) }))
+	mux.HandleFunc("DELETE /tasks/{task}", fake.newAttemptHandler(func(state *taskState, _ attemptRequest) { fake.removeEnded(state) }))
 	mux.HandleFunc("POST /leases", fake.serveRenew)
 	mux.HandleFunc("GET /tasks/{task}/stream", fake.serveStream)
 	return mux
 }
 
+// attemptRequest is the body of a request that concerns one attempt of a task. Share is used by throttle only.
 type attemptRequest struct {
 	Attempt uint64  `json:"attempt"`
 	Share   float64 `json:"share"`
 }
 
+// serveStart serves the start of an attempt.
 func (fake *Worker) serveStart(writer http.ResponseWriter, request *http.Request) {
 	var start worker.StartRequest
 	if !decodeBody(writer, request, &start) {
@@ -195,13 +202,15 @@
 	}
 }
 
-func (fake *Worker) newAttemptHandler(change func(each *taskState, asked attemptRequest)) http.HandlerFunc {
+// newAttemptHandler returns a handler that applies change to the state of the requested attempt, and responds
+// with 409 Conflict if that is not the task's current attempt.
+func (fake *Worker) newAttemptHandler(change func(state *taskState, requested attemptRequest)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		var asked attemptRequest
-		if !decodeBody(writer, request, &asked) {
+		var requested attemptRequest
+		if !decodeBody(writer, request, &requested) {
 			return
 		}
-		current := fake.updateAttempt(request.PathValue("task"), asked.Attempt, func(each *taskState) { change(each, asked) })
+		current := fake.updateAttempt(request.PathValue("task"), requested.Attempt, func(state *taskState) { change(state, requested) })
 		if !current {
 			http.Error(writer, "no such attempt", http.StatusConflict)
 			return
@@ -210,6 +219,7 @@
 	}
 }
 
+// serveRenew serves renewals of leases. Renewals of attempts that are not current are ignored.
 func (fake *Worker) serveRenew(writer http.ResponseWriter, request *http.Request) {
 	var renewals []worker.Renewal
 	if !decodeBody(writer, request, &renewals) {
@@ -219,6 +229,7 @@
 	writer.WriteHeader(http.StatusAccepted)
 }
 
+// serveStream serves the outputs of a task as JSON lines until the task ends or the client disconnects.
 func (fake *Worker) serveStream(writer http.ResponseWriter, request *http.Request) {
 	after, err := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -229,14 +240,14 @@
 	writer.Header().Set("Content-Type", "application/jsonl")
 	encoder := json.NewEncoder(writer)
 	for {
-		outputs, over, grown := fake.outputs(request.PathValue("task"), after)
+		outputs, ended, changed := fake.outputs(request.PathValue("task"), after)
 		for _, output := range outputs {
 			if err := encoder.Encode(output); err != nil {
 				return
 			}
 			after = output.Sequence
 		}
-		if over {
+		if ended {
 			_ = encoder.Encode(worker.Output{Sequence: after, Last: true})
 			return
 		}
@@ -244,21 +255,24 @@
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
-func decodeBody(writer http.ResponseWriter, request *http.Request, into any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBodyBytes)).Decode(into); err != nil {
+// decodeBody decodes the JSON body of a request. If that fails, it responds with 400 Bad Request and returns
+// false.
+func decodeBody(writer http.ResponseWriter, request *http.Request, target any) bool {
+	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBodyBytes)).Decode(target); err != nil {
 		http.Error(writer, "the body can't be read: "+err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
+// writeJSON writes a response with a JSON body. Write errors are ignored: the client has disconnected.
 func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,15 +1,13 @@
-// Package standin is a small stand-in for the platform that ambertiller runs
-// on: its log, its instance list, and workers with a backend server each. It
-// keeps everything in memory and is meant for trying ambertiller out and for
-// tests, never for real work.
+// Package standin is an in-memory stand-in for the platform on which ambertiller runs: its log, its instance
+// list, and workers with a backend server each. It is meant for demonstrations and tests, not for production.
 //
 // # Usage
 //
 //	platform, err := standin.Start(ctx, standin.Options{Layout: standin.Layout{Network: "127.70"}, Workers: 3, Entries: 2})
 //	defer platform.Close()
 //
-// Every instance has an IP number of its own on the loopback network, so that
-// ports are the same everywhere; see [Layout].
+// Every instance has its own IP address in the loopback network, so that the ports are the same on all of
+// them; see [Layout].
 package standin
 
 import (
@@ -26,7 +24,7 @@
 	"ambertiller.example/ambertiller/worker"
 )
 
-// Ports, the same on every IP number.
+// Ports of the instances, the same on every IP address.
 const (
 	PlatformPort   = 7000
 	WorkerPort     = 7101
@@ -39,57 +37,60 @@
 
 const (
 	workersPerRack       = 3
-	workersPerSubnet     = 250
+	workersPerSubnet     = 250 // workers whose IP addresses have the same third octet
 	bytesPerGiB          = 1 << 30
 	readHeaderTimeout    = 5 * time.Second
-	firstWorkerOctet     = 2
+	firstWorkerOctet     = 2 // third octet of the IP address of the first worker
 	milliCPUPerProcessor = 1000
 )
 
-// Layout gives each instance its addresses.
+// Layout assigns addresses to the instances.
 type Layout struct {
-	// Network is the first two parts of every IP number, such as 127.70.
+	// Network is the first two octets of every IP address, such as 127.70.
 	Network string
 }
 
 // Platform returns the address of the log and the instance list.
 func (layout Layout) Platform() string { return fmt.Sprintf("%s.0.1:%d", layout.Network, PlatformPort) }
 
-// Entry returns the address of a port of an entry, counted from 1.
+// Entry returns the address of a port of an entry. Entries are numbered from 1.
 func (layout Layout) Entry(index, port int) string {
 	return fmt.Sprintf("%s.1.%d:%d", layout.Network, index, port)
 }
 
-// Worker returns the address of a port of a worker, or of what runs beside
-// it, counted from 1.
+// Worker returns the address of a port of a worker, or of its guard or backend server. Workers are numbered
+// from 1.
 func (layout Layout) Worker(index, port int) string {
 	return fmt.Sprintf("%s.%d.%d:%d", layout.Network, firstWorkerOctet+(index-1)/workersPerSubnet, (index-1)%workersPerSubnet+1, port)
 }
 
-// Options sets up a Platform. Zero values stand for the defaults.
+// Options configures a Platform. Zero values stand for the defaults.
 type Options struct {
 	Layout Layout
-	// Workers and Entries are how many instances there are. Default 3 and 2.
+	// Workers and Entries are the numbers of instances. The defaults are 3 and 2.
 	Workers int
 	Entries int
-	// FailureDomains are given to workers and entries in turn.
+	// FailureDomains are assigned to workers and to entries in turn. The default is milano-a, milano-b,
+	// bergamo.
 	FailureDomains []string
-	// Processors, MemoryGiB and Accelerators are what a worker has. Default 32, 125, 1.
+	// Processors, MemoryGiB and Accelerators are the capacity of a worker. The defaults are 32, 125 and 1.
 	Processors   int
 	MemoryGiB    int
 	Accelerators int
-	// WorkTime is how long a request takes at a backend server.
+	// WorkTime is the time that a request takes at a backend server.
 	WorkTime time.Duration
-	// AppendsPerSecond bounds the log. Default 300.
+	// AppendsPerSecond limits the appends to the log. The default is 300.
 	AppendsPerSecond int
-	// WatchKinds are the kinds whose tasks stream until they are cancelled.
+	// WatchKinds are the kinds of tasks that stream until they are cancelled. The default is listener and
+	// drift-watch.
 	WatchKinds []string
 }
 
+// withDefaults returns the options with the defaults filled in.
 func (options Options) withDefaults() Options {
 	defaults := []struct {
-		value     *int
-		otherwise int
+		value    *int
+		fallback int
 	}{
 		{&options.Workers, 3},
 		{&options.Entries, 2},
@@ -98,9 +99,9 @@
 		{&options.Accelerators, 1},
 		{&options.AppendsPerSecond, 300},
 	}
-	for _, each := range defaults {
-		if *each.value == 0 {
-			*each.value = each.otherwise
+	for _, option := range defaults {
+		if *option.value == 0 {
+			*option.value = option.fallback
 		}
 	}
 	if len(options.FailureDomains) == 0 {
@@ -112,7 +113,7 @@
 	return options
 }
 
-// Platform is a running stand-in.
+// Platform is a running stand-in for the platform.
 type Platform struct {
 	options    Options
 	log        *Log
@@ -127,7 +128,7 @@
 	instances []instances.Instance
 }
 
-// Start brings a platform up.
+// Start starts a platform. It runs until Close is called; its workers also stop when ctx ends.
 func Start(ctx context.Context, options Options) (*Platform, error) {
 	options = options.withDefaults()
 	platform := &Platform{options: options, log: NewLog(options.AppendsPerSecond), holds: newHoldSet()}
@@ -146,6 +147,7 @@
 	return platform, nil
 }
 
+// startWorker starts a worker and its backend server.
 func (platform *Platform) startWorker(ctx context.Context, index int) error {
 	options := platform.options
 	name := WorkerName(index)
@@ -170,10 +172,11 @@
 	return platform.serve(ctx, options.Layout.Worker(index, BackendPort), backend)
 }
 
+// serve serves handler on an address until Close is called.
 func (platform *Platform) serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
-		return errors.Wrap(err, "stand-in: listen")
+		return errors.Wrap(err, "listen for connections to the stand-in platform")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	platform.servers = append(platform.servers, server)
@@ -181,7 +184,7 @@
 	return nil
 }
 
-// Close ends the platform at once.
+// Close stops the platform without waiting for requests in flight.
 func (platform *Platform) Close() {
 	platform.cancel()
 	for _, server := range platform.servers {
@@ -193,24 +196,25 @@
 // Log returns the platform's log.
 func (platform *Platform) Log() *Log { return platform.log }
 
-// Worker returns a worker, counted from 1.
+// Worker returns a worker. Workers are numbered from 1.
 func (platform *Platform) Worker(index int) *Worker { return platform.workers[index-1] }
 
-// Backend returns a backend server, counted from 1.
+// Backend returns the backend server of a worker. Workers are numbered from 1.
 func (platform *Platform) Backend(index int) *Backend { return platform.backends[index-1] }
 
-// WorkerName returns the name of a worker, counted from 1.
+// WorkerName returns the name of a worker. Workers are numbered from 1.
 func WorkerName(index int) string { return fmt.Sprintf("worker-%02d", index) }
 
-// EntryName returns the name of an entry, counted from 1.
+// EntryName returns the name of an entry. Entries are numbered from 1.
 func EntryName(index int) string { return fmt.Sprintf("entry-%d", index) }
 
-// FailureDomain returns the failure domain of an instance, counted from 1.
+// FailureDomain returns the failure domain of a worker or an entry. Both are numbered from 1.
 func (options Options) FailureDomain(index int) string {
 	domains := options.withDefaults().FailureDomains
 	return domains[(index-1)%len(domains)]
 }
 
+// addInstances adds the entries and the workers' guards to the instance list.
 func (platform *Platform) addInstances() {
 	options := platform.options
 	for index := 1; index <= options.Entries; index++ {
@@ -233,22 +237,25 @@
 	}
 }
 
+// stateGone is the state of an instance that is not listed. Unlike the others, it is not a state of package
+// instances.
 const stateGone = "gone"
 
-// Instances returns the list as it is now; instances that are gone are left out.
+// Instances returns the current instance list without the instances that are gone.
 func (platform *Platform) Instances() []instances.Instance {
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
-	listed := make([]instances.Instance, 0, len(platform.instances))
-	for _, each := range platform.instances {
-		if each.State != stateGone {
-			listed = append(listed, each)
+	list := make([]instances.Instance, 0, len(platform.instances))
+	for _, instance := range platform.instances {
+		if instance.State != stateGone {
+			list = append(list, instance)
 		}
 	}
-	return listed
+	return list
 }
 
-// setInstanceState changes what the list says of an instance.
+// setInstanceState changes the state of an instance in the list. It returns false if the name or the state is
+// unknown.
 func (platform *Platform) setInstanceState(name, state string) bool {
 	switch state {
 	case string(instances.Live), string(instances.Leaving), stateGone:
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -14,39 +14,40 @@
 
 const (
 	stepInterval   = 20 * time.Millisecond
-	stepsPerOutput = 5 // steps between two outputs of a watch
-	maxOutputs     = 10_000
-	defaultRunTime = 500 * time.Millisecond
-	failureInput   = "fail"
-	// watchKind marks a task that streams until it is cancelled.
+	stepsPerOutput = 5                      // steps per output of a watch task
+	maxOutputs     = 10_000                 // kept outputs per task; older ones are dropped
+	defaultRunTime = 500 * time.Millisecond // of a task that declares none
+	failureInput   = "fail"                 // the input of a task that is to fail
+	// watchKind is a kind of task that streams until it is cancelled, in addition to WorkerOptions.WatchKinds.
 	watchKind = "watch"
 )
 
-// WorkerOptions sets up a stand-in worker.
+// WorkerOptions configures a stand-in worker.
 type WorkerOptions struct {
 	Name     string
 	Capacity worker.Capacity
-	// WatchKinds are the kinds whose tasks stream until they are cancelled.
+	// WatchKinds are the kinds of tasks that stream until they are cancelled.
 	WatchKinds []string
-	// Observe is told of every begin and end of an attempt, in order. It may be
-	// nil.
+	// Observe is called at the start and at the end of every attempt, in order. It may be nil, and must not
+	// call the worker, whose lock is held.
 	Observe func(Observation)
-	// IgnoreLeases breaks the worker on purpose: it runs on without a lease.
+	// IgnoreLeases makes the worker run attempts beyond the end of their leases, which a correct worker never
+	// does.
 	IgnoreLeases bool
 }
 
-// Observation is the begin or end of an attempt on a worker.
+// Observation is the start or the end of an attempt on a worker.
 type Observation struct {
 	Worker  string
 	Task    string
 	Attempt uint64
 	Ended   bool
-	// Progress is how much of the task had been done.
+	// Progress is how much of the task's run time had been completed.
 	Progress time.Duration
 }
 
-// Worker is a stand-in for one worker: it runs tasks under leases. A task
-// takes its declared run time; input "fail" makes it fail.
+// Worker is a stand-in for a worker. It runs tasks under leases. A task takes its declared run time, and fails
+// after it if its input is "fail".
 type Worker struct {
 	options WorkerOptions
 
@@ -58,7 +59,7 @@
 	runs           []Run
 }
 
-// Run is one attempt that the worker has begun, and its end if it has one.
+// Run is an attempt that the worker has started. EndedAt is zero while the attempt runs.
 type Run struct {
 	Task      string
 	Attempt   uint64
@@ -66,6 +67,8 @@
 	EndedAt   time.Time
 }
 
+// taskState is the newest attempt of a task. throttle is the share of full speed at which it runs, and changed
+// is closed and replaced when the attempt produces an output or ends.
 type taskState struct {
 	worker.Task
 	progress time.Duration
@@ -76,118 +79,124 @@
 	throttle float64
 }
 
-// checkpoint is what a stopped attempt hands to the next one.
+// checkpoint is what an attempt that was stopped or lost its lease passes on to the next one.
 type checkpoint struct {
 	Progress time.Duration `json:"progress"`
 	Sequence uint64        `json:"sequence"`
 }
 
-// NewWorker returns a worker that runs nothing. Run makes its time pass.
+// NewWorker returns a worker without tasks. Time passes for it only through Run or Step.
 func NewWorker(options WorkerOptions) *Worker {
 	return &Worker{options: options, tasks: map[string]*taskState{}, newestAttempts: map[string]uint64{}}
 }
 
-// FailStarts makes every start fail, or no longer.
+// FailStarts sets whether every start fails from now on.
 func (fake *Worker) FailStarts(fail bool) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	fake.failStarts = fail
 }
 
-// Runs returns every attempt the worker has begun, oldest first.
+// Runs returns every attempt that the worker has started, oldest first.
 func (fake *Worker) Runs() []Run {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	return slices.Clone(fake.runs)
 }
 
-// Run makes time pass until ctx ends.
+// Run advances the worker in real time until ctx ends.
 func (fake *Worker) Run(ctx context.Context) {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
-	before := time.Now()
+	last := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 			now := time.Now()
-			fake.Step(now, now.Sub(before))
-			before = now
+			fake.Step(now, now.Sub(last))
+			last = now
 		}
 	}
 }
 
-// Step lets a span of time pass for every attempt.
-func (fake *Worker) Step(now time.Time, span time.Duration) {
+// Step advances the worker and its attempts by elapsed.
+func (fake *Worker) Step(now time.Time, elapsed time.Duration) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	fake.uptime += span
-	for _, each := range fake.tasks {
-		fake.stepTask(each, now, span)
+	fake.uptime += elapsed
+	for _, state := range fake.tasks {
+		fake.stepTask(state, now, elapsed)
 	}
 }
 
-func (fake *Worker) stepTask(each *taskState, now time.Time, span time.Duration) {
-	switch each.Phase {
+// stepTask advances an attempt and ends it if it was stopped, lost its lease or completed. The lock must be
+// held.
+func (fake *Worker) stepTask(state *taskState, now time.Time, elapsed time.Duration) {
+	switch state.Phase {
 	case worker.Stopping:
-		fake.endTask(each, worker.Stopped, "stopped", now)
+		fake.endTask(state, worker.Stopped, "stopped", now)
 		return
 	case worker.Running:
 	default:
 		return
 	}
-	if fake.uptime >= each.LeaseEnd && !fake.options.IgnoreLeases {
-		fake.endTask(each, worker.Lapsed, "its lease ended", now)
+	if fake.uptime >= state.LeaseEnd && !fake.options.IgnoreLeases {
+		fake.endTask(state, worker.Lapsed, "its lease ended", now)
 		return
 	}
-	each.progress += time.Duration(float64(span) * each.throttle)
-	if slices.Contains(fake.options.WatchKinds, each.Kind) || each.Kind == watchKind {
-		fake.emitOutput(each)
+	state.progress += time.Duration(float64(elapsed) * state.throttle)
+	if slices.Contains(fake.options.WatchKinds, state.Kind) || state.Kind == watchKind {
+		fake.emitOutput(state)
 		return
 	}
-	if each.progress < each.RunTime {
+	if state.progress < state.RunTime {
 		return
 	}
-	if string(each.Input) == failureInput {
-		fake.endTask(each, worker.Failed, "the task failed, as its input asked", now)
+	if string(state.Input) == failureInput {
+		fake.endTask(state, worker.Failed, "the task failed, as its input asked", now)
 		return
 	}
-	each.Result = fmt.Appendf(nil, "%s of %q by %s, attempt %d", each.Kind, each.Input, fake.options.Name, each.Attempt)
-	fake.endTask(each, worker.Finished, "finished", now)
+	state.Result = fmt.Appendf(nil, "%s of %q by %s, attempt %d", state.Kind, state.Input, fake.options.Name, state.Attempt)
+	fake.endTask(state, worker.Finished, "finished", now)
 }
 
-func (fake *Worker) emitOutput(each *taskState) {
-	if each.progress < time.Duration(each.sequence+1)*stepsPerOutput*stepInterval {
+// emitOutput produces the next output of a watch task if it is due. Beyond maxOutputs, the oldest output is
+// dropped.
+func (fake *Worker) emitOutput(state *taskState) {
+	if state.progress < time.Duration(state.sequence+1)*stepsPerOutput*stepInterval {
 		return
 	}
-	each.sequence++
-	each.outputs = append(each.outputs, worker.Output{
-		Attempt:  each.Attempt,
-		Sequence: each.sequence,
-		Data:     fmt.Appendf(nil, "%s heard %q, part %d", fake.options.Name, each.Input, each.sequence),
+	state.sequence++
+	state.outputs = append(state.outputs, worker.Output{
+		Attempt:  state.Attempt,
+		Sequence: state.sequence,
+		Data:     fmt.Appendf(nil, "%s heard %q, part %d", fake.options.Name, state.Input, state.sequence),
 	})
-	if len(each.outputs) > maxOutputs {
-		each.outputs = each.outputs[1:]
+	if len(state.outputs) > maxOutputs {
+		state.outputs = state.outputs[1:]
 	}
-	close(each.changed)
-	each.changed = make(chan struct{})
+	close(state.changed)
+	state.changed = make(chan struct{})
 }
 
-func (fake *Worker) endTask(each *taskState, phase worker.Phase, reason string, now time.Time) {
-	each.Phase = phase
-	each.Reason = reason
-	fake.runs[each.runIndex].EndedAt = now
-	fake.notifyObserver(each, true)
+// endTask ends an attempt. The lock must be held.
+func (fake *Worker) endTask(state *taskState, phase worker.Phase, reason string, now time.Time) {
+	state.Phase = phase
+	state.Reason = reason
+	fake.runs[state.runIndex].EndedAt = now
+	fake.notifyObserver(state, true)
 	if phase == worker.Stopped || phase == worker.Lapsed {
-		// A checkpoint is a small JSON value; encoding it cannot fail.
-		each.Checkpoint, _ = json.Marshal(checkpoint{Progress: each.progress, Sequence: each.sequence})
+		// Encoding a checkpoint cannot fail: it has only integer fields.
+		state.Checkpoint, _ = json.Marshal(checkpoint{Progress: state.progress, Sequence: state.sequence})
 	}
-	close(each.changed)
-	each.changed = make(chan struct{})
+	close(state.changed)
+	state.changed = make(chan struct{})
 }
 
-// startTask begins an attempt, or says why not: stale or an error in words.
+// startTask starts an attempt. It reports whether the attempt is stale, that is, not newer than the newest
+// known one or with a lease that has ended, or returns the reason if the start fails otherwise.
 func (fake *Worker) startTask(start worker.StartRequest, now time.Time) (stale bool, failure string) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
@@ -200,13 +209,13 @@
 	if fake.failStarts {
 		return false, "this worker fails every start"
 	}
-	if before, found := fake.tasks[start.Task]; found && !hasEnded(before.Phase) {
+	if current, found := fake.tasks[start.Task]; found && !hasEnded(current.Phase) {
 		return false, "an earlier attempt still runs"
 	}
 	fake.newestAttempts[start.Task] = start.Attempt
-	var from checkpoint
+	var resumed checkpoint
 	if len(start.Checkpoint) > 0 {
-		if err := json.Unmarshal(start.Checkpoint, &from); err != nil {
+		if err := json.Unmarshal(start.Checkpoint, &resumed); err != nil {
 			return false, "the checkpoint can't be read"
 		}
 	}
@@ -216,8 +225,8 @@
 	fake.runs = append(fake.runs, Run{Task: start.Task, Attempt: start.Attempt, StartedAt: now})
 	fake.tasks[start.Task] = &taskState{
 		Task:     worker.Task{StartRequest: start, Phase: worker.Running},
-		progress: from.Progress,
-		sequence: from.Sequence,
+		progress: resumed.Progress,
+		sequence: resumed.Sequence,
 		changed:  make(chan struct{}),
 		runIndex: len(fake.runs) - 1,
 		throttle: 1,
@@ -226,91 +235,97 @@
 	return false, ""
 }
 
-func (fake *Worker) notifyObserver(each *taskState, over bool) {
+// notifyObserver reports the start or the end of an attempt to WorkerOptions.Observe.
+func (fake *Worker) notifyObserver(state *taskState, isEnd bool) {
 	if fake.options.Observe == nil {
 		return
 	}
 	fake.options.Observe(Observation{
-		Worker: fake.options.Name, Task: each.Task.Task, Attempt: each.Attempt, Ended: over, Progress: each.progress,
+		Worker: fake.options.Name, Task: state.Task.Task, Attempt: state.Attempt, Ended: isEnd, Progress: state.progress,
 	})
 }
 
-func requestStop(each *taskState) {
-	if each.Phase == worker.Running {
-		each.Phase = worker.Stopping
+// requestStop makes an attempt that is running end at the next step.
+func requestStop(state *taskState) {
+	if state.Phase == worker.Running {
+		state.Phase = worker.Stopping
 	}
 }
 
-// removeEnded drops an attempt that has ended; the worker's lock is held.
-func (fake *Worker) removeEnded(each *taskState) {
-	if hasEnded(each.Phase) {
-		delete(fake.tasks, each.Task.Task)
+// removeEnded removes an attempt that has ended. The lock must be held.
+func (fake *Worker) removeEnded(state *taskState) {
+	if hasEnded(state.Phase) {
+		delete(fake.tasks, state.Task.Task)
 	}
 }
 
+// renewLeases extends the leases of current attempts. A lease is never shortened.
 func (fake *Worker) renewLeases(renewals []worker.Renewal) {
 	for _, renewal := range renewals {
-		fake.updateAttempt(renewal.Task, renewal.Attempt, func(each *taskState) {
-			each.LeaseEnd = max(each.LeaseEnd, renewal.LeaseEnd)
+		fake.updateAttempt(renewal.Task, renewal.Attempt, func(state *taskState) {
+			state.LeaseEnd = max(state.LeaseEnd, renewal.LeaseEnd)
 		})
 	}
 }
 
+// hasEnded reports whether an attempt in a phase has ended.
 func hasEnded(phase worker.Phase) bool {
 	return phase != worker.Running && phase != worker.Stopping
 }
 
-// updateAttempt calls change on the attempt, and reports whether it is the
-// newest one.
-func (fake *Worker) updateAttempt(task string, attempt uint64, change func(each *taskState)) bool {
+// updateAttempt calls change with the state of an attempt and the lock held. It returns false without calling
+// change if the attempt is not the task's current one.
+func (fake *Worker) updateAttempt(task string, attempt uint64, change func(state *taskState)) bool {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	each, found := fake.tasks[task]
-	if !found || each.Attempt != attempt {
+	state, found := fake.tasks[task]
+	if !found || state.Attempt != attempt {
 		return false
 	}
-	change(each)
+	change(state)
 	return true
 }
 
+// listTasks returns all attempts that have not been removed, sorted by task.
 func (fake *Worker) listTasks() worker.Listing {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	listing := worker.Listing{Uptime: fake.uptime, Tasks: make([]worker.Task, 0, len(fake.tasks))}
 	for _, id := range slices.Sorted(maps.Keys(fake.tasks)) {
-		each := fake.tasks[id]
-		listed := each.Task
-		listed.Throttle = each.throttle
+		state := fake.tasks[id]
+		listed := state.Task
+		listed.Throttle = state.throttle
 		listing.Tasks = append(listing.Tasks, listed)
 	}
 	return listing
 }
 
+// usage returns the resources that the running attempts use.
 func (fake *Worker) usage() worker.Usage {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	var used worker.Usage
-	for _, each := range fake.tasks {
-		if each.Phase == worker.Running {
-			used.MilliCPU += int64(float64(each.MilliCPU) * each.throttle)
-			used.MemoryBytes += each.MemoryBytes
+	var usage worker.Usage
+	for _, state := range fake.tasks {
+		if state.Phase == worker.Running {
+			usage.MilliCPU += int64(float64(state.MilliCPU) * state.throttle)
+			usage.MemoryBytes += state.MemoryBytes
 		}
 	}
-	return used
+	return usage
 }
 
-// outputs returns what a watch produced after a sequence number, whether it
-// has ended, and a channel that is closed when there is more.
+// outputs returns the outputs of a task after a sequence number, whether the task has ended, and a channel
+// that is closed at its next output or end. An unknown task counts as ended.
 func (fake *Worker) outputs(task string, after uint64) ([]worker.Output, bool, <-chan struct{}) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	each, found := fake.tasks[task]
+	state, found := fake.tasks[task]
 	if !found {
 		return nil, true, nil
 	}
-	from := slices.IndexFunc(each.outputs, func(output worker.Output) bool { return output.Sequence > after })
-	if from < 0 {
-		return nil, hasEnded(each.Phase), each.changed
+	first := slices.IndexFunc(state.outputs, func(output worker.Output) bool { return output.Sequence > after })
+	if first < 0 {
+		return nil, hasEnded(state.Phase), state.changed
 	}
-	return slices.Clone(each.outputs[from:]), hasEnded(each.Phase), each.changed
+	return slices.Clone(state.outputs[first:]), hasEnded(state.Phase), state.changed
 }
