--- a/standin/wirestore/append_queue.go
+++ b/standin/wirestore/append_queue.go
@@ -6,7 +6,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// maxAppendWait is how far an append may start in the future. A partition with a longer queue rejects appends.
+// maxAppendWait is the longest time that an append may wait for the earlier ones of its partition. An append
+// that would wait longer is rejected.
 const maxAppendWait = 2 * time.Second
 
 // appendQueue makes the appends to each partition run one after the other. The zero value does not delay
@@ -26,8 +27,8 @@
 	store.appendQueue = appendQueue{clock: clock, appendTime: appendTime, freeAt: map[partitionKey]time.Time{}}
 }
 
-// awaitAppend waits until an append to a partition ends. It returns false immediately if the queue is too
-// long.
+// awaitAppend waits for the earlier appends to a partition and for the time that the append itself takes. It
+// returns false immediately if the append is rejected.
 func (store *Store) awaitAppend(key partitionKey) bool {
 	store.mu.Lock()
 	if store.appendQueue.appendTime == 0 {
--- a/standin/wirestore/wirestore.go
+++ b/standin/wirestore/wirestore.go
@@ -44,14 +44,14 @@
 	// topicCalls counts calls by path and topic.
 	topicCalls  map[topicCall]int
 	appendQueue appendQueue
-	// topicFaults chooses the faults of appends, by topic.
+	// topicFaults holds the functions that choose the faults of appends, by topic.
 	topicFaults map[string]func() Fault
 	// rewrites holds functions that replace appended values, by topic.
 	rewrites map[string]func(value []byte) []byte
 }
 
-// New returns an empty store whose topics have partitionsPerTopic partitions each. Memberships expire by the
-// clock now.
+// New returns an empty store with partitionsPerTopic partitions per topic. now is the clock by which
+// memberships of groups expire.
 func New(partitionsPerTopic int, now func() time.Time) *Store {
 	return &Store{
 		partitionsPerTopic: partitionsPerTopic, now: now, partitions: map[partitionKey]*partition{}, appended: make(chan struct{}),
