--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -46,8 +46,8 @@
 	client, server net.Conn
 	// discardToServer and discardToClient discard the data of a direction.
 	discardToServer, discardToClient atomic.Bool
-	// greeting is the data that the client sent first, up to about maxGreetingBytes. Pause tells clients apart
-	// by it.
+	// greeting is the data that the client sent first, by which Pause tells clients apart. It is extended until
+	// it has maxGreetingBytes.
 	greeting atomic.Pointer[[]byte]
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// maxGreetingBytes is the length from which on a greeting is not extended.
+// maxGreetingBytes is the length at which a greeting is no longer extended. It may exceed this by one read.
 const maxGreetingBytes = 512
 
 // recordGreeting extends the greeting by data from the client. Only the goroutine that forwards to the server
@@ -184,8 +184,8 @@
 	}
 }
 
-// Pause stops the transfer of data, in one direction or both, until Resume. It applies to open and new
-// connections whose greeting matches accepts. An earlier pause ends.
+// Pause stops the transfer of data, in one direction or both, until Resume. It applies to the open and new
+// connections for whose greeting the function matches returns true. An earlier pause ends.
 func (relay *Relay) Pause(matches func(greeting []byte) bool, toServer, toClient bool) {
 	relay.Resume()
 	relay.mu.Lock()
