--- a/measure/capacity_test.go
+++ b/measure/capacity_test.go
@@ -22,26 +22,26 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// countedConn counts the bytes of a connection, both ways.
-type countedConn struct {
+// countingConn counts the bytes of a connection, both ways.
+type countingConn struct {
 	net.Conn
-	bytes *atomic.Int64
+	byteCount *atomic.Int64
 }
 
-func (conn countedConn) Read(into []byte) (int, error) {
+func (conn countingConn) Read(into []byte) (int, error) {
 	count, err := conn.Conn.Read(into)
-	conn.bytes.Add(int64(count))
+	conn.byteCount.Add(int64(count))
 	return count, err
 }
 
-func (conn countedConn) Write(from []byte) (int, error) {
+func (conn countingConn) Write(from []byte) (int, error) {
 	count, err := conn.Conn.Write(from)
-	conn.bytes.Add(int64(count))
+	conn.byteCount.Add(int64(count))
 	return count, err
 }
 
-// processorTime returns the processor time that a process has used.
-func processorTime(t *testing.T, process *exec.Cmd) time.Duration {
+// cpuTime returns the processor time that a process has used.
+func cpuTime(t *testing.T, process *exec.Cmd) time.Duration {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", process.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
@@ -52,8 +52,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// reportOf is what a guard with a number of tasks says once a second.
-func reportOf(index, tasks int, began time.Time) *wire.ReportRequest {
+// newReport is what a guard with a number of tasks says once a second.
+func newReport(index, tasks int, began time.Time) *wire.ReportRequest {
 	report := &wire.ReportRequest{
 		Worker: fmt.Sprintf("worker-%03d", index), Incarnation: "0199d0f2-7c3e-7000-8000-000000000000",
 		UptimeNanos: time.Since(began).Nanoseconds(), FailureDomain: "milano-a", Rack: "rack-1", Service: "verbale",
@@ -78,7 +78,7 @@
 	for _, tasks := range []int{0, 9} {
 		for _, guards := range []int{11, 110, 550} {
 			t.Run(fmt.Sprintf("%d guards of %d tasks", guards, tasks), func(t *testing.T) {
-				made := newFleet(t, 1, 1, 0, readConfig(t))
+				made := newDeployment(t, 1, 1, 0, readConfig(t))
 				var bytes, calls atomic.Int64
 				dialer := &net.Dialer{}
 				began := time.Now()
@@ -89,13 +89,13 @@
 					running.Go(func() {
 						pool := rpc.NewPoolWithDialFunc(func(ctx context.Context, address string) (net.Conn, error) {
 							raw, err := dialer.DialContext(ctx, "tcp", address)
-							return countedConn{Conn: raw, bytes: &bytes}, err
+							return countingConn{Conn: raw, byteCount: &bytes}, err
 						})
 						defer func() { _ = pool.Close() }()
 						client := wire.NewDRPCEntryClient(pool.Conn(made.layout.Entry(1, standin.EntryRPCPort)))
 						time.Sleep(time.Duration(index) * time.Second / time.Duration(guards))
 						for ctx.Err() == nil {
-							if _, err := client.Report(ctx, reportOf(index, tasks, began)); err == nil {
+							if _, err := client.Report(ctx, newReport(index, tasks, began)); err == nil {
 								calls.Add(1)
 							}
 							time.Sleep(time.Second)
@@ -103,13 +103,13 @@
 					})
 				}
 				time.Sleep(2 * time.Second)
-				bytesBefore, callsBefore, cpuBefore := bytes.Load(), calls.Load(), processorTime(t, made.entries[0])
+				bytesBefore, callsBefore, cpuBefore := bytes.Load(), calls.Load(), cpuTime(t, made.entries[0])
 				time.Sleep(span)
-				cpu := processorTime(t, made.entries[0]) - cpuBefore
+				cpu := cpuTime(t, made.entries[0]) - cpuBefore
 				sent, made2 := bytes.Load()-bytesBefore, calls.Load()-callsBefore
 				t.Logf("reports %.0f/s of %d bytes (message %d); entry: %.2f%% of a core, %.1f KB/s, resident %.0f MiB; a guard: %.2f KB/s for one entry",
-					float64(made2)/span.Seconds(), sent/max(1, made2), proto.Size(reportOf(1, tasks, began)),
-					100*cpu.Seconds()/span.Seconds(), float64(sent)/span.Seconds()/1000, residentMiB(made.entries[0]),
+					float64(made2)/span.Seconds(), sent/max(1, made2), proto.Size(newReport(1, tasks, began)),
+					100*cpu.Seconds()/span.Seconds(), float64(sent)/span.Seconds()/1000, peakResidentMiB(made.entries[0]),
 					float64(sent)/span.Seconds()/1000/float64(guards))
 				running.Wait()
 			})
--- a/measure/fleet_test.go
+++ b/measure/fleet_test.go
@@ -26,53 +26,53 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-const patience = 30 * time.Second
-
-// fleet is a deployment of separate processes.
-type fleet struct {
-	t       *testing.T
-	binary  string
-	layout  standin.Layout
-	workers int
-	entries []*exec.Cmd
-	guards  []*exec.Cmd
-	http    *http.Client
+const waitTimeout = 30 * time.Second
+
+// deployment is a deployment of separate processes.
+type deployment struct {
+	t           *testing.T
+	binary      string
+	layout      standin.Layout
+	workerCount int
+	entries     []*exec.Cmd
+	guards      []*exec.Cmd
+	httpClient  *http.Client
 }
 
-func newFleet(t *testing.T, workers, entries int, workTime time.Duration, config string) *fleet {
+func newDeployment(t *testing.T, workers, entries int, workTime time.Duration, config string) *deployment {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "ambertiller")
 	if out, err := exec.Command("go", "build", "-o", binary, "../cmd/ambertiller").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	network := fmt.Sprintf("127.%d", 200+os.Getpid()%50)
-	made := &fleet{t: t, binary: binary, layout: standin.Layout{Network: network}, workers: workers}
-	made.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
-	made.start("standin", "--network", network, "--workers", strconv.Itoa(workers), "--entries", strconv.Itoa(entries), "--work-time", workTime.String())
+	made := &deployment{t: t, binary: binary, layout: standin.Layout{Network: network}, workerCount: workers}
+	made.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
+	made.startProcess("standin", "--network", network, "--workers", strconv.Itoa(workers), "--entries", strconv.Itoa(entries), "--work-time", workTime.String())
 	for index := 1; index <= entries; index++ {
 		made.entries = append(made.entries, made.startEntry(index))
 	}
 	for index := 1; index <= workers; index++ {
 		made.guards = append(made.guards, made.startGuard(index))
 	}
-	made.publish(config, workers+entries)
+	made.publishConfig(config, workers+entries)
 	return made
 }
 
-func (made *fleet) startEntry(index int) *exec.Cmd {
-	return made.start("entry", "--name", standin.EntryName(index), "--failure-domain", "milano-a",
+func (made *deployment) startEntry(index int) *exec.Cmd {
+	return made.startProcess("entry", "--name", standin.EntryName(index), "--failure-domain", "milano-a",
 		"--http", made.layout.Entry(index, standin.EntryHTTPPort), "--rpc", made.layout.Entry(index, standin.EntryRPCPort),
 		"--platform", "http://"+made.layout.Platform(), "--log-level", "warn")
 }
 
-func (made *fleet) startGuard(index int) *exec.Cmd {
-	return made.start("guard", "--name", standin.WorkerName(index), "--failure-domain", "milano-a", "--service", "verbale",
+func (made *deployment) startGuard(index int) *exec.Cmd {
+	return made.startProcess("guard", "--name", standin.WorkerName(index), "--failure-domain", "milano-a", "--service", "verbale",
 		"--rpc", made.layout.Worker(index, standin.GuardPort), "--admin", made.layout.Worker(index, standin.GuardAdminPort),
 		"--platform", "http://"+made.layout.Platform(), "--worker", "http://"+made.layout.Worker(index, standin.WorkerPort),
 		"--backend", "http://"+made.layout.Worker(index, standin.BackendPort), "--log-level", "warn")
 }
 
-func (made *fleet) start(arguments ...string) *exec.Cmd {
+func (made *deployment) startProcess(arguments ...string) *exec.Cmd {
 	made.t.Helper()
 	started := exec.Command(made.binary, arguments...)
 	started.Stderr = os.Stderr
@@ -89,30 +89,30 @@
 	return started
 }
 
-func (made *fleet) url(entry int, path string) string {
+func (made *deployment) entryURL(entry int, path string) string {
 	return "http://" + made.layout.Entry(entry, standin.EntryHTTPPort) + path
 }
 
-func (made *fleet) publish(config string, instances int) {
+func (made *deployment) publishConfig(config string, instances int) {
 	made.t.Helper()
 	body, err := json.Marshal(api.PublishRequest{Content: config})
 	if err != nil {
 		made.t.Fatal(err)
 	}
-	made.until("publish", func() bool {
-		request, err := http.NewRequest(http.MethodPut, made.url(1, "/v1/documents/config"), bytes.NewReader(body))
+	made.waitFor("publish", func() bool {
+		request, err := http.NewRequest(http.MethodPut, made.entryURL(1, "/v1/documents/config"), bytes.NewReader(body))
 		if err != nil {
 			return false
 		}
-		response, err := made.http.Do(request)
+		response, err := made.httpClient.Do(request)
 		if err != nil {
 			return false
 		}
 		_ = response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	})
-	made.until("in force", func() bool {
-		response, err := made.http.Get(made.url(1, "/v1/in-force"))
+	made.waitFor("in force", func() bool {
+		response, err := made.httpClient.Get(made.entryURL(1, "/v1/in-force"))
 		if err != nil {
 			return false
 		}
@@ -122,9 +122,9 @@
 	})
 }
 
-func (made *fleet) until(what string, holds func() bool) {
+func (made *deployment) waitFor(what string, holds func() bool) {
 	made.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
 			made.t.Fatalf("waited in vain: %s", what)
@@ -134,7 +134,7 @@
 }
 
 // post sends one request and reads its answer; the result is its status.
-func (made *fleet) post(url, body string, headers map[string]string) (int, error) {
+func (made *deployment) post(url, body string, headers map[string]string) (int, error) {
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -142,7 +142,7 @@
 	for name, value := range headers {
 		request.Header.Set(name, value)
 	}
-	response, err := made.http.Do(request)
+	response, err := made.httpClient.Do(request)
 	if err != nil {
 		return 0, err
 	}
@@ -151,14 +151,14 @@
 	return response.StatusCode, err
 }
 
-// sample is the latencies of a run, and its pace.
-type sample struct {
+// loadResult is the latencies of a run, and its pace.
+type loadResult struct {
 	latencies []time.Duration
-	took      time.Duration
+	elapsed   time.Duration
 	failed    int64
 }
 
-func (taken sample) quantile(part float64) time.Duration {
+func (taken loadResult) quantile(part float64) time.Duration {
 	if len(taken.latencies) == 0 {
 		return 0
 	}
@@ -166,12 +166,14 @@
 	return taken.latencies[int(part*float64(len(taken.latencies)-1))]
 }
 
-func (taken sample) perSecond() float64 { return float64(len(taken.latencies)) / taken.took.Seconds() }
+func (taken loadResult) throughput() float64 {
+	return float64(len(taken.latencies)) / taken.elapsed.Seconds()
+}
 
-// closed sends requests from a number of callers, each after its answer.
-func (made *fleet) closed(url string, callers int, span time.Duration) sample {
+// runClosedLoad sends requests from a number of callers, each after its answer.
+func (made *deployment) runClosedLoad(url string, callers int, span time.Duration) loadResult {
 	var mu sync.Mutex
-	var taken sample
+	var taken loadResult
 	var failed atomic.Int64
 	began := time.Now()
 	var running sync.WaitGroup
@@ -192,12 +194,12 @@
 		})
 	}
 	running.Wait()
-	taken.took, taken.failed = time.Since(began), failed.Load()
+	taken.elapsed, taken.failed = time.Since(began), failed.Load()
 	return taken
 }
 
-// residentMiB returns the resident memory of a process.
-func residentMiB(process *exec.Cmd) float64 {
+// peakResidentMiB returns the resident memory of a process.
+func peakResidentMiB(process *exec.Cmd) float64 {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.Process.Pid))
 	if err != nil {
 		return 0
--- a/soak/client_test.go
+++ b/soak/client_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// handInEvery is how often a job is handed in, per agent once a second or so.
-	handInEvery = 120 * time.Millisecond
-	// askWithin bounds a client's call, triesMost how often one job is handed in.
-	askWithin = 3 * time.Second
-	triesMost = 5
+	// submitInterval is how often a job is handed in, per agent once a second or so.
+	submitInterval = 120 * time.Millisecond
+	// callTimeout bounds a client's call, maxSubmitAttempts how often one job is handed in.
+	callTimeout       = 3 * time.Second
+	maxSubmitAttempts = 5
 	// taskMilliCPU is what each task asks for.
 	taskMilliCPU = 400
 	// cancelShare is the share of jobs that their clients cancel.
@@ -26,12 +26,12 @@
 
 // client hands jobs in and asks for them. It keeps its connections open.
 type client struct {
-	site *site
-	http *http.Client
+	deployment *deployment
+	http       *http.Client
 }
 
-func newClient(of *site) *client {
-	return &client{site: of, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
+func newClient(of *deployment) *client {
+	return &client{deployment: of, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
 }
 
 // run hands jobs in until ctx ends.
@@ -44,27 +44,27 @@
 		}
 		first := draw.IntN(gatewayCount)
 		cancels := draw.Float64() < cancelShare
-		go caller.handIn(ctx, id, steps, first, cancels)
-		sleep(ctx, handInEvery)
+		go caller.submit(ctx, id, steps, first, cancels)
+		sleep(ctx, submitInterval)
 	}
 }
 
-// handIn hands a job in at one gateway after the other until one accepts it.
-func (caller *client) handIn(ctx context.Context, id string, steps []int32, first int, cancels bool) {
-	book := caller.site.book
-	book.handIn(id, &jobLedger{attempts: taskAttempts, steps: steps})
-	for try := range triesMost {
-		status, _ := caller.call(ctx, http.MethodPost, first+try, id, body(steps))
+// submit hands a job in at one gateway after the other until one accepts it.
+func (caller *client) submit(ctx context.Context, id string, steps []int32, first int, cancels bool) {
+	book := caller.deployment.ledger
+	book.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: steps})
+	for try := range maxSubmitAttempts {
+		status, _ := caller.call(ctx, http.MethodPost, first+try, id, jobJSON(steps))
 		switch status {
 		case http.StatusOK:
-			book.change(id, func(handed *jobLedger) { handed.accepted = true })
+			book.updateJob(id, func(handed *jobHistory) { handed.accepted = true })
 			if cancels {
 				caller.cancel(ctx, id, first)
 			}
 			return
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		default:
-			book.change(id, func(handed *jobLedger) { handed.unsure = true })
+			book.updateJob(id, func(handed *jobHistory) { handed.outcomeUnknown = true })
 		}
 		sleep(ctx, 200*time.Millisecond)
 	}
@@ -72,12 +72,12 @@
 
 func (caller *client) cancel(ctx context.Context, id string, at int) {
 	sleep(ctx, 300*time.Millisecond)
-	caller.site.book.change(id, func(handed *jobLedger) { handed.cancelled = true })
+	caller.deployment.ledger.updateJob(id, func(handed *jobHistory) { handed.cancelled = true })
 	caller.call(ctx, http.MethodDelete, at, id, "")
 }
 
-// body is a job as it is handed in: each step waits for the one before.
-func body(steps []int32) string {
+// jobJSON is a job as it is handed in: each step waits for the one before.
+func jobJSON(steps []int32) string {
 	var texts []string
 	for number, count := range steps {
 		after := ""
@@ -91,9 +91,9 @@
 
 // call makes a call at a gateway; status 0 stands for no answer.
 func (caller *client) call(ctx context.Context, method string, gateway int, id, body string) (status int, text string) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askWithin)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	url := "http://" + bootfile.ClientAddress(caller.site.gateways[gateway%gatewayCount].ip) + "/q/" + id
+	url := "http://" + bootfile.ClientAddress(caller.deployment.gateways[gateway%gatewayCount].ip) + "/q/" + id
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
@@ -111,8 +111,8 @@
 	return answer.StatusCode, string(read)
 }
 
-// state returns what a job is shown as.
-func (caller *client) state(ctx context.Context, id string, gateway int) string {
+// jobState returns what a job is shown as.
+func (caller *client) jobState(ctx context.Context, id string, gateway int) string {
 	status, text := caller.call(ctx, http.MethodGet, gateway, id, "")
 	for _, state := range []string{"completed", "failed", "cancelled", "running", "queued"} {
 		if strings.Contains(text, state) && status == http.StatusOK {
--- a/soak/ledger_caught_test.go
+++ b/soak/ledger_caught_test.go
@@ -9,8 +9,8 @@
 	"ambertiller.example/ambertiller/standin/wireworker"
 )
 
-// TestLedgerCatches breaks each promise once, and keeps each once where that is close.
-func TestLedgerCatches(t *testing.T) {
+// TestLedgerDetectsViolations breaks each promise once, and keeps each once where that is close.
+func TestLedgerDetectsViolations(t *testing.T) {
 	const (
 		id     = "0123456789abcdef"
 		task   = id + ".0.0.0"
@@ -19,14 +19,14 @@
 		second = "i-2-life-1"
 	)
 	start := func(book *ledger, life string, attempt int32) {
-		book.note(life, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(time.Hour)})
-		book.note(life, wireworker.Change{Kind: wireworker.Started, Task: task, Attempt: attempt})
+		book.recordChange(life, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(time.Hour)})
+		book.recordChange(life, wireworker.Change{Kind: wireworker.Started, Task: task, Attempt: attempt})
 	}
 	end := func(book *ledger, life string, attempt int32, how string) {
-		book.note(life, wireworker.Change{Kind: wireworker.Ended, Task: task, Attempt: attempt, Reason: how})
+		book.recordChange(life, wireworker.Change{Kind: wireworker.Ended, Task: task, Attempt: attempt, Reason: how})
 	}
 	noted := func(book *ledger, life string, attempt int32, how string) {
-		book.note(life, wireworker.Change{Kind: wireworker.Acknowledged, Task: task, Attempt: attempt, Reason: how})
+		book.recordChange(life, wireworker.Change{Kind: wireworker.Acknowledged, Task: task, Attempt: attempt, Reason: how})
 	}
 	tests := map[string]struct {
 		play func(book *ledger)
@@ -38,12 +38,12 @@
 		}, "TWICE"},
 		"the lease of the first has run out": {func(book *ledger) {
 			start(book, first, 1)
-			book.note(first, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(-time.Second)})
+			book.recordChange(first, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(-time.Second)})
 			start(book, second, 2)
 		}, ""},
 		"its worker has crashed": {func(book *ledger) {
 			start(book, first, 1)
-			book.crash(first)
+			book.recordCrash(first)
 			start(book, second, 2)
 		}, ""},
 		"started after it was noted as done": {func(book *ledger) {
@@ -66,30 +66,30 @@
 			noted(book, second, 2, "done")
 		}, ""},
 		"beyond its failures": {func(book *ledger) {
-			for attempt := int32(1); attempt <= taskAttempts; attempt++ {
+			for attempt := int32(1); attempt <= maxTaskAttempts; attempt++ {
 				start(book, first, attempt)
 				end(book, first, attempt, "failed")
 				noted(book, first, attempt, "failed")
 			}
-			start(book, second, taskAttempts+1)
+			start(book, second, maxTaskAttempts+1)
 		}, "BUDGET"},
 		"more than the worker has": {func(book *ledger) {
-			book.handIn(id, &jobLedger{attempts: taskAttempts, steps: []int32{21}})
+			book.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: []int32{21}})
 			for index := range workerMilliCPU/taskMilliCPU + 1 {
-				book.note(first, wireworker.Change{Kind: wireworker.Started, Task: fmt.Sprintf("%s.0.0.%d", id, index), Attempt: 1})
+				book.recordChange(first, wireworker.Change{Kind: wireworker.Started, Task: fmt.Sprintf("%s.0.0.%d", id, index), Attempt: 1})
 			}
 		}, "LIMIT"},
 		"all that the worker has": {func(book *ledger) {
-			book.handIn(id, &jobLedger{attempts: taskAttempts, steps: []int32{21}})
+			book.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: []int32{21}})
 			for index := range workerMilliCPU / taskMilliCPU {
-				book.note(first, wireworker.Change{Kind: wireworker.Started, Task: fmt.Sprintf("%s.0.0.%d", id, index), Attempt: 1})
+				book.recordChange(first, wireworker.Change{Kind: wireworker.Started, Task: fmt.Sprintf("%s.0.0.%d", id, index), Attempt: 1})
 			}
 		}, ""},
 		"a step before its turn": {func(book *ledger) {
-			book.note(first, wireworker.Change{Kind: wireworker.Started, Task: after, Attempt: 1})
+			book.recordChange(first, wireworker.Change{Kind: wireworker.Started, Task: after, Attempt: 1})
 		}, "ORDER"},
 		"what nobody handed in": {func(book *ledger) {
-			book.note(first, wireworker.Change{Kind: wireworker.Started, Task: "fedcba9876543210.0.0.0", Attempt: 1})
+			book.recordChange(first, wireworker.Change{Kind: wireworker.Started, Task: "fedcba9876543210.0.0.0", Attempt: 1})
 		}, "UNASKED"},
 		"refused at each try": {func(book *ledger) {
 			start(book, first, 1)
@@ -97,18 +97,18 @@
 		}, "REFUSED"},
 		"refused once, unsure once": {func(book *ledger) {
 			start(book, first, 1)
-			book.change(id, func(handed *jobLedger) { handed.unsure = true })
+			book.updateJob(id, func(handed *jobHistory) { handed.outcomeUnknown = true })
 			book.checkRefused()
 		}, ""},
 		"shown as completed too early": {func(book *ledger) { book.checkEnded(id, "completed") }, "MIXED"},
-		"never ended":                  {func(book *ledger) { book.lost(id, "running") }, "LOST"},
+		"never ended":                  {func(book *ledger) { book.recordLost(id, "running") }, "LOST"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			book := newLedger()
-			book.handIn(id, &jobLedger{attempts: taskAttempts, steps: []int32{1, 1}})
+			book.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: []int32{1, 1}})
 			test.play(book)
-			broken, _ := book.breaches()
+			broken, _ := book.results()
 			if test.want == "" && len(broken) > 0 || test.want != "" && (len(broken) == 0 || !strings.Contains(broken[0], test.want)) {
 				t.Errorf("broken %v, want %q", broken, test.want)
 			}
--- a/soak/ledger_test.go
+++ b/soak/ledger_test.go
@@ -11,109 +11,109 @@
 
 // ledger is what the workers have seen of all tasks, in order, and which promises that breaks.
 type ledger struct {
-	mu    sync.Mutex
-	began time.Time
-	// leases tells until when the lease of each life goes on.
-	leases map[string]time.Time
-	tasks  map[string]*taskLedger
-	jobs   map[string]*jobLedger
-	broken []string
-	runs   int
-}
-
-// taskLedger is what the workers have seen of one task.
-type taskLedger struct {
-	running map[string]int32 // attempts by the worker's life
-	done    []*doneRun
-	noted   bool // a run is noted as done
-	failed  int  // runs that are noted as failed
-}
-
-// doneRun is a run that ended as done.
-type doneRun struct {
-	life    string
-	attempt int32
-	// followed is set once a start of the task has come after it.
-	followed bool
-}
-
-// jobLedger is what a client has heard of a job.
-type jobLedger struct {
-	attempts  int
-	steps     []int32 // tasks of each step
-	started   bool
-	accepted  bool
-	unsure    bool // a try had no answer that says yes or no
-	cancelled bool
+	mu        sync.Mutex
+	startedAt time.Time
+	// leaseEnds tells until when the lease of each life goes on.
+	leaseEnds  map[string]time.Time
+	tasks      map[string]*taskHistory
+	jobs       map[string]*jobHistory
+	violations []string
+	runs       int
+}
+
+// taskHistory is what the workers have seen of one task.
+type taskHistory struct {
+	running              map[string]int32 // attempts by the worker's life
+	completedRuns        []*completedRun
+	acknowledgedDone     bool // a run is noted as done
+	acknowledgedFailures int  // runs that are noted as failed
+}
+
+// completedRun is a run that ended as done.
+type completedRun struct {
+	incarnation string
+	attempt     int32
+	// followedByStart is set once a start of the task has come after it.
+	followedByStart bool
+}
+
+// jobHistory is what a client has heard of a job.
+type jobHistory struct {
+	maxAttempts    int
+	steps          []int32 // tasks of each step
+	started        bool
+	accepted       bool
+	outcomeUnknown bool // a try had no answer that says yes or no
+	cancelled      bool
 }
 
 func newLedger() *ledger {
-	return &ledger{began: time.Now(), leases: map[string]time.Time{}, tasks: map[string]*taskLedger{}, jobs: map[string]*jobLedger{}}
+	return &ledger{startedAt: time.Now(), leaseEnds: map[string]time.Time{}, tasks: map[string]*taskHistory{}, jobs: map[string]*jobHistory{}}
 }
 
-// breach notes that a promise is broken, with the lock held.
-func (book *ledger) breach(rule, format string, about ...any) {
-	at := time.Since(book.began).Seconds()
-	book.broken = append(book.broken, fmt.Sprintf("%.3f %s: %s", at, rule, fmt.Sprintf(format, about...)))
+// addViolation notes that a promise is broken, with the lock held.
+func (book *ledger) addViolation(rule, format string, about ...any) {
+	at := time.Since(book.startedAt).Seconds()
+	book.violations = append(book.violations, fmt.Sprintf("%.3f %s: %s", at, rule, fmt.Sprintf(format, about...)))
 }
 
-func (book *ledger) task(name string) *taskLedger {
+func (book *ledger) taskHistory(name string) *taskHistory {
 	if book.tasks[name] == nil {
-		book.tasks[name] = &taskLedger{running: map[string]int32{}}
+		book.tasks[name] = &taskHistory{running: map[string]int32{}}
 	}
 	return book.tasks[name]
 }
 
-// note takes in what became of a run on one life of a worker.
-func (book *ledger) note(life string, change wireworker.Change) {
+// recordChange takes in what became of a run on one life of a worker.
+func (book *ledger) recordChange(life string, change wireworker.Change) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	if change.Kind == wireworker.Renewed {
-		book.leases[life] = change.LeaseEnd
+		book.leaseEnds[life] = change.LeaseEnd
 		return
 	}
-	task := book.task(change.Task)
+	task := book.taskHistory(change.Task)
 	switch change.Kind {
 	case wireworker.Started:
-		book.noteStart(task, life, change)
+		book.recordStart(task, life, change)
 	case wireworker.Ended:
 		delete(task.running, life)
 		if change.Reason == "done" {
-			task.done = append(task.done, &doneRun{life: life, attempt: change.Attempt})
+			task.completedRuns = append(task.completedRuns, &completedRun{incarnation: life, attempt: change.Attempt})
 		}
 	case wireworker.Acknowledged:
-		book.noteNoted(task, life, change)
+		book.recordAcknowledgement(task, life, change)
 	}
 }
 
-func (book *ledger) noteStart(task *taskLedger, life string, change wireworker.Change) {
+func (book *ledger) recordStart(task *taskHistory, life string, change wireworker.Change) {
 	book.runs++
 	for other, attempt := range task.running {
-		if !time.Now().Before(book.leases[other]) {
+		if !time.Now().Before(book.leaseEnds[other]) {
 			continue // Its lease has run out; the stand-in is late to end it.
 		}
-		book.breach("TWICE", "%s run %d starts on %s while run %d goes on on %s", change.Task, change.Attempt, life, attempt, other)
+		book.addViolation("TWICE", "%s run %d starts on %s while run %d goes on on %s", change.Task, change.Attempt, life, attempt, other)
 	}
-	if task.noted {
-		book.breach("TWICE", "%s run %d starts on %s after a run was noted as done", change.Task, change.Attempt, life)
+	if task.acknowledgedDone {
+		book.addViolation("TWICE", "%s run %d starts on %s after a run was noted as done", change.Task, change.Attempt, life)
 	}
-	for _, earlier := range task.done {
-		earlier.followed = true
+	for _, earlier := range task.completedRuns {
+		earlier.followedByStart = true
 	}
 	task.running[life] = change.Attempt
-	if holds := book.runningOn(life) * taskMilliCPU; holds > workerMilliCPU {
-		book.breach("LIMIT", "%s run %d starts on %s, which then holds %d thousandths of a core of %d", change.Task, change.Attempt, life, holds, workerMilliCPU)
+	if holds := book.runCount(life) * taskMilliCPU; holds > workerMilliCPU {
+		book.addViolation("LIMIT", "%s run %d starts on %s, which then holds %d thousandths of a core of %d", change.Task, change.Attempt, life, holds, workerMilliCPU)
 	}
 	ref, err := job.ParseTaskRef(change.Task)
 	if err != nil {
-		book.breach("UNASKED", "%s: %v", change.Task, err)
+		book.addViolation("UNASKED", "%s: %v", change.Task, err)
 		return
 	}
-	book.noteJobStart(task, ref, change)
+	book.checkJobStart(task, ref, change)
 }
 
-// runningOn counts the runs on a life.
-func (book *ledger) runningOn(life string) int {
+// runCount counts the runs on a life.
+func (book *ledger) runCount(life string) int {
 	count := 0
 	for _, task := range book.tasks {
 		if _, runs := task.running[life]; runs {
@@ -123,42 +123,42 @@
 	return count
 }
 
-func (book *ledger) noteJobStart(task *taskLedger, ref job.TaskRef, change wireworker.Change) {
+func (book *ledger) checkJobStart(task *taskHistory, ref job.TaskRef, change wireworker.Change) {
 	of, known := book.jobs[ref.Job]
 	if !known {
-		book.breach("UNASKED", "%s was never handed in", change.Task)
+		book.addViolation("UNASKED", "%s was never handed in", change.Task)
 		return
 	}
 	of.started = true
-	if task.failed >= of.attempts {
-		book.breach("BUDGET", "%s run %d starts after %d noted failures", change.Task, change.Attempt, task.failed)
+	if task.acknowledgedFailures >= of.maxAttempts {
+		book.addViolation("BUDGET", "%s run %d starts after %d noted failures", change.Task, change.Attempt, task.acknowledgedFailures)
 	}
 	for step := range ref.Step {
 		for index := range of.steps[step] {
 			before := job.TaskRef{Job: ref.Job, Step: step, Index: index}
-			if len(book.task(fmt.Sprintf("%s.0.%d.%d", before.Job, before.Step, before.Index)).done) == 0 {
-				book.breach("ORDER", "%s starts before task %d of step %d is done", change.Task, index, step)
+			if len(book.taskHistory(fmt.Sprintf("%s.0.%d.%d", before.Job, before.Step, before.Index)).completedRuns) == 0 {
+				book.addViolation("ORDER", "%s starts before task %d of step %d is done", change.Task, index, step)
 			}
 		}
 	}
 }
 
-func (book *ledger) noteNoted(task *taskLedger, life string, change wireworker.Change) {
+func (book *ledger) recordAcknowledgement(task *taskHistory, life string, change wireworker.Change) {
 	switch change.Reason {
 	case "failed":
-		task.failed++
+		task.acknowledgedFailures++
 	case "done":
-		task.noted = true
-		for _, earlier := range task.done {
-			if earlier.life == life && earlier.attempt == change.Attempt && earlier.followed {
-				book.breach("TWICE", "%s run %d on %s is noted as done, and the task was started again after it", change.Task, change.Attempt, life)
+		task.acknowledgedDone = true
+		for _, earlier := range task.completedRuns {
+			if earlier.incarnation == life && earlier.attempt == change.Attempt && earlier.followedByStart {
+				book.addViolation("TWICE", "%s run %d on %s is noted as done, and the task was started again after it", change.Task, change.Attempt, life)
 			}
 		}
 	}
 }
 
-// crash notes that all runs of a life are over without an end.
-func (book *ledger) crash(life string) {
+// recordCrash notes that all runs of a life are over without an end.
+func (book *ledger) recordCrash(life string) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	for _, task := range book.tasks {
@@ -166,22 +166,22 @@
 	}
 }
 
-// handIn notes a job before it is handed in.
-func (book *ledger) handIn(id string, handed *jobLedger) {
+// addJob notes a job before it is handed in.
+func (book *ledger) addJob(id string, handed *jobHistory) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	book.jobs[id] = handed
 }
 
-// change changes what a client has heard of a job.
-func (book *ledger) change(id string, change func(handed *jobLedger)) {
+// updateJob changes what a client has heard of a job.
+func (book *ledger) updateJob(id string, change func(handed *jobHistory)) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	change(book.jobs[id])
 }
 
-// accepted returns the jobs that must end.
-func (book *ledger) accepted() []string {
+// acceptedJobs returns the jobs that must end.
+func (book *ledger) acceptedJobs() []string {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	var ids []string
@@ -198,8 +198,8 @@
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	for id, handed := range book.jobs {
-		if handed.started && !handed.accepted && !handed.unsure {
-			book.breach("REFUSED", "%s was refused at each try, and ran", id)
+		if handed.started && !handed.accepted && !handed.outcomeUnknown {
+			book.addViolation("REFUSED", "%s was refused at each try, and ran", id)
 		}
 	}
 }
@@ -215,23 +215,23 @@
 	for step, count := range handed.steps {
 		for index := range count {
 			name := fmt.Sprintf("%s.0.%d.%d", id, step, index)
-			if len(book.task(name).done) == 0 {
-				book.breach("MIXED", "%s is shown as completed, and %s is not done", id, name)
+			if len(book.taskHistory(name).completedRuns) == 0 {
+				book.addViolation("MIXED", "%s is shown as completed, and %s is not done", id, name)
 			}
 		}
 	}
 }
 
-// lost notes a job that is not known to have ended.
-func (book *ledger) lost(id, state string) {
+// recordLost notes a job that is not known to have ended.
+func (book *ledger) recordLost(id, state string) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
-	book.breach("LOST", "%s is still shown as %q", id, state)
+	book.addViolation("LOST", "%s is still shown as %q", id, state)
 }
 
-// breaches returns what was broken so far, and how many runs there were.
-func (book *ledger) breaches() (broken []string, runs int) {
+// results returns what was broken so far, and how many runs there were.
+func (book *ledger) results() (broken []string, runs int) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
-	return append([]string(nil), book.broken...), book.runs
+	return append([]string(nil), book.violations...), book.runs
 }
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -17,33 +17,33 @@
 
 // process is one program of the system, which may be started again and again.
 type process struct {
-	role, name, ip string
-	binary         string
-	settings, log  string
-	// store is what the process reaches the platform's store by.
-	store *relay.Relay
+	role, name, ip        string
+	binary                string
+	settingsPath, logPath string
+	// storeRelay is what the process reaches the platform's store by.
+	storeRelay *relay.Relay
 
 	mu      sync.Mutex
-	running *exec.Cmd
+	command *exec.Cmd
 	closing bool
 }
 
-// leaseMost is the longest lease that workers take.
-const leaseMost = 10 * time.Second
+// maxLease is the longest lease that workers take.
+const maxLease = 10 * time.Second
 
 // newProcess prepares a process; it runs once it is started.
-func newProcess(ctx context.Context, t *testing.T, made *site, role, name, ip, app string) *process {
+func newProcess(ctx context.Context, t *testing.T, made *deployment, role, name, ip, app string) *process {
 	t.Helper()
-	between, err := relay.New(ctx, made.storeAt)
+	between, err := relay.New(ctx, made.storeAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	prepared := &process{
-		role: role, name: name, ip: ip, binary: made.binary, store: between,
-		settings: filepath.Join(made.dir, name+".toml"), log: filepath.Join(made.dir, name+".log"),
+		role: role, name: name, ip: ip, binary: made.binary, storeRelay: between,
+		settingsPath: filepath.Join(made.dir, name+".toml"), logPath: filepath.Join(made.dir, name+".log"),
 	}
-	file := bootfile.File{NodeName: name, IP: ip, WorkerAddress: app, StoreAddress: between.Address(), MaxLease: leaseMost}
-	if err := file.Write(prepared.settings); err != nil {
+	file := bootfile.File{NodeName: name, IP: ip, WorkerAddress: app, StoreAddress: between.Address(), MaxLease: maxLease}
+	if err := file.Write(prepared.settingsPath); err != nil {
 		t.Fatal(err)
 	}
 	return prepared
@@ -56,36 +56,36 @@
 	if of.closing {
 		return nil
 	}
-	log, err := os.OpenFile(of.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(of.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	command := exec.Command(of.binary, of.role)
-	command.Env = append(os.Environ(), platform.SettingsVariable+"="+of.settings)
+	command.Env = append(os.Environ(), platform.SettingsVariable+"="+of.settingsPath)
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
 		return err
 	}
-	of.running = command
+	of.command = command
 	go func() {
 		// How it ended is in its log.
 		_ = command.Wait()
 		_ = log.Close()
-		time.Sleep(startAgain)
+		time.Sleep(restartDelay)
 		_ = of.start()
 	}()
 	return nil
 }
 
-// startAgain is how long a process that has ended is away.
-const startAgain = 300 * time.Millisecond
+// restartDelay is how long a process that has ended is away.
+const restartDelay = 300 * time.Millisecond
 
 // signal sends the process a signal; one that has just ended gets none.
 func (of *process) signal(what syscall.Signal) {
 	of.mu.Lock()
 	defer of.mu.Unlock()
-	if of.running != nil {
-		_ = of.running.Process.Signal(what)
+	if of.command != nil {
+		_ = of.command.Process.Signal(what)
 	}
 }
 
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -25,40 +25,40 @@
 )
 
 const (
-	gatewayCount = 3
-	shardCount   = 8
-	published    = `{"version":7,"routes":[{"name":"r-1","host":"q.example","path_prefix":"/q/","service":"verbale","attempts":3,"extension":1.5}]}`
-	taskAttempts = 3
+	gatewayCount    = 3
+	shardCount      = 8
+	publishedConfig = `{"version":7,"routes":[{"name":"r-1","host":"q.example","path_prefix":"/q/","service":"verbale","attempts":3,"extension":1.5}]}`
+	maxTaskAttempts = 3
 )
 
-// site is a deployment of real processes over stand-ins for the platform.
-type site struct {
-	dir, binary string
-	store       *wirestore.Store
-	storeAt     string
-	book        *ledger
-	gateways    []*process
-	agents      []*process
-	machines    []*machine
-	// paths are what gateways reach the agents by, in the order of the agents.
-	paths []*relay.Relay
+// deployment is a deployment of real processes over stand-ins for the platform.
+type deployment struct {
+	dir, binary  string
+	store        *wirestore.Store
+	storeAddress string
+	ledger       *ledger
+	gateways     []*process
+	agents       []*process
+	workerHosts  []*workerHost
+	// agentRelays are what gateways reach the agents by, in the order of the agents.
+	agentRelays []*relay.Relay
 	// relayed holds the address of the relay to each agent's own.
-	relayedMu sync.Mutex
-	relayed   map[string]string
+	relayAddressesMu sync.Mutex
+	relayAddresses   map[string]string
 }
 
-// newSite starts a deployment on addresses of loopback that begin with network.
-func newSite(ctx context.Context, t *testing.T, dir, binary, network string, agents int, dated func(number int) bool) *site {
+// newDeployment starts a deployment on addresses of loopback that begin with network.
+func newDeployment(ctx context.Context, t *testing.T, dir, binary, network string, agents int, dated func(number int) bool) *deployment {
 	t.Helper()
-	made := &site{dir: dir, binary: binary, store: wirestore.New(shardCount, time.Now), book: newLedger(), relayed: map[string]string{}}
-	made.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(published))
-	made.store.RewriteAppends(job.TopicAgents, made.relayAgent)
+	made := &deployment{dir: dir, binary: binary, store: wirestore.New(shardCount, time.Now), ledger: newLedger(), relayAddresses: map[string]string{}}
+	made.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(publishedConfig))
+	made.store.RewriteAppends(job.TopicAgents, made.rewriteAgentAddress)
 	server := httptest.NewServer(made.store)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	made.storeAt = strings.TrimPrefix(server.URL, "http://")
+	made.storeAddress = strings.TrimPrefix(server.URL, "http://")
 	for number := range gatewayCount {
 		made.gateways = append(made.gateways, newProcess(ctx, t, made, "gateway", fmt.Sprintf("edge-%d", number), fmt.Sprintf("%s.1.%d", network, number+1), ""))
 	}
@@ -74,9 +74,9 @@
 	return made
 }
 
-func (made *site) addAgent(ctx context.Context, t *testing.T, number int, ip string, dated bool) {
+func (made *deployment) addAgent(ctx context.Context, t *testing.T, number int, ip string, dated bool) {
 	t.Helper()
-	beside := newMachine(fmt.Sprintf("i-%d", number), dated, made.book)
+	beside := newWorkerHost(fmt.Sprintf("i-%d", number), dated, made.ledger)
 	t.Cleanup(func() {
 		beside.server.CloseClientConnections()
 		beside.server.Close()
@@ -86,28 +86,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	made.noteRelay(bootfile.AgentAddress(ip), path.Address())
+	made.addRelayAddress(bootfile.AgentAddress(ip), path.Address())
 	made.agents = append(made.agents, begun)
-	made.machines = append(made.machines, beside)
-	made.paths = append(made.paths, path)
+	made.workerHosts = append(made.workerHosts, beside)
+	made.agentRelays = append(made.agentRelays, path)
 	go beside.run(ctx, bootfile.HeartbeatAddress(ip))
 }
 
-func (made *site) noteRelay(agent, relay string) {
-	made.relayedMu.Lock()
-	defer made.relayedMu.Unlock()
-	made.relayed[agent] = relay
+func (made *deployment) addRelayAddress(agent, relay string) {
+	made.relayAddressesMu.Lock()
+	defer made.relayAddressesMu.Unlock()
+	made.relayAddresses[agent] = relay
 }
 
-// relayAgent has owners reach an agent by its relay.
-func (made *site) relayAgent(value []byte) []byte {
+// rewriteAgentAddress has owners reach an agent by its relay.
+func (made *deployment) rewriteAgentAddress(value []byte) []byte {
 	registered := &job.AgentRecord{}
 	if err := proto.Unmarshal(value, registered); err != nil {
 		return value
 	}
-	made.relayedMu.Lock()
-	defer made.relayedMu.Unlock()
-	if path, found := made.relayed[registered.GetAddress()]; found {
+	made.relayAddressesMu.Lock()
+	defer made.relayAddressesMu.Unlock()
+	if path, found := made.relayAddresses[registered.GetAddress()]; found {
 		registered.Address = path
 	}
 	changed, err := proto.Marshal(registered)
@@ -117,32 +117,32 @@
 	return changed
 }
 
-// isOwner tells the connections of one gateway.
-func isOwner(gateway *process) func(greeting []byte) bool {
+// fromGateway tells the connections of one gateway.
+func fromGateway(gateway *process) func(greeting []byte) bool {
 	return func(greeting []byte) bool { return bytes.Contains(greeting, []byte(gateway.name+"|")) }
 }
 
-func everyone([]byte) bool { return true }
+func fromAny([]byte) bool { return true }
 
-// heal ends everything that goes on from outside.
-func (made *site) heal() {
+// endFaults ends everything that goes on from outside.
+func (made *deployment) endFaults() {
 	made.store.InjectFaults(nil)
-	for _, path := range made.paths {
+	for _, path := range made.agentRelays {
 		path.Resume()
 	}
 	for _, begun := range slices.Concat(made.agents, made.gateways) {
-		begun.store.Resume()
+		begun.storeRelay.Resume()
 	}
-	for _, machine := range made.machines {
-		if worker := machine.current(); worker != nil {
+	for _, machine := range made.workerHosts {
+		if worker := machine.currentWorker(); worker != nil {
 			worker.InjectFaults(nil)
 			worker.ExecuteDelayedStarts()
 		}
 	}
 }
 
-// build builds the program.
-func build(t *testing.T) string {
+// buildBinary builds the program.
+func buildBinary(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "ambertiller")
 	if out, err := exec.Command("go", "build", "-o", binary, "../cmd/ambertiller").CombinedOutput(); err != nil {
@@ -151,10 +151,10 @@
 	return binary
 }
 
-// freeNetwork returns the first two numbers of addresses of loopback that no other soak uses. It
+// reserveNetwork returns the first two numbers of addresses of loopback that no other soak uses. It
 // holds an address there until the test has ended: two soaks on one network would reach each other's
 // processes.
-func freeNetwork(t *testing.T) string {
+func reserveNetwork(t *testing.T) string {
 	t.Helper()
 	for number := range 60 {
 		network := fmt.Sprintf("127.%d", 120+(os.Getpid()+number)%60)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// sufferDefault is how long faults come, settleMost how long accepted jobs may then take
+	// defaultFaultDuration is how long faults come, maxSettleTime how long accepted jobs may then take
 	// to end: it only ends a run that would fail.
-	sufferDefault = 25 * time.Second
-	settleMost    = 90 * time.Second
-	// calmFirst lets the processes find each other.
-	calmFirst     = 3 * time.Second
-	agentsDefault = 6
-	seedDefault   = 6
-	clients       = 2
+	defaultFaultDuration = 25 * time.Second
+	maxSettleTime        = 90 * time.Second
+	// startupDelay lets the processes find each other.
+	startupDelay      = 3 * time.Second
+	defaultAgentCount = 6
+	defaultSeed       = 6
+	clientCount       = 2
 )
 
 // regression is a seed that broke a promise. It is played with the lists of faults that there were then.
 type regression struct {
-	lists int
-	cause string
+	listCount int
+	cause     string
 }
 
-// regressions are the seeds that broke a promise, and by what.
-var regressions = map[uint64]regression{
+// regressionSeeds are the seeds that broke a promise, and by what.
+var regressionSeeds = map[uint64]regression{
 	11:  {1, "an end that its owner was not told outlived the owner's grant"},
 	21:  {1, "the same"},
 	22:  {1, "the same, and an order that came late on an older connection was taken"},
@@ -45,88 +45,88 @@
 	126: {3, "a word on an end that was meant for the agent's process before it named another one to the next"},
 }
 
-// listsOf returns how many lists of faults a seed is played with.
-func listsOf(seed uint64) int {
-	if kept, found := regressions[seed]; found {
-		return kept.lists
+// faultListCount returns how many lists of faults a seed is played with.
+func faultListCount(seed uint64) int {
+	if kept, found := regressionSeeds[seed]; found {
+		return kept.listCount
 	}
 	return len(faultLists)
 }
 
 // TestProcessSoak plays seeds of faults against real processes, side by side.
 func TestProcessSoak(t *testing.T) {
-	binary := build(t)
-	first, count := number(t, "AMBERTILLER_SOAK_SEED", seedDefault), number(t, "AMBERTILLER_SOAK", 1)
+	binary := buildBinary(t)
+	first, count := intFromEnv(t, "AMBERTILLER_SOAK_SEED", defaultSeed), intFromEnv(t, "AMBERTILLER_SOAK", 1)
 	seeds := map[uint64]bool{}
 	for seed := range count {
 		seeds[uint64(first+seed)] = true
 	}
 	if os.Getenv("AMBERTILLER_SOAK_SEED") == "" {
-		for seed := range regressions {
+		for seed := range regressionSeeds {
 			seeds[seed] = true
 		}
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed_%d", seed), func(t *testing.T) {
 			t.Parallel()
-			soakOnce(t, binary, seed)
+			soakSeed(t, binary, seed)
 		})
 	}
 }
 
-func soakOnce(t *testing.T, binary string, seed uint64) {
+func soakSeed(t *testing.T, binary string, seed uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	dir := logsDir(t, seed)
-	made := newSite(ctx, t, dir, binary, freeNetwork(t), number(t, "AMBERTILLER_SOAK_AGENTS", agentsDefault), datedOf(seed))
+	made := newDeployment(ctx, t, dir, binary, reserveNetwork(t), intFromEnv(t, "AMBERTILLER_SOAK_AGENTS", defaultAgentCount), startTimeReporters(seed))
 	log := openLog(t, dir)
-	sleep(ctx, calmFirst)
-	suffering, end := context.WithTimeout(ctx, lasting(t))
+	sleep(ctx, startupDelay)
+	suffering, end := context.WithTimeout(ctx, faultDuration(t))
 	defer end()
 	caller := newClient(made)
-	for part := range clients {
+	for part := range clientCount {
 		go caller.run(suffering, rand.New(rand.NewPCG(seed, uint64(part))))
 	}
-	made.suffer(suffering, seed, log)
-	sleep(ctx, askWithin) // The last calls end.
-	settle(ctx, made, caller)
-	made.book.checkRefused()
-	broken, runs := made.book.breaches()
+	made.injectFaults(suffering, seed, log)
+	sleep(ctx, callTimeout) // The last calls end.
+	waitForJobs(ctx, made, caller)
+	made.ledger.checkRefused()
+	broken, runs := made.ledger.results()
 	for _, breach := range broken {
 		log("BROKEN %s", breach)
 		t.Error(breach)
 	}
-	t.Logf("seed %d: %d jobs accepted, %d runs, %d promises broken", seed, len(made.book.accepted()), runs, len(broken))
+	t.Logf("seed %d: %d jobs accepted, %d runs, %d promises broken", seed, len(made.ledger.acceptedJobs()), runs, len(broken))
 }
 
-// datedOf tells which machines have workers that say when they started: by the seed two of three, and none in
+// startTimeReporters tells which machines have workers that say when they started: by the seed two of three, and none in
 // a seed that broke a promise before there were such workers.
-func datedOf(seed uint64) func(number int) bool {
-	if listsOf(seed) < 3 {
+func startTimeReporters(seed uint64) func(number int) bool {
+	if faultListCount(seed) < 3 {
 		return func(int) bool { return false }
 	}
 	return func(number int) bool { return (uint64(number)+seed)%3 != 0 }
 }
 
-// settle waits until what was accepted has ended.
-func settle(ctx context.Context, made *site, caller *client) {
-	deadline := time.Now().Add(settleMost)
-	for turn, id := range made.book.accepted() {
-		state := caller.state(ctx, id, turn)
+// waitForJobs waits until what was accepted has ended.
+func waitForJobs(ctx context.Context, made *deployment, caller *client) {
+	deadline := time.Now().Add(maxSettleTime)
+	for turn, id := range made.ledger.acceptedJobs() {
+		state := caller.jobState(ctx, id, turn)
 		for state != "completed" && state != "failed" && time.Now().Before(deadline) {
 			sleep(ctx, 100*time.Millisecond)
 			turn++
-			state = caller.state(ctx, id, turn)
+			state = caller.jobState(ctx, id, turn)
 		}
 		if state != "completed" && state != "failed" {
-			made.book.lost(id, state)
+			made.ledger.recordLost(id, state)
 		}
-		made.book.checkEnded(id, state)
+		made.ledger.checkEnded(id, state)
 	}
 }
 
-// number reads a count from a variable.
-func number(t *testing.T, variable string, otherwise int) int {
+// intFromEnv reads a count from a variable.
+func intFromEnv(t *testing.T, variable string, otherwise int) int {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
@@ -139,12 +139,12 @@
 	return count
 }
 
-// lasting returns how long faults come.
-func lasting(t *testing.T) time.Duration {
+// faultDuration returns how long faults come.
+func faultDuration(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("AMBERTILLER_SOAK_FOR")
 	if text == "" {
-		return sufferDefault
+		return defaultFaultDuration
 	}
 	length, err := time.ParseDuration(text)
 	if err != nil {
--- a/soak/worker_test.go
+++ b/soak/worker_test.go
@@ -18,85 +18,87 @@
 )
 
 const (
-	beatEvery = 1100 * time.Millisecond
+	heartbeatInterval = 1100 * time.Millisecond
 	// workerMilliCPU is what a worker has.
 	workerMilliCPU = 8000
-	// lapseEvery is how often a worker's lease is looked at.
-	lapseEvery = 5 * time.Millisecond
-	// workLeast and workMost are what a run works, failShare the share of runs that fail.
-	workLeast = 150 * time.Millisecond
-	workMost  = 1200 * time.Millisecond
-	failShare = 0.02
+	// leaseCheckInterval is how often a worker's lease is looked at.
+	leaseCheckInterval = 5 * time.Millisecond
+	// minRunTime and maxRunTime are what a run works, failShare the share of runs that fail.
+	minRunTime = 150 * time.Millisecond
+	maxRunTime = 1200 * time.Millisecond
+	failShare  = 0.02
 )
 
-// machine is one worker after the other at one address.
-type machine struct {
+// workerHost is one worker after the other at one address.
+type workerHost struct {
 	name   string
-	book   *ledger
+	ledger *ledger
 	server *httptest.Server
-	// dated has its workers say when they started: they may start again under their id.
-	dated bool
-
-	mu       sync.Mutex
-	lives    int
-	ids      int // how many ids its workers have had
-	worker   *wireworker.Worker
-	sequence int64
-	downTill time.Time
-	silent   chan struct{} // closed once the worker answers again; nil while it does
+	// reportsStartTime has its workers say when they started: they may start again under their id.
+	reportsStartTime bool
+
+	mu               sync.Mutex
+	incarnationCount int
+	idCount          int // how many ids its workers have had
+	worker           *wireworker.Worker
+	sequence         int64
+	downUntil        time.Time
+	resumed          chan struct{} // closed once the worker answers again; nil while it does
 }
 
-func newMachine(name string, dated bool, book *ledger) *machine {
-	made := &machine{name: name, dated: dated, book: book}
-	made.live(nil)
+func newWorkerHost(name string, dated bool, book *ledger) *workerHost {
+	made := &workerHost{name: name, reportsStartTime: dated, ledger: book}
+	made.startIncarnation(nil)
 	made.server = httptest.NewServer(made)
 	return made
 }
 
 // address is where the worker is called.
-func (machine *machine) address() string { return strings.TrimPrefix(machine.server.URL, "http://") }
+func (machine *workerHost) address() string { return strings.TrimPrefix(machine.server.URL, "http://") }
 
-// live begins the next life, with the lock held or before anyone knows of the machine: one that was made
+// startIncarnation begins the next life, with the lock held or before anyone knows of the machine: one that was made
 // under the id of the life before, or nil for one with an id of its own.
-func (machine *machine) live(worker *wireworker.Worker) {
-	machine.lives++
+func (machine *workerHost) startIncarnation(worker *wireworker.Worker) {
+	machine.incarnationCount++
 	machine.sequence = 0
 	if worker == nil {
-		machine.ids++
-		worker = machine.anotherWorker()
+		machine.idCount++
+		worker = machine.newWorker()
 	}
-	life := machine.lifeName()
+	life := machine.incarnationName()
 	worker.OnChange(func(change wireworker.Change) {
-		machine.book.note(life, change)
+		machine.ledger.recordChange(life, change)
 		if change.Kind == wireworker.Started {
-			machine.endLater(worker, change)
+			machine.scheduleEnd(worker, change)
 		}
 	})
 	machine.worker = worker
 }
 
-func (machine *machine) anotherWorker() *wireworker.Worker {
-	if machine.dated {
-		return wireworker.NewWithStartTime(machine.id(), clockwork.NewRealClock())
+func (machine *workerHost) newWorker() *wireworker.Worker {
+	if machine.reportsStartTime {
+		return wireworker.NewWithStartTime(machine.workerID(), clockwork.NewRealClock())
 	}
-	return wireworker.New(machine.id(), clockwork.NewRealClock())
+	return wireworker.New(machine.workerID(), clockwork.NewRealClock())
 }
 
-// id is what the present worker calls itself.
-func (machine *machine) id() string { return fmt.Sprintf("%s-id-%d", machine.name, machine.ids) }
+// workerID is what the present worker calls itself.
+func (machine *workerHost) workerID() string {
+	return fmt.Sprintf("%s-id-%d", machine.name, machine.idCount)
+}
 
-// lifeName names the present life in the ledger.
-func (machine *machine) lifeName() string {
-	return fmt.Sprintf("%s-life-%d", machine.name, machine.lives)
+// incarnationName names the present life in the ledger.
+func (machine *workerHost) incarnationName() string {
+	return fmt.Sprintf("%s-life-%d", machine.name, machine.incarnationCount)
 }
 
-// endLater has a run end once it has worked.
-func (machine *machine) endLater(worker *wireworker.Worker, begun wireworker.Change) {
+// scheduleEnd has a run end once it has worked.
+func (machine *workerHost) scheduleEnd(worker *wireworker.Worker, begun wireworker.Change) {
 	how := "done"
 	if rand.Float64() < failShare {
 		how = "failed"
 	}
-	work := workLeast + rand.N(workMost-workLeast)
+	work := minRunTime + rand.N(maxRunTime-minRunTime)
 	time.AfterFunc(work, func() {
 		machine.mu.Lock()
 		lives := machine.worker == worker
@@ -107,20 +109,20 @@
 	})
 }
 
-// current returns the life that stands there, nil while none does.
-func (machine *machine) current() *wireworker.Worker {
+// currentWorker returns the life that stands there, nil while none does.
+func (machine *workerHost) currentWorker() *wireworker.Worker {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
-	if time.Now().Before(machine.downTill) {
+	if time.Now().Before(machine.downUntil) {
 		return nil
 	}
 	return machine.worker
 }
 
 // ServeHTTP is the worker's address.
-func (machine *machine) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
+func (machine *workerHost) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
 	machine.mu.Lock()
-	silent, arrivedAt := machine.silent, machine.lives
+	silent, arrivedAt := machine.resumed, machine.incarnationCount
 	machine.mu.Unlock()
 	if silent != nil {
 		// What has arrived is carried out once the worker goes on, also if nobody waits.
@@ -131,67 +133,67 @@
 		<-silent
 		request.Body = io.NopCloser(bytes.NewReader(body))
 	}
-	worker := machine.current()
-	if worker == nil || silent != nil && machine.livesSince(arrivedAt) {
+	worker := machine.currentWorker()
+	if worker == nil || silent != nil && machine.hasRestartedSince(arrivedAt) {
 		// What a process held up ends with it.
 		panic(http.ErrAbortHandler)
 	}
 	worker.ServeHTTP(answer, request)
 }
 
-// livesSince reports whether another life has begun since there were so many.
-func (machine *machine) livesSince(lives int) bool {
+// hasRestartedSince reports whether another life has begun since there were so many.
+func (machine *workerHost) hasRestartedSince(lives int) bool {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
-	return machine.lives != lives
+	return machine.incarnationCount != lives
 }
 
 // crash ends the present life; the next one, with an id of its own, stands there after a while.
-func (machine *machine) crash(away time.Duration) {
-	machine.end(away, func(over *wireworker.Worker) *wireworker.Worker {
+func (machine *workerHost) crash(away time.Duration) {
+	machine.replaceWorker(away, func(over *wireworker.Worker) *wireworker.Worker {
 		over.Stop()
 		return nil
 	})
 }
 
-// startAgain is crash for a worker that starts again under its id, if it is one that says when it started.
-func (machine *machine) startAgain(away time.Duration) {
-	if !machine.dated {
+// restartDelay is crash for a worker that starts again under its id, if it is one that says when it started.
+func (machine *workerHost) restart(away time.Duration) {
+	if !machine.reportsStartTime {
 		machine.crash(away)
 		return
 	}
-	machine.end(away, (*wireworker.Worker).Restart)
+	machine.replaceWorker(away, (*wireworker.Worker).Restart)
 }
 
-func (machine *machine) end(away time.Duration, next func(over *wireworker.Worker) *wireworker.Worker) {
+func (machine *workerHost) replaceWorker(away time.Duration, next func(over *wireworker.Worker) *wireworker.Worker) {
 	machine.mu.Lock()
-	machine.downTill = time.Now().Add(away)
-	over := machine.lifeName()
-	machine.live(next(machine.worker))
+	machine.downUntil = time.Now().Add(away)
+	over := machine.incarnationName()
+	machine.startIncarnation(next(machine.worker))
 	machine.mu.Unlock()
 	machine.server.CloseClientConnections()
-	machine.book.crash(over)
+	machine.ledger.recordCrash(over)
 }
 
 // hang has the worker answer nothing until what it returns is called.
-func (machine *machine) hang() (goOn func()) {
+func (machine *workerHost) hang() (goOn func()) {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
 	silent := make(chan struct{})
-	machine.silent = silent
+	machine.resumed = silent
 	return func() {
 		machine.mu.Lock()
 		defer machine.mu.Unlock()
-		if machine.silent == silent {
-			machine.silent = nil
+		if machine.resumed == silent {
+			machine.resumed = nil
 		}
 		close(silent)
 	}
 }
 
 // run sends heartbeats to the agent and looks at the lease until ctx ends.
-func (machine *machine) run(ctx context.Context, control string) {
-	beats, lapses := time.NewTicker(beatEvery), time.NewTicker(lapseEvery)
+func (machine *workerHost) run(ctx context.Context, control string) {
+	beats, lapses := time.NewTicker(heartbeatInterval), time.NewTicker(leaseCheckInterval)
 	defer beats.Stop()
 	defer lapses.Stop()
 	for {
@@ -199,21 +201,21 @@
 		case <-ctx.Done():
 			return
 		case <-beats.C:
-			go machine.beat(ctx, control)
+			go machine.sendHeartbeat(ctx, control)
 		case <-lapses.C:
-			if worker := machine.current(); worker != nil {
+			if worker := machine.currentWorker(); worker != nil {
 				worker.RunningCount()
 			}
 		}
 	}
 }
 
-func (machine *machine) beat(ctx context.Context, control string) {
+func (machine *workerHost) sendHeartbeat(ctx context.Context, control string) {
 	machine.mu.Lock()
 	machine.sequence++
-	id, sequence, down := machine.id(), machine.sequence, time.Now().Before(machine.downTill)
+	id, sequence, down := machine.workerID(), machine.sequence, time.Now().Before(machine.downUntil)
 	born := ""
-	if machine.dated {
+	if machine.reportsStartTime {
 		born = fmt.Sprintf(`,"born":%d`, machine.worker.StartTime())
 	}
 	machine.mu.Unlock()
