--- a/session/answer_test.go
+++ b/session/answer_test.go
@@ -15,26 +15,26 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-// sessionWith returns a session all of whose backend servers are the handler.
-func sessionWith(t *testing.T, handler http.HandlerFunc) *bench {
+// newSessionWithBackend returns a session all of whose backend servers are the handler.
+func newSessionWithBackend(t *testing.T, handler http.HandlerFunc) *harness {
 	t.Helper()
-	made := newBench(t)
-	made.backend = handler
-	made.fill()
+	made := newHarness(t)
+	made.backendOverride = handler
+	made.startAll()
 	return made
 }
 
-// breakOff ends a response before it is whole.
-func breakOff(writer http.ResponseWriter) {
+// abortResponse ends a response before it is whole.
+func abortResponse(writer http.ResponseWriter) {
 	_ = http.NewResponseController(writer).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-const largeBytes = 1 << 20
+const largeBodyBytes = 1 << 20
 
-// TestAnswers: an answer reaches the caller whole and to the caller's own
+// TestBackendResponses: an answer reaches the caller whole and to the caller's own
 // request, or not as an answer at all.
-func TestAnswers(t *testing.T) {
+func TestBackendResponses(t *testing.T) {
 	tests := map[string]struct {
 		backend http.HandlerFunc
 		status  int
@@ -66,30 +66,30 @@
 		},
 		"large": {
 			func(writer http.ResponseWriter, _ *http.Request) {
-				_, _ = writer.Write(bytes.Repeat([]byte("x"), largeBytes))
+				_, _ = writer.Write(bytes.Repeat([]byte("x"), largeBodyBytes))
 			},
-			http.StatusOK, "", strings.Repeat("x", largeBytes), false,
+			http.StatusOK, "", strings.Repeat("x", largeBodyBytes), false,
 		},
 		"half of a small one": {
 			func(writer http.ResponseWriter, _ *http.Request) {
 				writer.Header().Set("Content-Length", "10")
 				_, _ = io.WriteString(writer, "half")
-				breakOff(writer)
+				abortResponse(writer)
 			},
 			http.StatusBadGateway, api.OutcomeUnknown, "", false,
 		},
 		"half of a small one of unknown length": {
 			func(writer http.ResponseWriter, _ *http.Request) {
 				_, _ = io.WriteString(writer, "half")
-				breakOff(writer)
+				abortResponse(writer)
 			},
 			http.StatusBadGateway, api.OutcomeUnknown, "", false,
 		},
 		"half of a large one": {
 			func(writer http.ResponseWriter, _ *http.Request) {
-				writer.Header().Set("Content-Length", strconv.Itoa(largeBytes))
-				_, _ = writer.Write(bytes.Repeat([]byte("x"), largeBytes/2))
-				breakOff(writer)
+				writer.Header().Set("Content-Length", strconv.Itoa(largeBodyBytes))
+				_, _ = writer.Write(bytes.Repeat([]byte("x"), largeBodyBytes/2))
+				abortResponse(writer)
 			},
 			http.StatusOK, "", "", true,
 		},
@@ -107,10 +107,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := sessionWith(t, test.backend)
+			made := newSessionWithBackend(t, test.backend)
 			request := httptest.NewRequestWithContext(made.ctx, http.MethodPost, "/v1/services/verbale/snippets", strings.NewReader("x"))
 			answer := httptest.NewRecorder()
-			broken := serveRecorded(made.entries["entry-1"].handler, answer, request)
+			broken := serveHTTP(made.entries["entry-1"].handler, answer, request)
 			if broken != test.broken || answer.Code != test.status {
 				t.Fatalf("broken off: %t, status %d", broken, answer.Code)
 			}
@@ -133,9 +133,9 @@
 	}
 }
 
-// echo sends the body back, once it has all of it: net/http drops the rest of
+// echoBody sends the body back, once it has all of it: net/http drops the rest of
 // a body when its answer has begun.
-func echo(writer http.ResponseWriter, request *http.Request) {
+func echoBody(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -143,16 +143,16 @@
 	_, _ = writer.Write(body)
 }
 
-// brokenReader gives a few bytes and then fails, as a caller who goes away.
-type brokenReader struct{ left int }
+// truncatedReader gives a few bytes and then fails, as a caller who goes away.
+type truncatedReader struct{ remaining int }
 
 // Read implements io.Reader.
-func (reader *brokenReader) Read(into []byte) (int, error) {
-	if reader.left == 0 {
+func (reader *truncatedReader) Read(into []byte) (int, error) {
+	if reader.remaining == 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
-	count := min(len(into), reader.left)
-	reader.left -= count
+	count := min(len(into), reader.remaining)
+	reader.remaining -= count
 	return count, nil
 }
 
@@ -173,16 +173,16 @@
 		"streamed":                    {strings.NewReader(strings.Repeat("x", 500_000)), 500_000, http.StatusOK, "", 500_000},
 		"streamed, of unknown length": {strings.NewReader(strings.Repeat("x", 500_000)), -1, http.StatusOK, "", 500_000},
 		"too large":                   {strings.NewReader(strings.Repeat("x", 2<<20)), 2 << 20, http.StatusRequestEntityTooLarge, api.OutcomeNotRun, 0},
-		"broken off while small":      {&brokenReader{left: 10}, 100, http.StatusBadRequest, api.OutcomeNotRun, 0},
-		"broken off while streamed":   {&brokenReader{left: 300_000}, 500_000, http.StatusBadGateway, api.OutcomeUnknown, 0},
+		"broken off while small":      {&truncatedReader{remaining: 10}, 100, http.StatusBadRequest, api.OutcomeNotRun, 0},
+		"broken off while streamed":   {&truncatedReader{remaining: 300_000}, 500_000, http.StatusBadGateway, api.OutcomeUnknown, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			made := sessionWith(t, echo)
+			made := newSessionWithBackend(t, echoBody)
 			request := httptest.NewRequestWithContext(made.ctx, http.MethodPost, "/v1/services/verbale/snippets", test.body)
 			request.ContentLength = test.length
 			answer := httptest.NewRecorder()
-			serveRecorded(made.entries["entry-1"].handler, answer, request)
+			serveHTTP(made.entries["entry-1"].handler, answer, request)
 			if answer.Code != test.status {
 				t.Fatalf("status %d: %.200s", answer.Code, answer.Body)
 			}
@@ -194,18 +194,18 @@
 	}
 }
 
-// TestRepeatableIsTriedElsewhere: a repeatable request whose backend server
+// TestRepeatableRequestRetried: a repeatable request whose backend server
 // breaks off is answered by another one; one that is not repeatable isn't sent
 // a second time.
-func TestRepeatableIsTriedElsewhere(t *testing.T) {
+func TestRepeatableRequestRetried(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		t.Run(fmt.Sprint("repeatable ", repeatable), func(t *testing.T) {
 			made := newSession(t)
 			made.kill("worker-01")
-			made.backends["worker-01"] = brokenBackend
+			made.backends["worker-01"] = abortingBackend
 			made.startGuard("worker-01", "milano-a")
 			made.report("worker-01", "worker-02")
-			answer := made.doQuiet("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x",
+			answer := made.doRequest("entry-1", http.MethodPost, "/v1/services/verbale/bill", "x",
 				api.HeaderRepeatable, fmt.Sprint(repeatable), api.HeaderIdempotencyKey, "bill-7")
 			if whole := answer.Code == http.StatusOK; whole != repeatable {
 				t.Errorf("status %d: %s", answer.Code, answer.Body)
--- a/session/claims_test.go
+++ b/session/claims_test.go
@@ -17,18 +17,18 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-// lossyWay loses some appends before and some after they took effect, as drawn
+// lossyLog loses some appends before and some after they took effect, as drawn
 // from a seed.
-type lossyWay struct {
+type lossyLog struct {
 	*standin.Log
-	mu    sync.Mutex
-	draws *rand.Rand
+	mu     sync.Mutex
+	random *rand.Rand
 }
 
 // Append implements logservice.Service.
-func (way *lossyWay) Append(ctx context.Context, stream string, data []byte) (int64, error) {
+func (way *lossyLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	way.mu.Lock()
-	fault := way.draws.IntN(6)
+	fault := way.random.IntN(6)
 	way.mu.Unlock()
 	switch fault {
 	case 0:
@@ -59,14 +59,14 @@
 	_, _ = fmt.Fprintf(writer, "billed %s", key)
 }
 
-func (backend *countingBackend) count(key string) int {
+func (backend *countingBackend) runCount(key string) int {
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
 	return backend.runs[key]
 }
 
-// whileTimePasses runs work while the clock goes on by itself.
-func (made *bench) whileTimePasses(work func()) {
+// runWhileAdvancing runs work while the clock goes on by itself.
+func (made *harness) runWhileAdvancing(work func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -77,28 +77,28 @@
 		case <-done:
 			return
 		default:
-			made.tick(time.Millisecond)
+			made.advanceClock(time.Millisecond)
 			made.log.ExpireReads()
 			runtime.Gosched()
 		}
 	}
 }
 
-// ends counts how the requests with one key ended.
-type ends struct {
-	mu     sync.Mutex
-	whole  int
-	notRun int
-	other  int
+// outcomeCounts counts how the requests with one key ended.
+type outcomeCounts struct {
+	mu        sync.Mutex
+	succeeded int
+	notRun    int
+	other     int
 }
 
-func (counted *ends) add(status int, body []byte, want string) {
+func (counted *outcomeCounts) add(status int, body []byte, want string) {
 	counted.mu.Lock()
 	defer counted.mu.Unlock()
 	var problem api.Problem
 	switch {
 	case status == http.StatusOK && string(body) == want:
-		counted.whole++
+		counted.succeeded++
 	case json.Unmarshal(body, &problem) == nil && problem.Outcome == api.OutcomeNotRun:
 		counted.notRun++
 	default:
@@ -106,30 +106,30 @@
 	}
 }
 
-// TestNotRepeatableRunsAtMostOnce sends the same keys to both entries at the
+// TestNonRepeatableRunsAtMostOnce sends the same keys to both entries at the
 // same time, over a log that loses appends and answers and with a backend
 // server that breaks off. No key runs twice, and a key all of whose requests
 // were called not run has not run.
-func TestNotRepeatableRunsAtMostOnce(t *testing.T) {
+func TestNonRepeatableRunsAtMostOnce(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			made := newBench(t)
+			made := newHarness(t)
 			backend := &countingBackend{runs: map[string]int{}}
-			made.backend = backend
-			made.fill()
+			made.backendOverride = backend
+			made.startAll()
 			for _, seated := range made.entries {
-				seated.log.set(&lossyWay{Log: made.log, draws: rand.New(rand.NewPCG(seed, 7))})
+				seated.log.set(&lossyLog{Log: made.log, random: rand.New(rand.NewPCG(seed, 7))})
 			}
 			const keys = 20
-			counts := make([]ends, keys)
-			made.whileTimePasses(func() { made.sendKeys(counts) })
+			counts := make([]outcomeCounts, keys)
+			made.runWhileAdvancing(func() { made.sendDuplicates(counts) })
 			for number := range keys {
-				key, counted := keyOf(number), &counts[number]
-				runs := backend.count(key)
-				if runs > 1 || counted.whole > runs {
-					t.Errorf("%s ran %d times and was answered %d times", key, runs, counted.whole)
+				key, counted := idempotencyKey(number), &counts[number]
+				runs := backend.runCount(key)
+				if runs > 1 || counted.succeeded > runs {
+					t.Errorf("%s ran %d times and was answered %d times", key, runs, counted.succeeded)
 				}
-				if counted.whole+counted.other == 0 && runs > 0 {
+				if counted.succeeded+counted.other == 0 && runs > 0 {
 					t.Errorf("%s was called not run and ran", key)
 				}
 			}
@@ -137,15 +137,15 @@
 	}
 }
 
-func keyOf(number int) string { return fmt.Sprintf("key-%d", number) }
+func idempotencyKey(number int) string { return fmt.Sprintf("key-%d", number) }
 
-func (made *bench) sendKeys(counts []ends) {
+func (made *harness) sendDuplicates(counts []outcomeCounts) {
 	var callers sync.WaitGroup
 	for number := range counts {
 		for _, name := range []string{"entry-1", "entry-2", "entry-1"} {
 			callers.Go(func() {
-				key := keyOf(number)
-				answer := made.doQuiet(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, key)
+				key := idempotencyKey(number)
+				answer := made.doRequest(name, http.MethodPost, "/v1/services/verbale/bill", "x", api.HeaderRepeatable, "false", api.HeaderIdempotencyKey, key)
 				counts[number].add(answer.Code, answer.Body.Bytes(), "billed "+key)
 			})
 		}
--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -10,9 +10,9 @@
 	"ambertiller.example/ambertiller/changelog"
 )
 
-// mostAppendsPerTask bounds what a task's life costs in the log when nothing
+// maxAppendsPerTask bounds what a task's life costs in the log when nothing
 // else shares its appends: submitted, assigned, running, finished.
-const mostAppendsPerTask = 4
+const maxAppendsPerTask = 4
 
 // TestAppendsPerTask runs batch jobs from submission to result, at sizes, and
 // counts what they cost in the log.
@@ -23,17 +23,17 @@
 			appends, bytes := made.log.Appends(), made.log.StreamBytes(changelog.RecordStream)
 			for number := range jobs {
 				body := `{"team":"councils","kind":"transcription","processors":1,"memory":"1GiB","run_time":"1s","input":"seduta"}`
-				if answer := made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, fmt.Sprint(number)); answer.Code != http.StatusCreated {
+				if answer := made.doRequest("entry-1", http.MethodPost, "/v1/tasks", body, api.HeaderIdempotencyKey, fmt.Sprint(number)); answer.Code != http.StatusCreated {
 					t.Fatalf("status %d: %s", answer.Code, answer.Body)
 				}
 			}
-			made.finish()
-			made.place("entry-1", "entry-2")
+			made.waitBackground()
+			made.placePending("entry-1", "entry-2")
 			made.report("worker-01", "worker-02")
-			made.pass(2 * time.Second)
+			made.advance(2 * time.Second)
 			made.report("worker-01", "worker-02")
 			appends, bytes = made.log.Appends()-appends, made.log.StreamBytes(changelog.RecordStream)-bytes
-			if appends > int64(mostAppendsPerTask*jobs) {
+			if appends > int64(maxAppendsPerTask*jobs) {
 				t.Errorf("%d appends for %d jobs", appends, jobs)
 			}
 			t.Logf("%d jobs: %.2f appends and %d bytes for each", jobs, float64(appends)/float64(jobs), bytes/jobs)
--- a/session/network_test.go
+++ b/session/network_test.go
@@ -11,27 +11,27 @@
 // network connects addresses in memory. A cut address can't be dialled, and
 // its connections are broken off.
 type network struct {
-	mu        sync.Mutex
-	listeners map[string]*pipeListener
-	cut       map[string]bool
+	mu           sync.Mutex
+	listeners    map[string]*pipeListener
+	disconnected map[string]bool
 }
 
 func newNetwork() *network {
-	return &network{listeners: map[string]*pipeListener{}, cut: map[string]bool{}}
+	return &network{listeners: map[string]*pipeListener{}, disconnected: map[string]bool{}}
 }
 
 func (links *network) dial(ctx context.Context, address string) (net.Conn, error) {
 	links.mu.Lock()
 	listener, found := links.listeners[address]
-	cut := links.cut[address]
+	cut := links.disconnected[address]
 	links.mu.Unlock()
 	if !found || cut {
 		return nil, errors.New("connection refused")
 	}
 	near, far := net.Pipe()
 	select {
-	case listener.accepted <- far:
-		listener.add(near)
+	case listener.incoming <- far:
+		listener.addConn(near)
 		return near, nil
 	case <-listener.closed:
 		return nil, errors.New("connection refused")
@@ -43,38 +43,38 @@
 func (links *network) listen(address string) *pipeListener {
 	links.mu.Lock()
 	defer links.mu.Unlock()
-	listener := &pipeListener{accepted: make(chan net.Conn), closed: make(chan struct{}), address: address}
+	listener := &pipeListener{incoming: make(chan net.Conn), closed: make(chan struct{}), address: address}
 	links.listeners[address] = listener
 	return listener
 }
 
-// setCut cuts an address off, or joins it again.
-func (links *network) setCut(address string, cut bool) {
+// setDisconnected cuts an address off, or joins it again.
+func (links *network) setDisconnected(address string, cut bool) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
-	links.cut[address] = cut
+	links.disconnected[address] = cut
 	if listener := links.listeners[address]; cut && listener != nil {
-		listener.breakOff()
+		listener.closeConns()
 	}
 }
 
 type pipeListener struct {
-	accepted chan net.Conn
-	closed   chan struct{}
-	once     sync.Once
-	address  string
+	incoming  chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
+	address   string
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-func (listener *pipeListener) add(conn net.Conn) {
+func (listener *pipeListener) addConn(conn net.Conn) {
 	listener.mu.Lock()
 	defer listener.mu.Unlock()
 	listener.conns = append(listener.conns, conn)
 }
 
-func (listener *pipeListener) breakOff() {
+func (listener *pipeListener) closeConns() {
 	listener.mu.Lock()
 	defer listener.mu.Unlock()
 	for _, conn := range listener.conns {
@@ -85,7 +85,7 @@
 
 func (listener *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-listener.accepted:
+	case conn := <-listener.incoming:
 		return conn, nil
 	case <-listener.closed:
 		return nil, net.ErrClosed
@@ -93,7 +93,7 @@
 }
 
 func (listener *pipeListener) Close() error {
-	listener.once.Do(func() { close(listener.closed) })
+	listener.closeOnce.Do(func() { close(listener.closed) })
 	return nil
 }
 
--- a/session/ownership_test.go
+++ b/session/ownership_test.go
@@ -10,27 +10,27 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-// ownership collects what the workers say of begins and ends, in order.
-type ownership struct {
-	mu   sync.Mutex
-	seen []standin.Observation
+// observationLog collects what the workers say of begins and ends, in order.
+type observationLog struct {
+	mu           sync.Mutex
+	observations []standin.Observation
 }
 
-func (owned *ownership) note(observation standin.Observation) {
+func (owned *observationLog) record(observation standin.Observation) {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
-	owned.seen = append(owned.seen, observation)
+	owned.observations = append(owned.observations, observation)
 }
 
-func (owned *ownership) all() []standin.Observation {
+func (owned *observationLog) all() []standin.Observation {
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
-	return append([]standin.Observation(nil), owned.seen...)
+	return append([]standin.Observation(nil), owned.observations...)
 }
 
-// heldBy is the state of the ownership model: which worker runs the task, and
+// ownershipState is the state of the ownership model: which worker runs the task, and
 // how far it has come.
-type heldBy struct {
+type ownershipState struct {
 	worker   string
 	progress time.Duration
 }
@@ -51,65 +51,65 @@
 		}
 		return parts
 	},
-	Init: func() any { return heldBy{} },
+	Init: func() any { return ownershipState{} },
 	Step: func(before, input, _ any) (bool, any) {
-		held, seen := before.(heldBy), input.(standin.Observation)
+		held, seen := before.(ownershipState), input.(standin.Observation)
 		if seen.Ended {
-			return held.worker == seen.Worker, heldBy{progress: seen.Progress}
+			return held.worker == seen.Worker, ownershipState{progress: seen.Progress}
 		}
-		return held.worker == "" && seen.Progress <= held.progress, heldBy{worker: seen.Worker, progress: seen.Progress}
+		return held.worker == "" && seen.Progress <= held.progress, ownershipState{worker: seen.Worker, progress: seen.Progress}
 	},
 }
 
 // checkOwnership checks everything that the workers began and ended.
-func (made *bench) checkOwnership() porcupine.CheckResult {
+func (made *harness) checkOwnership() porcupine.CheckResult {
 	var history []porcupine.Operation
-	for index, seen := range made.owned.all() {
+	for index, seen := range made.observations.all() {
 		at := int64(index)
 		history = append(history, porcupine.Operation{Input: seen, Call: at, Return: at})
 	}
 	return porcupine.CheckOperationsTimeout(ownershipModel, history, time.Minute)
 }
 
-// loseWorker cuts a worker's guard off from everything until its task must
+// partitionWorker cuts a worker's guard off from everything until its task must
 // have been moved, and lets it come back.
-func loseWorker(made *bench) {
-	made.placeTask("t-1")
-	made.links.setCut("worker-01:rpc", true)
-	made.unreachable["worker-01"] = true
+func partitionWorker(made *harness) {
+	made.startTask("t-1")
+	made.network.setDisconnected("worker-01:rpc", true)
+	made.blockedReports["worker-01"] = true
 	for range 60 {
-		made.pass(time.Minute)
+		made.advance(time.Minute)
 		made.report("worker-02")
-		made.clean()
-		made.place("entry-1", "entry-2")
+		made.runMaintenance()
+		made.placePending("entry-1", "entry-2")
 		made.report("worker-02")
 	}
-	made.links.setCut("worker-01:rpc", false)
-	made.unreachable["worker-01"] = false
+	made.network.setDisconnected("worker-01:rpc", false)
+	made.blockedReports["worker-01"] = false
 	made.report("worker-01", "worker-02")
 }
 
-// TestOwnershipWhenAWorkerIsCutOff: the task of a worker that is cut off goes
+// TestOwnershipDuringPartition: the task of a worker that is cut off goes
 // on elsewhere once its lease must have ended, and never runs twice.
-func TestOwnershipWhenAWorkerIsCutOff(t *testing.T) {
+func TestOwnershipDuringPartition(t *testing.T) {
 	made := newSession(t)
-	loseWorker(made)
+	partitionWorker(made)
 	if result := made.checkOwnership(); result != porcupine.Ok {
-		t.Fatalf("%s: %+v", result, made.owned.all())
+		t.Fatalf("%s: %+v", result, made.observations.all())
 	}
-	if seen := made.owned.all(); len(seen) != 3 || seen[2].Worker != "worker-02" {
+	if seen := made.observations.all(); len(seen) != 3 || seen[2].Worker != "worker-02" {
 		t.Errorf("the task did not move: %+v", seen)
 	}
 }
 
-// TestOwnershipCatchesABrokenWorker breaks the workers on purpose: they run on
+// TestOwnershipCheckDetectsViolation breaks the workers on purpose: they run on
 // after a lease has ended. The check must see it.
-func TestOwnershipCatchesABrokenWorker(t *testing.T) {
-	made := newBench(t)
+func TestOwnershipCheckDetectsViolation(t *testing.T) {
+	made := newHarness(t)
 	made.ignoreLeases = true
-	made.fill()
-	loseWorker(made)
+	made.startAll()
+	partitionWorker(made)
 	if result := made.checkOwnership(); result != porcupine.Illegal {
-		t.Errorf("the check says %s of %+v", result, made.owned.all())
+		t.Errorf("the check says %s of %+v", result, made.observations.all())
 	}
 }
--- a/session/part_test.go
+++ b/session/part_test.go
@@ -9,23 +9,23 @@
 	"ambertiller.example/ambertiller/membership"
 )
 
-// TestPartlyCutOff: a guard reaches only the entry that does not act for its
+// TestPartialPartition: a guard reaches only the entry that does not act for its
 // worker. The other one suspects it; because somebody hears it, its task runs
 // on where it is.
-func TestPartlyCutOff(t *testing.T) {
+func TestPartialPartition(t *testing.T) {
 	made := newSession(t)
-	id := made.placeTask("t-1")
-	made.unreachable["worker-01 to "+membership.Owner("worker-01", bothEntries)] = true
+	id := made.startTask("t-1")
+	made.blockedReports["worker-01 to "+membership.Owner("worker-01", entryNames)] = true
 	for range 2 * 60 * 4 {
-		made.pass(15 * time.Second)
+		made.advance(15 * time.Second)
 		made.report("worker-01", "worker-02")
-		made.clean()
-		made.place(bothEntries...)
+		made.runMaintenance()
+		made.placePending(entryNames...)
 	}
 	if task := made.task("entry-1", id); task.Phase != "running" || task.Worker != "worker-01" || task.Attempt != 1 {
 		t.Errorf("the task is %s on %q in attempt %d: %s", task.Phase, task.Worker, task.Attempt, task.Reason)
 	}
 	if result := made.checkOwnership(); result != porcupine.Ok {
-		t.Errorf("%s: %+v", result, made.owned.all())
+		t.Errorf("%s: %+v", result, made.observations.all())
 	}
 }
--- a/session/startfail_test.go
+++ b/session/startfail_test.go
@@ -9,51 +9,51 @@
 	"ambertiller.example/ambertiller/api"
 )
 
-// TestWorkerThatFailsEveryStart: a worker that fails what it starts is left
+// TestWorkerFailingStartsIsAvoided: a worker that fails what it starts is left
 // alone after three failures, however attractive the policy finds it.
-func TestWorkerThatFailsEveryStart(t *testing.T) {
+func TestWorkerFailingStartsIsAvoided(t *testing.T) {
 	made := newSession(t)
 	made.kill("entry-2")
-	made.pass(15 * time.Second)
-	made.doQuiet("entry-1", http.MethodPut, "/v1/documents/policy-placement", `{"based_on":0,"content":"worker.name == 'worker-01' ? 1 : 0"}`)
+	made.advance(15 * time.Second)
+	made.doRequest("entry-1", http.MethodPut, "/v1/documents/policy-placement", `{"based_on":0,"content":"worker.name == 'worker-01' ? 1 : 0"}`)
 	made.catchUp()
 	made.workers["worker-01"].FailStarts(true)
-	made.report(bothWorkers...)
+	made.report(workerNames...)
 	for number, attempts := range []uint64{2, 2, 2, 1, 1} {
-		id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderIdempotencyKey, fmt.Sprint(number)).Body.Bytes())
-		made.finish()
-		made.place("entry-1")
-		made.place("entry-1")
-		made.report(bothWorkers...)
+		id := parseTaskID(t, made.doRequest("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderIdempotencyKey, fmt.Sprint(number)).Body.Bytes())
+		made.waitBackground()
+		made.placePending("entry-1")
+		made.placePending("entry-1")
+		made.report(workerNames...)
 		if task := made.task("entry-1", id); task.Worker != "worker-02" || task.Attempt != attempts {
 			t.Errorf("task %d is %s on %q in attempt %d: %s", number, task.Phase, task.Worker, task.Attempt, task.Reason)
 		}
 	}
 	// After a while it is tried again.
 	made.workers["worker-01"].FailStarts(false)
-	made.pass(time.Minute)
-	made.report(bothWorkers...)
-	id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderIdempotencyKey, "later").Body.Bytes())
-	made.place("entry-1")
-	made.report(bothWorkers...)
+	made.advance(time.Minute)
+	made.report(workerNames...)
+	id := parseTaskID(t, made.doRequest("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderIdempotencyKey, "later").Body.Bytes())
+	made.placePending("entry-1")
+	made.report(workerNames...)
 	if task := made.task("entry-1", id); task.Worker != "worker-01" || task.Phase != "running" {
 		t.Errorf("the task is %s on %q", task.Phase, task.Worker)
 	}
 }
 
-// TestTaskThatNobodyStarts: a task that five starts failed is failed, and does
+// TestTaskFailsAfterMaxStartFailures: a task that five starts failed is failed, and does
 // not go round for ever.
-func TestTaskThatNobodyStarts(t *testing.T) {
+func TestTaskFailsAfterMaxStartFailures(t *testing.T) {
 	made := newSession(t)
-	for _, name := range bothWorkers {
+	for _, name := range workerNames {
 		made.workers[name].FailStarts(true)
 	}
-	id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderIdempotencyKey, "t-1").Body.Bytes())
+	id := parseTaskID(t, made.doRequest("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody, api.HeaderIdempotencyKey, "t-1").Body.Bytes())
 	for range 20 {
-		made.place(bothEntries...)
-		made.pass(20 * time.Second)
-		made.report(bothWorkers...)
-		made.clean()
+		made.placePending(entryNames...)
+		made.advance(20 * time.Second)
+		made.report(workerNames...)
+		made.runMaintenance()
 	}
 	if task := made.task("entry-1", id); task.Phase != "failed" || task.Attempt != 5 {
 		t.Errorf("the task is %s after attempt %d: %s", task.Phase, task.Attempt, task.Reason)
--- a/session/switchedlog_test.go
+++ b/session/switchedlog_test.go
@@ -9,39 +9,39 @@
 	"ambertiller.example/ambertiller/logservice"
 )
 
-// switchedLog is one entry's way to the log, which can be cut.
-type switchedLog struct {
-	mu  sync.Mutex
-	way logservice.Service
+// switchableLog is one entry's way to the log, which can be cut.
+type switchableLog struct {
+	mu      sync.Mutex
+	service logservice.Service
 }
 
-var errCut = errors.New("the way to the log is cut")
+var errLogDisconnected = errors.New("the way to the log is cut")
 
 // set changes the way to the log; nil cuts it.
-func (switched *switchedLog) set(way logservice.Service) {
+func (switched *switchableLog) set(way logservice.Service) {
 	switched.mu.Lock()
 	defer switched.mu.Unlock()
-	switched.way = way
+	switched.service = way
 }
 
-func (switched *switchedLog) get() logservice.Service {
+func (switched *switchableLog) get() logservice.Service {
 	switched.mu.Lock()
 	defer switched.mu.Unlock()
-	return switched.way
+	return switched.service
 }
 
 // Append implements logservice.Service.
-func (switched *switchedLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
+func (switched *switchableLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	if way := switched.get(); way != nil {
 		return way.Append(ctx, stream, data)
 	}
-	return 0, errCut
+	return 0, errLogDisconnected
 }
 
 // Read implements logservice.Service.
-func (switched *switchedLog) Read(ctx context.Context, stream string, options logservice.ReadOptions) (logservice.Page, error) {
+func (switched *switchableLog) Read(ctx context.Context, stream string, options logservice.ReadOptions) (logservice.Page, error) {
 	if way := switched.get(); way != nil {
 		return way.Read(ctx, stream, options)
 	}
-	return logservice.Page{}, errCut
+	return logservice.Page{}, errLogDisconnected
 }
--- a/session/throttle_test.go
+++ b/session/throttle_test.go
@@ -23,22 +23,22 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			made := newSession(t)
-			id := idOf(t, made.doQuiet("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody).Body.Bytes())
-			made.finish()
-			made.place(bothEntries...)
-			made.report(bothWorkers...)
-			if answer := made.doQuiet("entry-2", http.MethodPut, "/v1/tasks/"+id+"/throttle", test.body); answer.Code != test.status {
+			id := parseTaskID(t, made.doRequest("entry-1", http.MethodPost, "/v1/tasks", transcriptionBody).Body.Bytes())
+			made.waitBackground()
+			made.placePending(entryNames...)
+			made.report(workerNames...)
+			if answer := made.doRequest("entry-2", http.MethodPut, "/v1/tasks/"+id+"/throttle", test.body); answer.Code != test.status {
 				t.Fatalf("status %d: %s", answer.Code, answer.Body)
 			}
-			made.pass(4 * time.Second)
-			made.report(bothWorkers...)
+			made.advance(4 * time.Second)
+			made.report(workerNames...)
 			if task := made.task("entry-1", id); task.Phase != test.phase {
 				t.Errorf("the task is %s", task.Phase)
 			}
 		})
 	}
 	made := newSession(t)
-	if answer := made.doQuiet("entry-1", http.MethodPut, "/v1/tasks/none/throttle", `{"share":1}`); answer.Code != http.StatusNotFound {
+	if answer := made.doRequest("entry-1", http.MethodPut, "/v1/tasks/none/throttle", `{"share":1}`); answer.Code != http.StatusNotFound {
 		t.Errorf("status %d", answer.Code)
 	}
 }
--- a/session/transcript_test.go
+++ b/session/transcript_test.go
@@ -12,9 +12,9 @@
 // transcript collects what was said and logged. IDs are replaced by numbers in
 // the order of their first appearance.
 type transcript struct {
-	mu    sync.Mutex
-	lines []string
-	names map[string]string
+	mu           sync.Mutex
+	lines        []string
+	placeholders map[string]string
 }
 
 var uuidPattern = regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
@@ -25,7 +25,7 @@
 	said.lines = append(said.lines, fmt.Sprintf("%-9s | %s", who, text))
 }
 
-func (said *transcript) step(title string) {
+func (said *transcript) addHeading(title string) {
 	said.mu.Lock()
 	defer said.mu.Unlock()
 	said.lines = append(said.lines, "", "# "+title)
@@ -36,17 +36,17 @@
 	defer said.mu.Unlock()
 	joined := strings.TrimSpace(strings.Join(said.lines, "\n")) + "\n"
 	return uuidPattern.ReplaceAllStringFunc(joined, func(id string) string {
-		if _, known := said.names[id]; !known {
-			said.names[id] = fmt.Sprintf("<id-%d>", len(said.names)+1)
+		if _, known := said.placeholders[id]; !known {
+			said.placeholders[id] = fmt.Sprintf("<id-%d>", len(said.placeholders)+1)
 		}
-		return said.names[id]
+		return said.placeholders[id]
 	})
 }
 
 // lineWriter puts log lines into a transcript.
 type lineWriter struct {
-	said *transcript
-	name string
+	transcript *transcript
+	name       string
 }
 
 // Write implements io.Writer.
@@ -56,6 +56,6 @@
 	if strings.Contains(string(line), fmt.Sprintf("event=%d ", event.ReadFailed)) {
 		return len(line), nil
 	}
-	lines.said.add(lines.name, "logs "+strings.TrimSpace(string(line)))
+	lines.transcript.add(lines.name, "logs "+strings.TrimSpace(string(line)))
 	return len(line), nil
 }
