--- a/standin/wireworker/serve.go
+++ b/standin/wireworker/serve.go
@@ -153,7 +153,7 @@
 	if wait {
 		select {
 		case <-changed:
-		case <-worker.clocks.After(time.Duration(body.WaitMs) * time.Millisecond):
+		case <-worker.clock.After(time.Duration(body.WaitMs) * time.Millisecond):
 		case <-request.Context().Done():
 			return
 		}
--- a/standin/wireworker/wireworker.go
+++ b/standin/wireworker/wireworker.go
@@ -65,7 +65,7 @@
 // Worker is an in-memory worker. It is an http.Handler and safe for concurrent use.
 type Worker struct {
 	incarnation string
-	clocks      clockwork.Clock
+	clock       clockwork.Clock
 
 	// startTime is when this incarnation started, in milliseconds since the Unix epoch; 0 if it is not
 	// reported.
@@ -96,7 +96,7 @@
 // New returns a worker without runs that does not report its start time.
 func New(incarnation string, clock clockwork.Clock) *Worker {
 	return &Worker{
-		incarnation: incarnation, clocks: clock, startedAt: clock.Now(),
+		incarnation: incarnation, clock: clock, startedAt: clock.Now(),
 		running: map[string]*run{}, highestAttempts: map[string]int32{}, changed: make(chan struct{}), onChange: func(Change) {},
 	}
 }
@@ -118,7 +118,7 @@
 // Restart ends this incarnation and returns the next one, which has the same ID and a later start time. Runs,
 // ends and the lease are lost. Delayed starts are not: the new incarnation can still carry them out.
 func (worker *Worker) Restart() *Worker {
-	next := NewWithStartTime(worker.incarnation, worker.clocks)
+	next := NewWithStartTime(worker.incarnation, worker.clock)
 	next.startTime = max(next.startTime, worker.startTime+1)
 	worker.Stop()
 	worker.mu.Lock()
@@ -283,7 +283,7 @@
 
 // clockMs returns the reading of the worker's clock in milliseconds.
 func (worker *Worker) clockMs() int64 {
-	return worker.clocks.Now().Sub(worker.startedAt).Milliseconds() + initialClockMs
+	return worker.clock.Now().Sub(worker.startedAt).Milliseconds() + initialClockMs
 }
 
 // expireLease ends all runs if the lease has expired. The lock must be held.
