--- a/soak/fault_test.go
+++ b/soak/fault_test.go
@@ -13,227 +13,232 @@
 )
 
 const (
-	// baseFaultInterval is the pause between two faults, on average, reloadFaultInterval the same of reloadFaults.
+	// baseFaultInterval is the mean time between two of baseFaults, and reloadFaultInterval between two of
+	// reloadFaults.
 	baseFaultInterval   = 700 * time.Millisecond
 	reloadFaultInterval = 4 * time.Second
-	// restartFaultInterval is the same of restartFaults.
+	// restartFaultInterval is the mean time between two of restartFaults.
 	restartFaultInterval = 2 * time.Second
-	// storeFaultInterval is the same of storeFaults, maxStoreOutage how long the store is away as a whole at most.
+	// storeFaultInterval is the mean time between two of storeFaults, and maxStoreOutage bounds how long the
+	// whole store is unavailable.
 	storeFaultInterval = 6 * time.Second
 	maxStoreOutage     = 6 * time.Second
-	// maxShortFault and maxLongFault bound how long a fault lasts: runs on an agent that is silent are
-	// taken for over after 5.8 s, and after a change of owner after 11.8 s.
+	// maxShortFault and maxLongFault bound the duration of a fault. Faults end before and after the time at
+	// which an owner considers the runs on a silent agent over: 5.8 s, or 11.8 s after a change of owner.
 	maxShortFault = 3 * time.Second
 	maxLongFault  = 13 * time.Second
 )
 
-// fault is something that befalls the site for a while. What it chooses it draws before it waits.
+// fault is a fault of limited duration that is injected into a deployment. It draws its choices before it
+// waits.
 type fault struct {
 	name   string
-	inject func(ctx context.Context, made *deployment, draw *rand.Rand)
+	inject func(ctx context.Context, d *deployment, rng *rand.Rand)
 }
 
-// baseFaults are what befalls a site. Each is drawn as often as any other.
+// baseFaults are the faults of networks, processes, store calls and workers, all equally likely.
 var baseFaults = []fault{
-	{"path of one owner held up", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		path, whose := made.agentRelays[draw.IntN(len(made.agentRelays))], fromGateway(made.gateways[draw.IntN(gatewayCount)])
-		pauseRelays(ctx, draw, whose, path)
+	{"one owner's connections to an agent paused", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		agentRelay, matches := d.agentRelays[rng.IntN(len(d.agentRelays))], fromGateway(d.gateways[rng.IntN(gatewayCount)])
+		pauseRelays(ctx, rng, matches, agentRelay)
 	}},
-	{"paths to an agent held up", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		pauseRelays(ctx, draw, fromAny, made.agentRelays[draw.IntN(len(made.agentRelays))])
+	{"all connections to an agent paused", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		pauseRelays(ctx, rng, fromAny, d.agentRelays[rng.IntN(len(d.agentRelays))])
 	}},
-	{"paths of an owner held up", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		pauseRelays(ctx, draw, fromGateway(made.gateways[draw.IntN(gatewayCount)]), made.agentRelays...)
+	{"one owner's connections to all agents paused", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		pauseRelays(ctx, rng, fromGateway(d.gateways[rng.IntN(gatewayCount)]), d.agentRelays...)
 	}},
-	{"open connections to an agent silent", func(_ context.Context, made *deployment, draw *rand.Rand) {
-		toServer, toClient := drawDirections(draw)
-		made.agentRelays[draw.IntN(len(made.agentRelays))].DiscardTraffic(toServer, toClient)
+	{"traffic on open connections to an agent discarded", func(_ context.Context, d *deployment, rng *rand.Rand) {
+		toServer, toClient := drawDirections(rng)
+		d.agentRelays[rng.IntN(len(d.agentRelays))].DiscardTraffic(toServer, toClient)
 	}},
-	{"connections to an agent reset", func(_ context.Context, made *deployment, draw *rand.Rand) {
-		made.agentRelays[draw.IntN(len(made.agentRelays))].Reset()
+	{"connections to an agent reset", func(_ context.Context, d *deployment, rng *rand.Rand) {
+		d.agentRelays[rng.IntN(len(d.agentRelays))].Reset()
 	}},
-	{"store of one process held up", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		pauseRelays(ctx, draw, fromAny, made.drawProcess(draw).storeRelay)
+	{"store connections of a process paused", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		pauseRelays(ctx, rng, fromAny, d.drawProcess(rng).storeRelay)
 	}},
-	{"store of one process reset", func(_ context.Context, made *deployment, draw *rand.Rand) {
-		made.drawProcess(draw).storeRelay.Reset()
+	{"store connections of a process reset", func(_ context.Context, d *deployment, rng *rand.Rand) {
+		d.drawProcess(rng).storeRelay.Reset()
 	}},
-	{"process paused", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		made.drawProcess(draw).pause(ctx, drawDuration(draw))
+	{"process paused", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		d.drawProcess(rng).pause(ctx, drawDuration(rng))
 	}},
-	{"process killed", func(_ context.Context, made *deployment, draw *rand.Rand) {
-		made.drawProcess(draw).signal(syscall.SIGKILL)
+	{"process killed", func(_ context.Context, d *deployment, rng *rand.Rand) {
+		d.drawProcess(rng).signal(syscall.SIGKILL)
 	}},
-	{"process stopped", func(_ context.Context, made *deployment, draw *rand.Rand) {
-		made.drawProcess(draw).signal(syscall.SIGTERM)
+	{"process stopped", func(_ context.Context, d *deployment, rng *rand.Rand) {
+		d.drawProcess(rng).signal(syscall.SIGTERM)
 	}},
-	{"store busy or without answers", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		kind := []wirestore.Fault{wirestore.FaultUnavailable, wirestore.FaultLostResponse, wirestore.FaultReset}[draw.IntN(3)]
-		share := 0.2 + 0.8*draw.Float64()
-		made.store.InjectFaults(func(string) wirestore.Fault {
+	{"some store calls failing", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		kind := []wirestore.Fault{wirestore.FaultUnavailable, wirestore.FaultLostResponse, wirestore.FaultReset}[rng.IntN(3)]
+		share := 0.2 + 0.8*rng.Float64()
+		d.store.InjectFaults(func(string) wirestore.Fault {
 			if rand.Float64() < share {
 				return kind
 			}
 			return wirestore.FaultNone
 		})
-		sleep(ctx, drawDuration(draw))
-		made.store.InjectFaults(nil)
+		sleep(ctx, drawDuration(rng))
+		d.store.InjectFaults(nil)
 	}},
-	{"orders unanswered", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		struck := made.workerHosts[draw.IntN(len(made.workerHosts))].currentWorker()
-		lasts, share := drawDuration(draw), draw.Float64()
-		if struck == nil {
+	{"some orders to a worker failing", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		worker := d.workerHosts[rng.IntN(len(d.workerHosts))].currentWorker()
+		duration, share := drawDuration(rng), rng.Float64()
+		if worker == nil {
 			return
 		}
-		struck.InjectFaults(func(string) wireworker.Fault {
+		worker.InjectFaults(func(string) wireworker.Fault {
 			if rand.Float64() >= share {
 				return wireworker.FaultNone
 			}
 			return []wireworker.Fault{wireworker.FaultLostResponse, wireworker.FaultReset, wireworker.FaultDelayed}[rand.IntN(3)]
 		})
-		sleep(ctx, lasts)
-		struck.InjectFaults(nil)
-		struck.ExecuteDelayedStarts()
+		sleep(ctx, duration)
+		worker.InjectFaults(nil)
+		worker.ExecuteDelayedStarts()
 	}},
-	{"worker crashes", func(_ context.Context, made *deployment, draw *rand.Rand) {
-		made.workerHosts[draw.IntN(len(made.workerHosts))].crash(drawDuration(draw))
+	{"worker crashes", func(_ context.Context, d *deployment, rng *rand.Rand) {
+		d.workerHosts[rng.IntN(len(d.workerHosts))].crash(drawDuration(rng))
 	}},
-	{"worker hangs", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		goOn := made.workerHosts[draw.IntN(len(made.workerHosts))].hang()
-		sleep(ctx, drawDuration(draw))
-		goOn()
+	{"worker hangs", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		resume := d.workerHosts[rng.IntN(len(d.workerHosts))].hang()
+		sleep(ctx, drawDuration(rng))
+		resume()
 	}},
 }
 
-// faultLists are the lists of faults, each drawn on its own: what a seed draws of one stays the same when another
-// one is added at the end.
+// faultLists are the lists of faults. Each list has its own random number generator, so that a seed still
+// draws the same faults from it when another list is appended.
 var faultLists = []struct {
-	faults []fault
-	every  time.Duration
+	faults   []fault
+	interval time.Duration
 }{{baseFaults, baseFaultInterval}, {reloadFaults, reloadFaultInterval}, {restartFaults, restartFaultInterval}, {storeFaults, storeFaultInterval}}
 
-// storeFaults are those of the store as a whole.
+// storeFaults are faults that affect the whole store.
 var storeFaults = []fault{
-	{"store away", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		kind := []wirestore.Fault{wirestore.FaultNoResponse, wirestore.FaultReset, wirestore.FaultUnavailable}[draw.IntN(3)]
-		made.store.InjectFaults(func(string) wirestore.Fault { return kind })
-		sleep(ctx, time.Duration(draw.Int64N(int64(maxStoreOutage))))
-		made.store.InjectFaults(nil)
+	{"store unavailable", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		kind := []wirestore.Fault{wirestore.FaultNoResponse, wirestore.FaultReset, wirestore.FaultUnavailable}[rng.IntN(3)]
+		d.store.InjectFaults(func(string) wirestore.Fault { return kind })
+		sleep(ctx, time.Duration(rng.Int64N(int64(maxStoreOutage))))
+		d.store.InjectFaults(nil)
 	}},
-	{"store without its history", func(_ context.Context, made *deployment, _ *rand.Rand) {
-		made.store.Compact()
+	{"store compacted", func(_ context.Context, d *deployment, _ *rand.Rand) {
+		d.store.Compact()
 	}},
 }
 
-// reloadFaults strike a process without taking anything from it.
+// reloadFaults have a process reload its settings, without interrupting it.
 var reloadFaults = []fault{
-	{"settings read again", func(_ context.Context, made *deployment, draw *rand.Rand) {
-		made.drawProcess(draw).signal(syscall.SIGHUP)
+	{"settings reloaded", func(_ context.Context, d *deployment, rng *rand.Rand) {
+		d.drawProcess(rng).signal(syscall.SIGHUP)
 	}},
 }
 
-// restartFaults are those of workers that start again. What strikes the
-// agent meanwhile has it miss the end of a life, or two of them.
+// restartFaults have workers restart. A fault of the agent at the same time causes it to miss the end of an
+// incarnation, or of two of them.
 var restartFaults = []fault{
-	{"worker starts again", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		restartWorker(ctx, made.workerHosts[draw.IntN(len(made.workerHosts))], draw)
+	{"worker restarts", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		restartWorker(ctx, d.workerHosts[rng.IntN(len(d.workerHosts))], rng)
 	}},
-	{"worker starts again, its agent paused", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		number := draw.IntN(len(made.workerHosts))
-		restartDuringFault(ctx, made, number, draw, func() { made.agents[number].pause(ctx, drawDuration(draw)) })
+	{"worker restarts while its agent is paused", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		index := rng.IntN(len(d.workerHosts))
+		restartDuringFault(ctx, d, index, rng, func() { d.agents[index].pause(ctx, drawDuration(rng)) })
 	}},
-	{"worker starts again, its agent killed", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		number := draw.IntN(len(made.workerHosts))
-		restartDuringFault(ctx, made, number, draw, func() { made.agents[number].signal(syscall.SIGKILL) })
+	{"worker restarts while its agent is killed", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		index := rng.IntN(len(d.workerHosts))
+		restartDuringFault(ctx, d, index, rng, func() { d.agents[index].signal(syscall.SIGKILL) })
 	}},
-	{"worker starts again, its agent cut off", func(ctx context.Context, made *deployment, draw *rand.Rand) {
-		number := draw.IntN(len(made.workerHosts))
-		restartDuringFault(ctx, made, number, draw, func() { pauseRelays(ctx, draw, fromAny, made.agentRelays[number], made.agents[number].storeRelay) })
+	{"worker restarts while its agent is disconnected", func(ctx context.Context, d *deployment, rng *rand.Rand) {
+		index := rng.IntN(len(d.workerHosts))
+		restartDuringFault(ctx, d, index, rng, func() { pauseRelays(ctx, rng, fromAny, d.agentRelays[index], d.agents[index].storeRelay) })
 	}},
 }
 
-// restartDuringFault has a worker start again while something befalls its agent.
-func restartDuringFault(ctx context.Context, made *deployment, number int, draw *rand.Rand, befalls func()) {
-	own := rand.New(rand.NewPCG(draw.Uint64(), 0))
-	var striking sync.WaitGroup
-	striking.Go(befalls)
-	sleep(ctx, time.Duration(own.Int64N(int64(maxDowntime))))
-	restartWorker(ctx, made.workerHosts[number], own)
-	striking.Wait()
+// restartDuringFault restarts a worker while a fault is injected into its agent. The restart has its own
+// random number generator because both draw concurrently.
+func restartDuringFault(ctx context.Context, d *deployment, index int, rng *rand.Rand, injectAgentFault func()) {
+	restartRNG := rand.New(rand.NewPCG(rng.Uint64(), 0))
+	var wg sync.WaitGroup
+	wg.Go(injectAgentFault)
+	sleep(ctx, time.Duration(restartRNG.Int64N(int64(maxDowntime))))
+	restartWorker(ctx, d.workerHosts[index], restartRNG)
+	wg.Wait()
 }
 
-// maxDowntime is how long a worker that starts again is away at most, which is less than its lease. Two of three
-// times it starts again once, else twice in a row; now and then under an id of its own.
+// maxDowntime bounds how long a restarting worker is down. It is shorter than the worker's lease.
 const maxDowntime = 1500 * time.Millisecond
 
-// restartWorker has a worker be away once or twice.
-func restartWorker(ctx context.Context, struck *workerHost, draw *rand.Rand) {
-	for range 1 + draw.IntN(3)/2 {
-		away := time.Duration(draw.Int64N(int64(maxDowntime)))
-		if draw.IntN(4) == 0 {
-			struck.crash(away)
+// restartWorker restarts a worker: once in two of three cases, otherwise twice in a row. One restart in four
+// gives the worker a new ID.
+func restartWorker(ctx context.Context, host *workerHost, rng *rand.Rand) {
+	for range 1 + rng.IntN(3)/2 {
+		downtime := time.Duration(rng.Int64N(int64(maxDowntime)))
+		if rng.IntN(4) == 0 {
+			host.crash(downtime)
 		} else {
-			struck.restart(away)
+			host.restart(downtime)
 		}
-		sleep(ctx, away+time.Duration(draw.Int64N(int64(maxDowntime))))
+		sleep(ctx, downtime+time.Duration(rng.Int64N(int64(maxDowntime))))
 	}
 }
 
-// drawProcess draws a process.
-func (made *deployment) drawProcess(draw *rand.Rand) *process {
-	if draw.IntN(2) == 0 {
-		return made.gateways[draw.IntN(len(made.gateways))]
+// drawProcess draws a gateway or an agent. Both kinds are equally likely.
+func (d *deployment) drawProcess(rng *rand.Rand) *process {
+	if rng.IntN(2) == 0 {
+		return d.gateways[rng.IntN(len(d.gateways))]
 	}
-	return made.agents[draw.IntN(len(made.agents))]
+	return d.agents[rng.IntN(len(d.agents))]
 }
 
-// pauseRelays holds relays up for a while, in directions that it draws.
-func pauseRelays(ctx context.Context, draw *rand.Rand, whose func(greeting []byte) bool, relays ...*relay.Relay) {
-	toServer, toClient := drawDirections(draw)
-	for _, between := range relays {
-		between.Pause(whose, toServer, toClient)
+// pauseRelays pauses the connections of relays that match, for a duration and in directions that it draws.
+func pauseRelays(ctx context.Context, rng *rand.Rand, matches func(greeting []byte) bool, relays ...*relay.Relay) {
+	toServer, toClient := drawDirections(rng)
+	for _, r := range relays {
+		r.Pause(matches, toServer, toClient)
 	}
-	sleep(ctx, drawDuration(draw))
-	for _, between := range relays {
-		between.Resume()
+	sleep(ctx, drawDuration(rng))
+	for _, r := range relays {
+		r.Resume()
 	}
 }
 
-// drawDirections draws one direction or both.
-func drawDirections(draw *rand.Rand) (toServer, toClient bool) {
-	chosen := draw.IntN(4)
-	return chosen != 0, chosen != 1
+// drawDirections draws one direction or both: each direction alone in one case of four, both in two of four.
+func drawDirections(rng *rand.Rand) (toServer, toClient bool) {
+	choice := rng.IntN(4)
+	return choice != 0, choice != 1
 }
 
-// drawDuration draws how long a fault lasts: half of them are short.
-func drawDuration(draw *rand.Rand) time.Duration {
-	if draw.IntN(2) == 0 {
-		return time.Duration(draw.Int64N(int64(maxShortFault)))
+// drawDuration draws the duration of a fault: half of them up to maxShortFault, half up to maxLongFault.
+func drawDuration(rng *rand.Rand) time.Duration {
+	if rng.IntN(2) == 0 {
+		return time.Duration(rng.Int64N(int64(maxShortFault)))
 	}
-	return time.Duration(draw.Int64N(int64(maxLongFault)))
+	return time.Duration(rng.Int64N(int64(maxLongFault)))
 }
 
-// injectFaults strikes the site with faults that overlap until ctx ends, and waits for the last of them.
-func (made *deployment) injectFaults(ctx context.Context, seed uint64, log func(format string, about ...any)) {
-	var striking sync.WaitGroup
-	for number, list := range faultLists[:faultListCount(seed)] {
-		striking.Go(func() { made.injectFaultsOf(ctx, list.faults, list.every, seed, seed+uint64(number), log) })
+// injectFaults injects overlapping faults until ctx is done, waits for them, and ends those that remain.
+func (d *deployment) injectFaults(ctx context.Context, seed uint64, log func(format string, about ...any)) {
+	var wg sync.WaitGroup
+	for index, list := range faultLists[:faultListCount(seed)] {
+		wg.Go(func() { d.injectFaultsOf(ctx, list.faults, list.interval, seed, seed+uint64(index), log) })
 	}
-	striking.Wait()
-	made.endFaults()
+	wg.Wait()
+	d.endFaults()
 }
 
-// injectFaultsOf draws faults of a list, with a pause between two of them, until ctx ends, and waits for them.
-func (made *deployment) injectFaultsOf(ctx context.Context, of []fault, every time.Duration, seed, stream uint64, log func(format string, about ...any)) {
-	draw := rand.New(rand.NewPCG(seed, stream))
-	var striking sync.WaitGroup
+// injectFaultsOf injects faults of a list, at random intervals, until ctx is done, and waits for the last of
+// them.
+func (d *deployment) injectFaultsOf(ctx context.Context, faults []fault, interval time.Duration, seed, stream uint64, log func(format string, about ...any)) {
+	rng := rand.New(rand.NewPCG(seed, stream))
+	var wg sync.WaitGroup
 	for ctx.Err() == nil {
-		chosen := of[draw.IntN(len(of))]
-		own := rand.New(rand.NewPCG(draw.Uint64(), seed))
-		pause := time.Duration(draw.Int64N(int64(2 * every)))
-		log("%.3f %s", time.Since(made.ledger.startedAt).Seconds(), chosen.name)
-		striking.Go(func() { chosen.inject(ctx, made, own) })
+		selected := faults[rng.IntN(len(faults))]
+		faultRNG := rand.New(rand.NewPCG(rng.Uint64(), seed))
+		pause := time.Duration(rng.Int64N(int64(2 * interval)))
+		log("%.3f %s", time.Since(d.ledger.startedAt).Seconds(), selected.name)
+		wg.Go(func() { selected.inject(ctx, d, faultRNG) })
 		sleep(ctx, pause)
 	}
-	striking.Wait()
+	wg.Wait()
 }
--- a/soak/ledger_caught_test.go
+++ b/soak/ledger_caught_test.go
@@ -9,108 +9,109 @@
 	"ambertiller.example/ambertiller/standin/wireworker"
 )
 
-// TestLedgerDetectsViolations breaks each promise once, and keeps each once where that is close.
+// TestLedgerDetectsViolations checks that the ledger reports a violation of each guarantee, and none for
+// similar sequences of events that are allowed.
 func TestLedgerDetectsViolations(t *testing.T) {
 	const (
-		id     = "0123456789abcdef"
-		task   = id + ".0.0.0"
-		after  = id + ".0.1.0"
-		first  = "i-1-life-1"
-		second = "i-2-life-1"
+		id             = "0123456789abcdef"
+		task           = id + ".0.0.0"
+		secondStepTask = id + ".0.1.0"
+		firstWorker    = "i-1-life-1"
+		secondWorker   = "i-2-life-1"
 	)
-	start := func(book *ledger, life string, attempt int32) {
-		book.recordChange(life, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(time.Hour)})
-		book.recordChange(life, wireworker.Change{Kind: wireworker.Started, Task: task, Attempt: attempt})
+	start := func(l *ledger, incarnation string, attempt int32) {
+		l.recordChange(incarnation, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(time.Hour)})
+		l.recordChange(incarnation, wireworker.Change{Kind: wireworker.Started, Task: task, Attempt: attempt})
 	}
-	end := func(book *ledger, life string, attempt int32, how string) {
-		book.recordChange(life, wireworker.Change{Kind: wireworker.Ended, Task: task, Attempt: attempt, Reason: how})
+	end := func(l *ledger, incarnation string, attempt int32, reason string) {
+		l.recordChange(incarnation, wireworker.Change{Kind: wireworker.Ended, Task: task, Attempt: attempt, Reason: reason})
 	}
-	noted := func(book *ledger, life string, attempt int32, how string) {
-		book.recordChange(life, wireworker.Change{Kind: wireworker.Acknowledged, Task: task, Attempt: attempt, Reason: how})
+	acknowledge := func(l *ledger, incarnation string, attempt int32, reason string) {
+		l.recordChange(incarnation, wireworker.Change{Kind: wireworker.Acknowledged, Task: task, Attempt: attempt, Reason: reason})
 	}
 	tests := map[string]struct {
-		play func(book *ledger)
-		want string // the rule, empty for none
+		record func(l *ledger)
+		want   string // the violated rule; empty if there is none
 	}{
-		"two runs at a time": {func(book *ledger) {
-			start(book, first, 1)
-			start(book, second, 2)
+		"two runs at the same time": {func(l *ledger) {
+			start(l, firstWorker, 1)
+			start(l, secondWorker, 2)
 		}, "TWICE"},
-		"the lease of the first has run out": {func(book *ledger) {
-			start(book, first, 1)
-			book.recordChange(first, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(-time.Second)})
-			start(book, second, 2)
+		"the lease of the first run has expired": {func(l *ledger) {
+			start(l, firstWorker, 1)
+			l.recordChange(firstWorker, wireworker.Change{Kind: wireworker.Renewed, LeaseEnd: time.Now().Add(-time.Second)})
+			start(l, secondWorker, 2)
 		}, ""},
-		"its worker has crashed": {func(book *ledger) {
-			start(book, first, 1)
-			book.recordCrash(first)
-			start(book, second, 2)
+		"the worker of the first run has crashed": {func(l *ledger) {
+			start(l, firstWorker, 1)
+			l.recordCrash(firstWorker)
+			start(l, secondWorker, 2)
 		}, ""},
-		"started after it was noted as done": {func(book *ledger) {
-			start(book, first, 1)
-			end(book, first, 1, "done")
-			noted(book, first, 1, "done")
-			start(book, second, 2)
+		"started after an acknowledged completion": {func(l *ledger) {
+			start(l, firstWorker, 1)
+			end(l, firstWorker, 1, "done")
+			acknowledge(l, firstWorker, 1, "done")
+			start(l, secondWorker, 2)
 		}, "TWICE"},
-		"noted as done after it was started again": {func(book *ledger) {
-			start(book, first, 1)
-			end(book, first, 1, "done")
-			start(book, second, 2)
-			noted(book, first, 1, "done")
+		"completion acknowledged after another start": {func(l *ledger) {
+			start(l, firstWorker, 1)
+			end(l, firstWorker, 1, "done")
+			start(l, secondWorker, 2)
+			acknowledge(l, firstWorker, 1, "done")
 		}, "TWICE"},
-		"done and never noted": {func(book *ledger) {
-			start(book, first, 1)
-			end(book, first, 1, "done")
-			start(book, second, 2)
-			end(book, second, 2, "done")
-			noted(book, second, 2, "done")
+		"completion never acknowledged": {func(l *ledger) {
+			start(l, firstWorker, 1)
+			end(l, firstWorker, 1, "done")
+			start(l, secondWorker, 2)
+			end(l, secondWorker, 2, "done")
+			acknowledge(l, secondWorker, 2, "done")
 		}, ""},
-		"beyond its failures": {func(book *ledger) {
+		"started after the last allowed failure": {func(l *ledger) {
 			for attempt := int32(1); attempt <= maxTaskAttempts; attempt++ {
-				start(book, first, attempt)
-				end(book, first, attempt, "failed")
-				noted(book, first, attempt, "failed")
+				start(l, firstWorker, attempt)
+				end(l, firstWorker, attempt, "failed")
+				acknowledge(l, firstWorker, attempt, "failed")
 			}
-			start(book, second, maxTaskAttempts+1)
+			start(l, secondWorker, maxTaskAttempts+1)
 		}, "BUDGET"},
-		"more than the worker has": {func(book *ledger) {
-			book.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: []int32{21}})
+		"more CPU than the worker has": {func(l *ledger) {
+			l.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: []int32{21}})
 			for index := range workerMilliCPU/taskMilliCPU + 1 {
-				book.recordChange(first, wireworker.Change{Kind: wireworker.Started, Task: fmt.Sprintf("%s.0.0.%d", id, index), Attempt: 1})
+				l.recordChange(firstWorker, wireworker.Change{Kind: wireworker.Started, Task: fmt.Sprintf("%s.0.0.%d", id, index), Attempt: 1})
 			}
 		}, "LIMIT"},
-		"all that the worker has": {func(book *ledger) {
-			book.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: []int32{21}})
+		"all CPU of the worker": {func(l *ledger) {
+			l.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: []int32{21}})
 			for index := range workerMilliCPU / taskMilliCPU {
-				book.recordChange(first, wireworker.Change{Kind: wireworker.Started, Task: fmt.Sprintf("%s.0.0.%d", id, index), Attempt: 1})
+				l.recordChange(firstWorker, wireworker.Change{Kind: wireworker.Started, Task: fmt.Sprintf("%s.0.0.%d", id, index), Attempt: 1})
 			}
 		}, ""},
-		"a step before its turn": {func(book *ledger) {
-			book.recordChange(first, wireworker.Change{Kind: wireworker.Started, Task: after, Attempt: 1})
+		"step started before the previous one is done": {func(l *ledger) {
+			l.recordChange(firstWorker, wireworker.Change{Kind: wireworker.Started, Task: secondStepTask, Attempt: 1})
 		}, "ORDER"},
-		"what nobody handed in": {func(book *ledger) {
-			book.recordChange(first, wireworker.Change{Kind: wireworker.Started, Task: "fedcba9876543210.0.0.0", Attempt: 1})
+		"job never submitted": {func(l *ledger) {
+			l.recordChange(firstWorker, wireworker.Change{Kind: wireworker.Started, Task: "fedcba9876543210.0.0.0", Attempt: 1})
 		}, "UNASKED"},
-		"refused at each try": {func(book *ledger) {
-			start(book, first, 1)
-			book.checkRefused()
+		"refused at each submission": {func(l *ledger) {
+			start(l, firstWorker, 1)
+			l.checkRefused()
 		}, "REFUSED"},
-		"refused once, unsure once": {func(book *ledger) {
-			start(book, first, 1)
-			book.updateJob(id, func(handed *jobHistory) { handed.outcomeUnknown = true })
-			book.checkRefused()
+		"one submission without a definite answer": {func(l *ledger) {
+			start(l, firstWorker, 1)
+			l.updateJob(id, func(history *jobHistory) { history.outcomeUnknown = true })
+			l.checkRefused()
 		}, ""},
-		"shown as completed too early": {func(book *ledger) { book.checkEnded(id, "completed") }, "MIXED"},
-		"never ended":                  {func(book *ledger) { book.recordLost(id, "running") }, "LOST"},
+		"reported as completed before its tasks are done": {func(l *ledger) { l.checkEnded(id, "completed") }, "MIXED"},
+		"never ended": {func(l *ledger) { l.recordLost(id, "running") }, "LOST"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			book := newLedger()
-			book.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: []int32{1, 1}})
-			test.play(book)
-			broken, _ := book.results()
-			if test.want == "" && len(broken) > 0 || test.want != "" && (len(broken) == 0 || !strings.Contains(broken[0], test.want)) {
-				t.Errorf("broken %v, want %q", broken, test.want)
+			l := newLedger()
+			l.addJob(id, &jobHistory{maxAttempts: maxTaskAttempts, steps: []int32{1, 1}})
+			test.record(l)
+			violations, _ := l.results()
+			if test.want == "" && len(violations) > 0 || test.want != "" && (len(violations) == 0 || !strings.Contains(violations[0], test.want)) {
+				t.Errorf("violations = %v, want rule %q", violations, test.want)
 			}
 		})
 	}
--- a/soak/ledger_test.go
+++ b/soak/ledger_test.go
@@ -9,11 +9,11 @@
 	"ambertiller.example/ambertiller/standin/wireworker"
 )
 
-// ledger is what the workers have seen of all tasks, in order, and which promises that breaks.
+// ledger records the events that workers and clients observe, in order, and which guarantees they violate.
 type ledger struct {
 	mu        sync.Mutex
 	startedAt time.Time
-	// leaseEnds tells until when the lease of each life goes on.
+	// leaseEnds holds the end of the lease of each worker incarnation.
 	leaseEnds  map[string]time.Time
 	tasks      map[string]*taskHistory
 	jobs       map[string]*jobHistory
@@ -21,29 +21,29 @@
 	runs       int
 }
 
-// taskHistory is what the workers have seen of one task.
+// taskHistory is what the workers have observed of a task.
 type taskHistory struct {
-	running              map[string]int32 // attempts by the worker's life
+	running              map[string]int32 // attempts by worker incarnation
 	completedRuns        []*completedRun
-	acknowledgedDone     bool // a run is noted as done
-	acknowledgedFailures int  // runs that are noted as failed
+	acknowledgedDone     bool // a run was acknowledged as done
+	acknowledgedFailures int  // runs that were acknowledged as failed
 }
 
 // completedRun is a run that ended as done.
 type completedRun struct {
 	incarnation string
 	attempt     int32
-	// followedByStart is set once a start of the task has come after it.
+	// followedByStart is set once the task has been started again after this run.
 	followedByStart bool
 }
 
-// jobHistory is what a client has heard of a job.
+// jobHistory is what a client knows of a job.
 type jobHistory struct {
 	maxAttempts    int
-	steps          []int32 // tasks of each step
+	steps          []int32 // number of tasks of each step
 	started        bool
 	accepted       bool
-	outcomeUnknown bool // a try had no answer that says yes or no
+	outcomeUnknown bool // a submission was neither accepted nor refused
 	cancelled      bool
 }
 
@@ -51,187 +51,195 @@
 	return &ledger{startedAt: time.Now(), leaseEnds: map[string]time.Time{}, tasks: map[string]*taskHistory{}, jobs: map[string]*jobHistory{}}
 }
 
-// addViolation notes that a promise is broken, with the lock held.
-func (book *ledger) addViolation(rule, format string, about ...any) {
-	at := time.Since(book.startedAt).Seconds()
-	book.violations = append(book.violations, fmt.Sprintf("%.3f %s: %s", at, rule, fmt.Sprintf(format, about...)))
+// addViolation records the violation of a guarantee. The caller holds the lock.
+func (l *ledger) addViolation(rule, format string, args ...any) {
+	at := time.Since(l.startedAt).Seconds()
+	l.violations = append(l.violations, fmt.Sprintf("%.3f %s: %s", at, rule, fmt.Sprintf(format, args...)))
 }
 
-func (book *ledger) taskHistory(name string) *taskHistory {
-	if book.tasks[name] == nil {
-		book.tasks[name] = &taskHistory{running: map[string]int32{}}
+// taskHistory returns the history of a task, and creates it if there is none. The caller holds the lock.
+func (l *ledger) taskHistory(name string) *taskHistory {
+	if l.tasks[name] == nil {
+		l.tasks[name] = &taskHistory{running: map[string]int32{}}
 	}
-	return book.tasks[name]
+	return l.tasks[name]
 }
 
-// recordChange takes in what became of a run on one life of a worker.
-func (book *ledger) recordChange(life string, change wireworker.Change) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
+// recordChange records a change of a run or of the lease on an incarnation of a worker.
+func (l *ledger) recordChange(incarnation string, change wireworker.Change) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if change.Kind == wireworker.Renewed {
-		book.leaseEnds[life] = change.LeaseEnd
+		l.leaseEnds[incarnation] = change.LeaseEnd
 		return
 	}
-	task := book.taskHistory(change.Task)
+	task := l.taskHistory(change.Task)
 	switch change.Kind {
 	case wireworker.Started:
-		book.recordStart(task, life, change)
+		l.recordStart(task, incarnation, change)
 	case wireworker.Ended:
-		delete(task.running, life)
+		delete(task.running, incarnation)
 		if change.Reason == "done" {
-			task.completedRuns = append(task.completedRuns, &completedRun{incarnation: life, attempt: change.Attempt})
+			task.completedRuns = append(task.completedRuns, &completedRun{incarnation: incarnation, attempt: change.Attempt})
 		}
 	case wireworker.Acknowledged:
-		book.recordAcknowledgement(task, life, change)
+		l.recordAcknowledgement(task, incarnation, change)
 	}
 }
 
-func (book *ledger) recordStart(task *taskHistory, life string, change wireworker.Change) {
-	book.runs++
+// recordStart records the start of a run, and checks that the task may start and that the worker has room for
+// it.
+func (l *ledger) recordStart(task *taskHistory, incarnation string, change wireworker.Change) {
+	l.runs++
 	for other, attempt := range task.running {
-		if !time.Now().Before(book.leaseEnds[other]) {
-			continue // Its lease has run out; the stand-in is late to end it.
+		if !time.Now().Before(l.leaseEnds[other]) {
+			continue // Its lease has expired, which the stand-in has not noticed yet.
 		}
-		book.addViolation("TWICE", "%s run %d starts on %s while run %d goes on on %s", change.Task, change.Attempt, life, attempt, other)
+		l.addViolation("TWICE", "%s: attempt %d started on %s while attempt %d was running on %s", change.Task, change.Attempt, incarnation, attempt, other)
 	}
 	if task.acknowledgedDone {
-		book.addViolation("TWICE", "%s run %d starts on %s after a run was noted as done", change.Task, change.Attempt, life)
+		l.addViolation("TWICE", "%s: attempt %d started on %s after an attempt was acknowledged as done", change.Task, change.Attempt, incarnation)
 	}
-	for _, earlier := range task.completedRuns {
-		earlier.followedByStart = true
+	for _, run := range task.completedRuns {
+		run.followedByStart = true
 	}
-	task.running[life] = change.Attempt
-	if holds := book.runCount(life) * taskMilliCPU; holds > workerMilliCPU {
-		book.addViolation("LIMIT", "%s run %d starts on %s, which then holds %d thousandths of a core of %d", change.Task, change.Attempt, life, holds, workerMilliCPU)
+	task.running[incarnation] = change.Attempt
+	if milliCPU := l.runCount(incarnation) * taskMilliCPU; milliCPU > workerMilliCPU {
+		l.addViolation("LIMIT", "%s: attempt %d started on %s, whose runs then request %d of %d millicores", change.Task, change.Attempt, incarnation, milliCPU, workerMilliCPU)
 	}
 	ref, err := job.ParseTaskRef(change.Task)
 	if err != nil {
-		book.addViolation("UNASKED", "%s: %v", change.Task, err)
+		l.addViolation("UNASKED", "%s: %v", change.Task, err)
 		return
 	}
-	book.checkJobStart(task, ref, change)
+	l.checkJobStart(task, ref, change)
 }
 
-// runCount counts the runs on a life.
-func (book *ledger) runCount(life string) int {
+// runCount returns the number of runs on an incarnation.
+func (l *ledger) runCount(incarnation string) int {
 	count := 0
-	for _, task := range book.tasks {
-		if _, runs := task.running[life]; runs {
+	for _, task := range l.tasks {
+		if _, isRunning := task.running[incarnation]; isRunning {
 			count++
 		}
 	}
 	return count
 }
 
-func (book *ledger) checkJobStart(task *taskHistory, ref job.TaskRef, change wireworker.Change) {
-	of, known := book.jobs[ref.Job]
+// checkJobStart checks the start of a run against the job of its task: the job was submitted, the task has
+// failures left in its budget, and the tasks of all previous steps are done.
+func (l *ledger) checkJobStart(task *taskHistory, ref job.TaskRef, change wireworker.Change) {
+	history, known := l.jobs[ref.Job]
 	if !known {
-		book.addViolation("UNASKED", "%s was never handed in", change.Task)
+		l.addViolation("UNASKED", "%s: the job was never submitted", change.Task)
 		return
 	}
-	of.started = true
-	if task.acknowledgedFailures >= of.maxAttempts {
-		book.addViolation("BUDGET", "%s run %d starts after %d noted failures", change.Task, change.Attempt, task.acknowledgedFailures)
+	history.started = true
+	if task.acknowledgedFailures >= history.maxAttempts {
+		l.addViolation("BUDGET", "%s: attempt %d started after %d acknowledged failures", change.Task, change.Attempt, task.acknowledgedFailures)
 	}
 	for step := range ref.Step {
-		for index := range of.steps[step] {
-			before := job.TaskRef{Job: ref.Job, Step: step, Index: index}
-			if len(book.taskHistory(fmt.Sprintf("%s.0.%d.%d", before.Job, before.Step, before.Index)).completedRuns) == 0 {
-				book.addViolation("ORDER", "%s starts before task %d of step %d is done", change.Task, index, step)
+		for index := range history.steps[step] {
+			predecessor := job.TaskRef{Job: ref.Job, Step: step, Index: index}
+			if len(l.taskHistory(fmt.Sprintf("%s.0.%d.%d", predecessor.Job, predecessor.Step, predecessor.Index)).completedRuns) == 0 {
+				l.addViolation("ORDER", "%s started before task %d of step %d was done", change.Task, index, step)
 			}
 		}
 	}
 }
 
-func (book *ledger) recordAcknowledgement(task *taskHistory, life string, change wireworker.Change) {
+// recordAcknowledgement records that an agent acknowledged the end of a run, after which the end counts for
+// good. A task that is acknowledged as done must not start again, nor have started again since that run
+// ended.
+func (l *ledger) recordAcknowledgement(task *taskHistory, incarnation string, change wireworker.Change) {
 	switch change.Reason {
 	case "failed":
 		task.acknowledgedFailures++
 	case "done":
 		task.acknowledgedDone = true
-		for _, earlier := range task.completedRuns {
-			if earlier.incarnation == life && earlier.attempt == change.Attempt && earlier.followedByStart {
-				book.addViolation("TWICE", "%s run %d on %s is noted as done, and the task was started again after it", change.Task, change.Attempt, life)
+		for _, run := range task.completedRuns {
+			if run.incarnation == incarnation && run.attempt == change.Attempt && run.followedByStart {
+				l.addViolation("TWICE", "%s: attempt %d on %s was acknowledged as done, but the task had been started again after it", change.Task, change.Attempt, incarnation)
 			}
 		}
 	}
 }
 
-// recordCrash notes that all runs of a life are over without an end.
-func (book *ledger) recordCrash(life string) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	for _, task := range book.tasks {
-		delete(task.running, life)
+// recordCrash records that all runs of an incarnation are over, without reported ends.
+func (l *ledger) recordCrash(incarnation string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, task := range l.tasks {
+		delete(task.running, incarnation)
 	}
 }
 
-// addJob notes a job before it is handed in.
-func (book *ledger) addJob(id string, handed *jobHistory) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	book.jobs[id] = handed
+// addJob adds a job that is about to be submitted.
+func (l *ledger) addJob(id string, history *jobHistory) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.jobs[id] = history
 }
 
-// updateJob changes what a client has heard of a job.
-func (book *ledger) updateJob(id string, change func(handed *jobHistory)) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	change(book.jobs[id])
+// updateJob updates what a client knows of a job.
+func (l *ledger) updateJob(id string, update func(history *jobHistory)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	update(l.jobs[id])
 }
 
-// acceptedJobs returns the jobs that must end.
-func (book *ledger) acceptedJobs() []string {
-	book.mu.Lock()
-	defer book.mu.Unlock()
+// acceptedJobs returns the IDs of the jobs that must end: those that were accepted and not cancelled.
+func (l *ledger) acceptedJobs() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var ids []string
-	for id, handed := range book.jobs {
-		if handed.accepted && !handed.cancelled {
+	for id, history := range l.jobs {
+		if history.accepted && !history.cancelled {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// checkRefused checks that what was refused each time has not run.
-func (book *ledger) checkRefused() {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	for id, handed := range book.jobs {
-		if handed.started && !handed.accepted && !handed.outcomeUnknown {
-			book.addViolation("REFUSED", "%s was refused at each try, and ran", id)
+// checkRefused checks that no job ran of which every submission was refused.
+func (l *ledger) checkRefused() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for id, history := range l.jobs {
+		if history.started && !history.accepted && !history.outcomeUnknown {
+			l.addViolation("REFUSED", "%s was refused at each submission, but ran", id)
 		}
 	}
 }
 
-// checkEnded checks what a job is shown as at the end against what was noted.
-func (book *ledger) checkEnded(id, state string) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	handed := book.jobs[id]
+// checkEnded checks that all tasks of a job that is reported as completed are done.
+func (l *ledger) checkEnded(id, state string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	history := l.jobs[id]
 	if state != "completed" {
 		return
 	}
-	for step, count := range handed.steps {
+	for step, count := range history.steps {
 		for index := range count {
 			name := fmt.Sprintf("%s.0.%d.%d", id, step, index)
-			if len(book.taskHistory(name).completedRuns) == 0 {
-				book.addViolation("MIXED", "%s is shown as completed, and %s is not done", id, name)
+			if len(l.taskHistory(name).completedRuns) == 0 {
+				l.addViolation("MIXED", "%s is reported as completed, but %s is not done", id, name)
 			}
 		}
 	}
 }
 
-// recordLost notes a job that is not known to have ended.
-func (book *ledger) recordLost(id, state string) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	book.addViolation("LOST", "%s is still shown as %q", id, state)
+// recordLost records an accepted job that has not ended in time.
+func (l *ledger) recordLost(id, state string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.addViolation("LOST", "%s is still reported as %q", id, state)
 }
 
-// results returns what was broken so far, and how many runs there were.
-func (book *ledger) results() (broken []string, runs int) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	return append([]string(nil), book.violations...), book.runs
+// results returns the violations and the number of runs so far.
+func (l *ledger) results() (violations []string, runs int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]string(nil), l.violations...), l.runs
 }
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -15,12 +15,12 @@
 	"ambertiller.example/ambertiller/standin/relay"
 )
 
-// process is one program of the system, which may be started again and again.
+// process runs a gateway or an agent, and restarts it whenever it exits.
 type process struct {
 	role, name, ip        string
 	binary                string
 	settingsPath, logPath string
-	// storeRelay is what the process reaches the platform's store by.
+	// storeRelay is the relay through which the process connects to the platform's store.
 	storeRelay *relay.Relay
 
 	mu      sync.Mutex
@@ -28,86 +28,86 @@
 	closing bool
 }
 
-// maxLease is the longest lease that workers take.
+// maxLease is the longest lease that workers accept.
 const maxLease = 10 * time.Second
 
-// newProcess prepares a process; it runs once it is started.
-func newProcess(ctx context.Context, t *testing.T, made *deployment, role, name, ip, app string) *process {
+// newProcess writes the settings of a process without starting it.
+func newProcess(ctx context.Context, t *testing.T, d *deployment, role, name, ip, workerAddress string) *process {
 	t.Helper()
-	between, err := relay.New(ctx, made.storeAddress)
+	storeRelay, err := relay.New(ctx, d.storeAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	prepared := &process{
-		role: role, name: name, ip: ip, binary: made.binary, storeRelay: between,
-		settingsPath: filepath.Join(made.dir, name+".toml"), logPath: filepath.Join(made.dir, name+".log"),
+	p := &process{
+		role: role, name: name, ip: ip, binary: d.binary, storeRelay: storeRelay,
+		settingsPath: filepath.Join(d.dir, name+".toml"), logPath: filepath.Join(d.dir, name+".log"),
 	}
-	file := bootfile.File{NodeName: name, IP: ip, WorkerAddress: app, StoreAddress: between.Address(), MaxLease: maxLease}
-	if err := file.Write(prepared.settingsPath); err != nil {
+	settings := bootfile.File{NodeName: name, IP: ip, WorkerAddress: workerAddress, StoreAddress: storeRelay.Address(), MaxLease: maxLease}
+	if err := settings.Write(p.settingsPath); err != nil {
 		t.Fatal(err)
 	}
-	return prepared
+	return p
 }
 
-// start starts the process anew, and again whenever it has ended, until close.
-func (of *process) start() error {
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	if of.closing {
+// start starts the process, and restarts it whenever it exits, until close is called.
+func (p *process) start() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closing {
 		return nil
 	}
-	log, err := os.OpenFile(of.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	command := exec.Command(of.binary, of.role)
-	command.Env = append(os.Environ(), platform.SettingsVariable+"="+of.settingsPath)
-	command.Stdout, command.Stderr = log, log
+	command := exec.Command(p.binary, p.role)
+	command.Env = append(os.Environ(), platform.SettingsVariable+"="+p.settingsPath)
+	command.Stdout, command.Stderr = logFile, logFile
 	if err := command.Start(); err != nil {
 		return err
 	}
-	of.command = command
+	p.command = command
 	go func() {
-		// How it ended is in its log.
+		// The process logs why it exits.
 		_ = command.Wait()
-		_ = log.Close()
+		_ = logFile.Close()
 		time.Sleep(restartDelay)
-		_ = of.start()
+		_ = p.start()
 	}()
 	return nil
 }
 
-// restartDelay is how long a process that has ended is away.
+// restartDelay is how long a process that has exited stays down.
 const restartDelay = 300 * time.Millisecond
 
-// signal sends the process a signal; one that has just ended gets none.
-func (of *process) signal(what syscall.Signal) {
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	if of.command != nil {
-		_ = of.command.Process.Signal(what)
+// signal sends the process a signal. It does nothing if the process has just exited.
+func (p *process) signal(sig syscall.Signal) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.command != nil {
+		_ = p.command.Process.Signal(sig)
 	}
 }
 
-// pause stands the process still.
-func (of *process) pause(ctx context.Context, length time.Duration) {
-	of.signal(syscall.SIGSTOP)
-	sleep(ctx, length)
-	of.signal(syscall.SIGCONT)
+// pause suspends the process for a duration.
+func (p *process) pause(ctx context.Context, duration time.Duration) {
+	p.signal(syscall.SIGSTOP)
+	sleep(ctx, duration)
+	p.signal(syscall.SIGCONT)
 }
 
-// close ends the process for good.
-func (of *process) close() {
-	of.mu.Lock()
-	of.closing = true
-	of.mu.Unlock()
-	of.signal(syscall.SIGKILL)
+// close kills the process and prevents further restarts.
+func (p *process) close() {
+	p.mu.Lock()
+	p.closing = true
+	p.mu.Unlock()
+	p.signal(syscall.SIGKILL)
 }
 
-// sleep waits for a while, or until ctx ends.
-func sleep(ctx context.Context, length time.Duration) {
+// sleep waits for a duration, or until ctx is done.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(length):
+	case <-time.After(duration):
 	}
 }
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -31,7 +31,7 @@
 	maxTaskAttempts = 3
 )
 
-// deployment is a deployment of real processes over stand-ins for the platform.
+// deployment runs real gateway and agent processes over stand-ins for the platform and its workers.
 type deployment struct {
 	dir, binary  string
 	store        *wirestore.Store
@@ -40,108 +40,111 @@
 	gateways     []*process
 	agents       []*process
 	workerHosts  []*workerHost
-	// agentRelays are what gateways reach the agents by, in the order of the agents.
+	// agentRelays are the relays through which gateways connect to the agents, in the order of agents.
 	agentRelays []*relay.Relay
-	// relayed holds the address of the relay to each agent's own.
+	// relayAddresses maps the address of each agent to that of its relay.
 	relayAddressesMu sync.Mutex
 	relayAddresses   map[string]string
 }
 
-// newDeployment starts a deployment on addresses of loopback that begin with network.
-func newDeployment(ctx context.Context, t *testing.T, dir, binary, network string, agents int, dated func(number int) bool) *deployment {
+// newDeployment starts a deployment on loopback addresses that begin with network.
+func newDeployment(ctx context.Context, t *testing.T, dir, binary, network string, agentCount int, reportsStartTime func(index int) bool) *deployment {
 	t.Helper()
-	made := &deployment{dir: dir, binary: binary, store: wirestore.New(shardCount, time.Now), ledger: newLedger(), relayAddresses: map[string]string{}}
-	made.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(publishedConfig))
-	made.store.RewriteAppends(job.TopicAgents, made.rewriteAgentAddress)
-	server := httptest.NewServer(made.store)
+	d := &deployment{dir: dir, binary: binary, store: wirestore.New(shardCount, time.Now), ledger: newLedger(), relayAddresses: map[string]string{}}
+	d.store.Put(platform.OperatorTopic, 0, platform.ConfigurationKey, []byte(publishedConfig))
+	d.store.RewriteAppends(job.TopicAgents, d.rewriteAgentAddress)
+	server := httptest.NewServer(d.store)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	made.storeAddress = strings.TrimPrefix(server.URL, "http://")
-	for number := range gatewayCount {
-		made.gateways = append(made.gateways, newProcess(ctx, t, made, "gateway", fmt.Sprintf("edge-%d", number), fmt.Sprintf("%s.1.%d", network, number+1), ""))
+	d.storeAddress = strings.TrimPrefix(server.URL, "http://")
+	for index := range gatewayCount {
+		d.gateways = append(d.gateways, newProcess(ctx, t, d, "gateway", fmt.Sprintf("edge-%d", index), fmt.Sprintf("%s.1.%d", network, index+1), ""))
 	}
-	for number := range agents {
-		made.addAgent(ctx, t, number, fmt.Sprintf("%s.2.%d", network, number+1), dated(number))
+	for index := range agentCount {
+		d.addAgent(ctx, t, index, fmt.Sprintf("%s.2.%d", network, index+1), reportsStartTime(index))
 	}
-	for _, begun := range slices.Concat(made.agents, made.gateways) {
-		if err := begun.start(); err != nil {
+	for _, p := range slices.Concat(d.agents, d.gateways) {
+		if err := p.start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(begun.close)
+		t.Cleanup(p.close)
 	}
-	return made
+	return d
 }
 
-func (made *deployment) addAgent(ctx context.Context, t *testing.T, number int, ip string, dated bool) {
+// addAgent prepares an agent with its relay, and starts the host of the agent's worker.
+func (d *deployment) addAgent(ctx context.Context, t *testing.T, index int, ip string, reportsStartTime bool) {
 	t.Helper()
-	beside := newWorkerHost(fmt.Sprintf("i-%d", number), dated, made.ledger)
+	host := newWorkerHost(fmt.Sprintf("i-%d", index), reportsStartTime, d.ledger)
 	t.Cleanup(func() {
-		beside.server.CloseClientConnections()
-		beside.server.Close()
+		host.server.CloseClientConnections()
+		host.server.Close()
 	})
-	begun := newProcess(ctx, t, made, "agent", fmt.Sprintf("side-%d", number), ip, beside.address())
-	path, err := relay.New(ctx, bootfile.AgentAddress(ip))
+	agent := newProcess(ctx, t, d, "agent", fmt.Sprintf("side-%d", index), ip, host.address())
+	agentRelay, err := relay.New(ctx, bootfile.AgentAddress(ip))
 	if err != nil {
 		t.Fatal(err)
 	}
-	made.addRelayAddress(bootfile.AgentAddress(ip), path.Address())
-	made.agents = append(made.agents, begun)
-	made.workerHosts = append(made.workerHosts, beside)
-	made.agentRelays = append(made.agentRelays, path)
-	go beside.run(ctx, bootfile.HeartbeatAddress(ip))
+	d.addRelayAddress(bootfile.AgentAddress(ip), agentRelay.Address())
+	d.agents = append(d.agents, agent)
+	d.workerHosts = append(d.workerHosts, host)
+	d.agentRelays = append(d.agentRelays, agentRelay)
+	go host.run(ctx, bootfile.HeartbeatAddress(ip))
 }
 
-func (made *deployment) addRelayAddress(agent, relay string) {
-	made.relayAddressesMu.Lock()
-	defer made.relayAddressesMu.Unlock()
-	made.relayAddresses[agent] = relay
+func (d *deployment) addRelayAddress(agentAddress, relayAddress string) {
+	d.relayAddressesMu.Lock()
+	defer d.relayAddressesMu.Unlock()
+	d.relayAddresses[agentAddress] = relayAddress
 }
 
-// rewriteAgentAddress has owners reach an agent by its relay.
-func (made *deployment) rewriteAgentAddress(value []byte) []byte {
-	registered := &job.AgentRecord{}
-	if err := proto.Unmarshal(value, registered); err != nil {
+// rewriteAgentAddress replaces the address in an agent's record by that of its relay, so that owners connect
+// through the relay.
+func (d *deployment) rewriteAgentAddress(value []byte) []byte {
+	record := &job.AgentRecord{}
+	if err := proto.Unmarshal(value, record); err != nil {
 		return value
 	}
-	made.relayAddressesMu.Lock()
-	defer made.relayAddressesMu.Unlock()
-	if path, found := made.relayAddresses[registered.GetAddress()]; found {
-		registered.Address = path
+	d.relayAddressesMu.Lock()
+	defer d.relayAddressesMu.Unlock()
+	if relayAddress, found := d.relayAddresses[record.GetAddress()]; found {
+		record.Address = relayAddress
 	}
-	changed, err := proto.Marshal(registered)
+	rewritten, err := proto.Marshal(record)
 	if err != nil {
 		return value
 	}
-	return changed
+	return rewritten
 }
 
-// fromGateway tells the connections of one gateway.
+// fromGateway returns a function that reports whether a connection comes from the gateway, by its greeting.
 func fromGateway(gateway *process) func(greeting []byte) bool {
 	return func(greeting []byte) bool { return bytes.Contains(greeting, []byte(gateway.name+"|")) }
 }
 
 func fromAny([]byte) bool { return true }
 
-// endFaults ends everything that goes on from outside.
-func (made *deployment) endFaults() {
-	made.store.InjectFaults(nil)
-	for _, path := range made.agentRelays {
-		path.Resume()
+// endFaults ends the faults of the store and the workers, has the workers carry out their delayed starts, and
+// resumes all relays.
+func (d *deployment) endFaults() {
+	d.store.InjectFaults(nil)
+	for _, agentRelay := range d.agentRelays {
+		agentRelay.Resume()
 	}
-	for _, begun := range slices.Concat(made.agents, made.gateways) {
-		begun.storeRelay.Resume()
+	for _, p := range slices.Concat(d.agents, d.gateways) {
+		p.storeRelay.Resume()
 	}
-	for _, machine := range made.workerHosts {
-		if worker := machine.currentWorker(); worker != nil {
+	for _, host := range d.workerHosts {
+		if worker := host.currentWorker(); worker != nil {
 			worker.InjectFaults(nil)
 			worker.ExecuteDelayedStarts()
 		}
 	}
 }
 
-// buildBinary builds the program.
+// buildBinary builds the program and returns its path.
 func buildBinary(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "ambertiller")
@@ -151,19 +154,19 @@
 	return binary
 }
 
-// reserveNetwork returns the first two numbers of addresses of loopback that no other soak uses. It
-// holds an address there until the test has ended: two soaks on one network would reach each other's
-// processes.
+// reserveNetwork returns the first two octets of loopback addresses that no other soak uses. To reserve them,
+// it listens on one of these addresses until the test ends: two soaks on the same network would connect to
+// each other's processes.
 func reserveNetwork(t *testing.T) string {
 	t.Helper()
-	for number := range 60 {
-		network := fmt.Sprintf("127.%d", 120+(os.Getpid()+number)%60)
+	for offset := range 60 {
+		network := fmt.Sprintf("127.%d", 120+(os.Getpid()+offset)%60)
 		listener, err := net.Listen("tcp", bootfile.ClientAddress(network+".0.1"))
 		if err == nil {
 			t.Cleanup(func() { _ = listener.Close() })
 			return network
 		}
 	}
-	t.Fatal("no network of loopback is free")
+	t.Fatal("no loopback network is free")
 	return ""
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,47 +13,49 @@
 )
 
 const (
-	// defaultFaultDuration is how long faults come, maxSettleTime how long accepted jobs may then take
-	// to end: it only ends a run that would fail.
+	// defaultFaultDuration is how long faults are injected. maxSettleTime is how long accepted jobs may then
+	// take to end; a run that reaches it fails.
 	defaultFaultDuration = 25 * time.Second
 	maxSettleTime        = 90 * time.Second
-	// startupDelay lets the processes find each other.
+	// startupDelay gives the processes time to find each other before the first fault.
 	startupDelay      = 3 * time.Second
 	defaultAgentCount = 6
 	defaultSeed       = 6
 	clientCount       = 2
 )
 
-// regression is a seed that broke a promise. It is played with the lists of faults that there were then.
+// regression describes a seed that has revealed a violation. It runs with the first listCount of faultLists
+// only: further lists would add faults to those that led to the violation.
 type regression struct {
 	listCount int
 	cause     string
 }
 
-// regressionSeeds are the seeds that broke a promise, and by what.
+// regressionSeeds holds the seeds that have revealed a violation, and its cause.
 var regressionSeeds = map[uint64]regression{
-	11:  {1, "an end that its owner was not told outlived the owner's grant"},
-	21:  {1, "the same"},
-	22:  {1, "the same, and an order that came late on an older connection was taken"},
-	23:  {1, "the same, and an agent that had come back was granted time on the clock of its process before"},
-	1:   {3, "a worker that started again under its id was taken for the one before"},
-	2:   {3, "the same"},
-	3:   {3, "the same"},
-	4:   {3, "the same"},
-	5:   {4, "a worker that had started again refused its agent's questions for their token, and was never used again"},
-	223: {4, "a life was said to be over before the end of a run was heard that the next one had carried out"},
-	126: {3, "a word on an end that was meant for the agent's process before it named another one to the next"},
+	11:  {1, "an end that the owner had not been told of still counted after the owner's grant had expired"},
+	21:  {1, "as seed 11"},
+	22:  {1, "as seed 11; also, an agent accepted an order that arrived late on an older connection"},
+	23:  {1, "as seed 11; also, an agent that had restarted was granted time on the clock of its previous process"},
+	1:   {3, "a worker that had restarted under its ID was taken for its previous incarnation"},
+	2:   {3, "as seed 1"},
+	3:   {3, "as seed 1"},
+	4:   {3, "as seed 1"},
+	5:   {4, "a restarted worker refused its agent's probes because of their fencing token, and was never used again"},
+	223: {4, "an incarnation was reported as over before the end of a run was known that the next incarnation had carried out"},
+	126: {3, "an acknowledgement of an end for an agent's previous process identified a different end to the next process"},
 }
 
-// faultListCount returns how many lists of faults a seed is played with.
+// faultListCount returns how many of faultLists a seed runs with.
 func faultListCount(seed uint64) int {
-	if kept, found := regressionSeeds[seed]; found {
-		return kept.listCount
+	if r, found := regressionSeeds[seed]; found {
+		return r.listCount
 	}
 	return len(faultLists)
 }
 
-// TestProcessSoak plays seeds of faults against real processes, side by side.
+// TestProcessSoak runs one deployment of real processes for each seed, in parallel, and injects faults into
+// them.
 func TestProcessSoak(t *testing.T) {
 	binary := buildBinary(t)
 	first, count := intFromEnv(t, "AMBERTILLER_SOAK_SEED", defaultSeed), intFromEnv(t, "AMBERTILLER_SOAK", 1)
@@ -74,63 +76,66 @@
 	}
 }
 
+// soakSeed runs a deployment under the faults of a seed, waits for the accepted jobs and reports all
+// violations.
 func soakSeed(t *testing.T, binary string, seed uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	dir := logsDir(t, seed)
-	made := newDeployment(ctx, t, dir, binary, reserveNetwork(t), intFromEnv(t, "AMBERTILLER_SOAK_AGENTS", defaultAgentCount), startTimeReporters(seed))
+	d := newDeployment(ctx, t, dir, binary, reserveNetwork(t), intFromEnv(t, "AMBERTILLER_SOAK_AGENTS", defaultAgentCount), startTimeReporters(seed))
 	log := openLog(t, dir)
 	sleep(ctx, startupDelay)
-	suffering, end := context.WithTimeout(ctx, faultDuration(t))
-	defer end()
-	caller := newClient(made)
-	for part := range clientCount {
-		go caller.run(suffering, rand.New(rand.NewPCG(seed, uint64(part))))
-	}
-	made.injectFaults(suffering, seed, log)
-	sleep(ctx, callTimeout) // The last calls end.
-	waitForJobs(ctx, made, caller)
-	made.ledger.checkRefused()
-	broken, runs := made.ledger.results()
-	for _, breach := range broken {
-		log("BROKEN %s", breach)
-		t.Error(breach)
-	}
-	t.Logf("seed %d: %d jobs accepted, %d runs, %d promises broken", seed, len(made.ledger.acceptedJobs()), runs, len(broken))
+	faultCtx, cancelFaults := context.WithTimeout(ctx, faultDuration(t))
+	defer cancelFaults()
+	c := newClient(d)
+	for index := range clientCount {
+		go c.run(faultCtx, rand.New(rand.NewPCG(seed, uint64(index))))
+	}
+	d.injectFaults(faultCtx, seed, log)
+	sleep(ctx, callTimeout) // Calls that are still in progress end.
+	waitForJobs(ctx, d, c)
+	d.ledger.checkRefused()
+	violations, runs := d.ledger.results()
+	for _, violation := range violations {
+		log("BROKEN %s", violation)
+		t.Error(violation)
+	}
+	t.Logf("seed %d: %d jobs accepted, %d runs, %d violations", seed, len(d.ledger.acceptedJobs()), runs, len(violations))
 }
 
-// startTimeReporters tells which machines have workers that say when they started: by the seed two of three, and none in
-// a seed that broke a promise before there were such workers.
-func startTimeReporters(seed uint64) func(number int) bool {
+// startTimeReporters returns a function that reports whether the workers of a host report their start time.
+// Two of three hosts have such workers, chosen by the seed. Regression seeds with fewer than three fault
+// lists revealed their violations without such workers, so they have none.
+func startTimeReporters(seed uint64) func(index int) bool {
 	if faultListCount(seed) < 3 {
 		return func(int) bool { return false }
 	}
-	return func(number int) bool { return (uint64(number)+seed)%3 != 0 }
+	return func(index int) bool { return (uint64(index)+seed)%3 != 0 }
 }
 
-// waitForJobs waits until what was accepted has ended.
-func waitForJobs(ctx context.Context, made *deployment, caller *client) {
+// waitForJobs waits until all accepted jobs have ended, and checks how each of them ended.
+func waitForJobs(ctx context.Context, d *deployment, c *client) {
 	deadline := time.Now().Add(maxSettleTime)
-	for turn, id := range made.ledger.acceptedJobs() {
-		state := caller.jobState(ctx, id, turn)
+	for gateway, id := range d.ledger.acceptedJobs() {
+		state := c.jobState(ctx, id, gateway)
 		for state != "completed" && state != "failed" && time.Now().Before(deadline) {
 			sleep(ctx, 100*time.Millisecond)
-			turn++
-			state = caller.jobState(ctx, id, turn)
+			gateway++
+			state = c.jobState(ctx, id, gateway)
 		}
 		if state != "completed" && state != "failed" {
-			made.ledger.recordLost(id, state)
+			d.ledger.recordLost(id, state)
 		}
-		made.ledger.checkEnded(id, state)
+		d.ledger.checkEnded(id, state)
 	}
 }
 
-// intFromEnv reads a count from a variable.
-func intFromEnv(t *testing.T, variable string, otherwise int) int {
+// intFromEnv returns the value of an environment variable, or defaultValue if it is not set.
+func intFromEnv(t *testing.T, variable string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	count, err := strconv.Atoi(text)
 	if err != nil {
@@ -139,44 +144,44 @@
 	return count
 }
 
-// faultDuration returns how long faults come.
+// faultDuration returns how long faults are injected.
 func faultDuration(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("AMBERTILLER_SOAK_FOR")
 	if text == "" {
 		return defaultFaultDuration
 	}
-	length, err := time.ParseDuration(text)
+	duration, err := time.ParseDuration(text)
 	if err != nil {
 		t.Fatalf("AMBERTILLER_SOAK_FOR: %v", err)
 	}
-	return length
+	return duration
 }
 
-// logsDir is where the processes write their logs.
+// logsDir returns the directory to which the processes write their logs.
 func logsDir(t *testing.T, seed uint64) string {
 	t.Helper()
-	kept := os.Getenv("AMBERTILLER_SOAK_LOGS")
-	if kept == "" {
+	baseDir := os.Getenv("AMBERTILLER_SOAK_LOGS")
+	if baseDir == "" {
 		return t.TempDir()
 	}
-	dir := filepath.Join(kept, fmt.Sprintf("seed_%d", seed))
+	dir := filepath.Join(baseDir, fmt.Sprintf("seed_%d", seed))
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		t.Fatal(err)
 	}
 	return dir
 }
 
-// openLog returns a function that writes lines of the soak's own log.
-func openLog(t *testing.T, dir string) func(format string, about ...any) {
+// openLog returns a function that writes a line to the soak's own log.
+func openLog(t *testing.T, dir string) func(format string, args ...any) {
 	t.Helper()
 	file, err := os.Create(filepath.Join(dir, "soak.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = file.Close() })
-	// One write for each line: faults of both lists are logged at the same time.
-	return func(format string, about ...any) {
-		_, _ = fmt.Fprintln(file, strings.TrimSpace(fmt.Sprintf(format, about...)))
+	// Each line is a single write, since the faults of all lists are logged concurrently.
+	return func(format string, args ...any) {
+		_, _ = fmt.Fprintln(file, strings.TrimSpace(fmt.Sprintf(format, args...)))
 	}
 }
--- a/soak/worker_test.go
+++ b/soak/worker_test.go
@@ -19,220 +19,226 @@
 
 const (
 	heartbeatInterval = 1100 * time.Millisecond
-	// workerMilliCPU is what a worker has.
+	// workerMilliCPU is the CPU capacity of a worker.
 	workerMilliCPU = 8000
-	// leaseCheckInterval is how often a worker's lease is looked at.
+	// leaseCheckInterval is the interval at which a worker checks whether its lease has expired.
 	leaseCheckInterval = 5 * time.Millisecond
-	// minRunTime and maxRunTime are what a run works, failShare the share of runs that fail.
+	// minRunTime and maxRunTime bound the time that a run takes. failShare is the share of runs that fail.
 	minRunTime = 150 * time.Millisecond
 	maxRunTime = 1200 * time.Millisecond
 	failShare  = 0.02
 )
 
-// workerHost is one worker after the other at one address.
+// workerHost serves one worker after another at the same address, and sends their heartbeats.
 type workerHost struct {
 	name   string
 	ledger *ledger
 	server *httptest.Server
-	// reportsStartTime has its workers say when they started: they may start again under their id.
+	// reportsStartTime is set if its workers report their start time. Only such workers may restart under
+	// their ID.
 	reportsStartTime bool
 
 	mu               sync.Mutex
 	incarnationCount int
-	idCount          int // how many ids its workers have had
+	idCount          int // how many IDs its workers have had
 	worker           *wireworker.Worker
 	sequence         int64
 	downUntil        time.Time
-	resumed          chan struct{} // closed once the worker answers again; nil while it does
+	resumed          chan struct{} // closed when a hanging worker resumes; nil while no worker hangs
 }
 
-func newWorkerHost(name string, dated bool, book *ledger) *workerHost {
-	made := &workerHost{name: name, reportsStartTime: dated, ledger: book}
-	made.startIncarnation(nil)
-	made.server = httptest.NewServer(made)
-	return made
+func newWorkerHost(name string, reportsStartTime bool, l *ledger) *workerHost {
+	h := &workerHost{name: name, reportsStartTime: reportsStartTime, ledger: l}
+	h.startIncarnation(nil)
+	h.server = httptest.NewServer(h)
+	return h
 }
 
-// address is where the worker is called.
-func (machine *workerHost) address() string { return strings.TrimPrefix(machine.server.URL, "http://") }
+// address returns the address at which the worker is called.
+func (h *workerHost) address() string { return strings.TrimPrefix(h.server.URL, "http://") }
 
-// startIncarnation begins the next life, with the lock held or before anyone knows of the machine: one that was made
-// under the id of the life before, or nil for one with an id of its own.
-func (machine *workerHost) startIncarnation(worker *wireworker.Worker) {
-	machine.incarnationCount++
-	machine.sequence = 0
+// startIncarnation starts the next incarnation on the host: a worker that has restarted under its ID, or, if
+// worker is nil, a worker with a new ID. The caller holds the lock, unless the host is not in use yet.
+func (h *workerHost) startIncarnation(worker *wireworker.Worker) {
+	h.incarnationCount++
+	h.sequence = 0
 	if worker == nil {
-		machine.idCount++
-		worker = machine.newWorker()
+		h.idCount++
+		worker = h.newWorker()
 	}
-	life := machine.incarnationName()
+	incarnation := h.incarnationName()
 	worker.OnChange(func(change wireworker.Change) {
-		machine.ledger.recordChange(life, change)
+		h.ledger.recordChange(incarnation, change)
 		if change.Kind == wireworker.Started {
-			machine.scheduleEnd(worker, change)
+			h.scheduleEnd(worker, change)
 		}
 	})
-	machine.worker = worker
+	h.worker = worker
 }
 
-func (machine *workerHost) newWorker() *wireworker.Worker {
-	if machine.reportsStartTime {
-		return wireworker.NewWithStartTime(machine.workerID(), clockwork.NewRealClock())
+// newWorker returns a worker with the current ID.
+func (h *workerHost) newWorker() *wireworker.Worker {
+	if h.reportsStartTime {
+		return wireworker.NewWithStartTime(h.workerID(), clockwork.NewRealClock())
 	}
-	return wireworker.New(machine.workerID(), clockwork.NewRealClock())
+	return wireworker.New(h.workerID(), clockwork.NewRealClock())
 }
 
-// workerID is what the present worker calls itself.
-func (machine *workerHost) workerID() string {
-	return fmt.Sprintf("%s-id-%d", machine.name, machine.idCount)
+// workerID returns the ID of the current worker.
+func (h *workerHost) workerID() string {
+	return fmt.Sprintf("%s-id-%d", h.name, h.idCount)
 }
 
-// incarnationName names the present life in the ledger.
-func (machine *workerHost) incarnationName() string {
-	return fmt.Sprintf("%s-life-%d", machine.name, machine.incarnationCount)
+// incarnationName returns the name of the current incarnation in the ledger.
+func (h *workerHost) incarnationName() string {
+	return fmt.Sprintf("%s-life-%d", h.name, h.incarnationCount)
 }
 
-// scheduleEnd has a run end once it has worked.
-func (machine *workerHost) scheduleEnd(worker *wireworker.Worker, begun wireworker.Change) {
-	how := "done"
+// scheduleEnd ends a run after a random time, unless the worker has been replaced by then.
+func (h *workerHost) scheduleEnd(worker *wireworker.Worker, start wireworker.Change) {
+	reason := "done"
 	if rand.Float64() < failShare {
-		how = "failed"
+		reason = "failed"
 	}
-	work := minRunTime + rand.N(maxRunTime-minRunTime)
-	time.AfterFunc(work, func() {
-		machine.mu.Lock()
-		lives := machine.worker == worker
-		machine.mu.Unlock()
-		if lives {
-			worker.EndAttempt(begun.Task, begun.Attempt, how)
+	runTime := minRunTime + rand.N(maxRunTime-minRunTime)
+	time.AfterFunc(runTime, func() {
+		h.mu.Lock()
+		isCurrent := h.worker == worker
+		h.mu.Unlock()
+		if isCurrent {
+			worker.EndAttempt(start.Task, start.Attempt, reason)
 		}
 	})
 }
 
-// currentWorker returns the life that stands there, nil while none does.
-func (machine *workerHost) currentWorker() *wireworker.Worker {
-	machine.mu.Lock()
-	defer machine.mu.Unlock()
-	if time.Now().Before(machine.downUntil) {
+// currentWorker returns the current worker, or nil while it is down.
+func (h *workerHost) currentWorker() *wireworker.Worker {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if time.Now().Before(h.downUntil) {
 		return nil
 	}
-	return machine.worker
+	return h.worker
 }
 
-// ServeHTTP is the worker's address.
-func (machine *workerHost) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
-	machine.mu.Lock()
-	silent, arrivedAt := machine.resumed, machine.incarnationCount
-	machine.mu.Unlock()
-	if silent != nil {
-		// What has arrived is carried out once the worker goes on, also if nobody waits.
-		body, err := io.ReadAll(request.Body)
+// ServeHTTP passes requests to the current worker.
+func (h *workerHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.mu.Lock()
+	resumed, incarnationCount := h.resumed, h.incarnationCount
+	h.mu.Unlock()
+	if resumed != nil {
+		// A request that has arrived is carried out once the worker resumes, even if its client has given up.
+		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		<-silent
-		request.Body = io.NopCloser(bytes.NewReader(body))
+		<-resumed
+		r.Body = io.NopCloser(bytes.NewReader(body))
 	}
-	worker := machine.currentWorker()
-	if worker == nil || silent != nil && machine.hasRestartedSince(arrivedAt) {
-		// What a process held up ends with it.
+	worker := h.currentWorker()
+	if worker == nil || resumed != nil && h.hasRestartedSince(incarnationCount) {
+		// A request that a hanging worker has received is lost if that worker ends.
 		panic(http.ErrAbortHandler)
 	}
-	worker.ServeHTTP(answer, request)
+	worker.ServeHTTP(w, r)
 }
 
-// hasRestartedSince reports whether another life has begun since there were so many.
-func (machine *workerHost) hasRestartedSince(lives int) bool {
-	machine.mu.Lock()
-	defer machine.mu.Unlock()
-	return machine.incarnationCount != lives
+// hasRestartedSince reports whether another incarnation has started since incarnationCount was read.
+func (h *workerHost) hasRestartedSince(incarnationCount int) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.incarnationCount != incarnationCount
 }
 
-// crash ends the present life; the next one, with an id of its own, stands there after a while.
-func (machine *workerHost) crash(away time.Duration) {
-	machine.replaceWorker(away, func(over *wireworker.Worker) *wireworker.Worker {
-		over.Stop()
+// crash ends the current incarnation. The next one has a new ID and starts to answer after the downtime.
+func (h *workerHost) crash(downtime time.Duration) {
+	h.replaceWorker(downtime, func(old *wireworker.Worker) *wireworker.Worker {
+		old.Stop()
 		return nil
 	})
 }
 
-// restartDelay is crash for a worker that starts again under its id, if it is one that says when it started.
-func (machine *workerHost) restart(away time.Duration) {
-	if !machine.reportsStartTime {
-		machine.crash(away)
+// restart restarts the worker under its ID. A worker that doesn't report its start time gets a new ID, as
+// after a crash.
+func (h *workerHost) restart(downtime time.Duration) {
+	if !h.reportsStartTime {
+		h.crash(downtime)
 		return
 	}
-	machine.replaceWorker(away, (*wireworker.Worker).Restart)
-}
-
-func (machine *workerHost) replaceWorker(away time.Duration, next func(over *wireworker.Worker) *wireworker.Worker) {
-	machine.mu.Lock()
-	machine.downUntil = time.Now().Add(away)
-	over := machine.incarnationName()
-	machine.startIncarnation(next(machine.worker))
-	machine.mu.Unlock()
-	machine.server.CloseClientConnections()
-	machine.ledger.recordCrash(over)
-}
-
-// hang has the worker answer nothing until what it returns is called.
-func (machine *workerHost) hang() (goOn func()) {
-	machine.mu.Lock()
-	defer machine.mu.Unlock()
-	silent := make(chan struct{})
-	machine.resumed = silent
+	h.replaceWorker(downtime, (*wireworker.Worker).Restart)
+}
+
+// replaceWorker replaces the current worker by the one that nextWorker returns, or by one with a new ID if
+// that is nil, and closes all connections.
+func (h *workerHost) replaceWorker(downtime time.Duration, nextWorker func(ended *wireworker.Worker) *wireworker.Worker) {
+	h.mu.Lock()
+	h.downUntil = time.Now().Add(downtime)
+	ended := h.incarnationName()
+	h.startIncarnation(nextWorker(h.worker))
+	h.mu.Unlock()
+	h.server.CloseClientConnections()
+	h.ledger.recordCrash(ended)
+}
+
+// hang keeps the worker from answering until the returned function is called.
+func (h *workerHost) hang() (resume func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	resumed := make(chan struct{})
+	h.resumed = resumed
 	return func() {
-		machine.mu.Lock()
-		defer machine.mu.Unlock()
-		if machine.resumed == silent {
-			machine.resumed = nil
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		if h.resumed == resumed {
+			h.resumed = nil
 		}
-		close(silent)
+		close(resumed)
 	}
 }
 
-// run sends heartbeats to the agent and looks at the lease until ctx ends.
-func (machine *workerHost) run(ctx context.Context, control string) {
-	beats, lapses := time.NewTicker(heartbeatInterval), time.NewTicker(leaseCheckInterval)
-	defer beats.Stop()
-	defer lapses.Stop()
+// run sends heartbeats to the agent and checks the lease until ctx is done.
+func (h *workerHost) run(ctx context.Context, agentAddress string) {
+	heartbeats, leaseChecks := time.NewTicker(heartbeatInterval), time.NewTicker(leaseCheckInterval)
+	defer heartbeats.Stop()
+	defer leaseChecks.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-beats.C:
-			go machine.sendHeartbeat(ctx, control)
-		case <-lapses.C:
-			if worker := machine.currentWorker(); worker != nil {
-				worker.RunningCount()
+		case <-heartbeats.C:
+			go h.sendHeartbeat(ctx, agentAddress)
+		case <-leaseChecks.C:
+			if worker := h.currentWorker(); worker != nil {
+				worker.RunningCount() // Ends the runs if the lease has expired.
 			}
 		}
 	}
 }
 
-func (machine *workerHost) sendHeartbeat(ctx context.Context, control string) {
-	machine.mu.Lock()
-	machine.sequence++
-	id, sequence, down := machine.workerID(), machine.sequence, time.Now().Before(machine.downUntil)
-	born := ""
-	if machine.reportsStartTime {
-		born = fmt.Sprintf(`,"born":%d`, machine.worker.StartTime())
+// sendHeartbeat sends a heartbeat to the agent at agentAddress, unless the worker is down.
+func (h *workerHost) sendHeartbeat(ctx context.Context, agentAddress string) {
+	h.mu.Lock()
+	h.sequence++
+	id, sequence, down := h.workerID(), h.sequence, time.Now().Before(h.downUntil)
+	startTimeField := ""
+	if h.reportsStartTime {
+		startTimeField = fmt.Sprintf(`,"born":%d`, h.worker.StartTime())
 	}
-	machine.mu.Unlock()
+	h.mu.Unlock()
 	if down {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	body := fmt.Sprintf(`{"service":"verbale","address":"%s","zone":"milano-a","state":"ready","capacity":{"cpu":%d,"mem_mb":16000},"labels":["a","r1"],"seq":%d%s}`,
-		machine.address(), workerMilliCPU, sequence, born)
-	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+control+"/v1/instances/"+id, strings.NewReader(body))
+		h.address(), workerMilliCPU, sequence, startTimeField)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+agentAddress+"/v1/instances/"+id, strings.NewReader(body))
 	if err != nil {
 		return
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return // The agent may be away; the next heartbeat follows.
+		return // The agent may be down; the next heartbeat follows.
 	}
-	_ = answer.Body.Close()
+	_ = response.Body.Close()
 }
