--- a/measure/capacity_test.go
+++ b/measure/capacity_test.go
@@ -22,25 +22,25 @@
 	"ambertiller.example/ambertiller/wire"
 )
 
-// countingConn counts the bytes of a connection, both ways.
+// countingConn counts the bytes that are read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	byteCount *atomic.Int64
 }
 
-func (conn countingConn) Read(into []byte) (int, error) {
-	count, err := conn.Conn.Read(into)
+func (conn countingConn) Read(buffer []byte) (int, error) {
+	count, err := conn.Conn.Read(buffer)
 	conn.byteCount.Add(int64(count))
 	return count, err
 }
 
-func (conn countingConn) Write(from []byte) (int, error) {
-	count, err := conn.Conn.Write(from)
+func (conn countingConn) Write(data []byte) (int, error) {
+	count, err := conn.Conn.Write(data)
 	conn.byteCount.Add(int64(count))
 	return count, err
 }
 
-// cpuTime returns the processor time that a process has used.
+// cpuTime returns the user and system CPU time of a process, which /proc counts in ticks of 10 ms.
 func cpuTime(t *testing.T, process *exec.Cmd) time.Duration {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", process.Process.Pid))
 	if err != nil {
@@ -52,66 +52,66 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// newReport is what a guard with a number of tasks says once a second.
-func newReport(index, tasks int, began time.Time) *wire.ReportRequest {
+// newReport returns the report that a guard with a number of tasks sends once a second.
+func newReport(index, tasks int, startedAt time.Time) *wire.ReportRequest {
 	report := &wire.ReportRequest{
 		Worker: fmt.Sprintf("worker-%03d", index), Incarnation: "0199d0f2-7c3e-7000-8000-000000000000",
-		UptimeNanos: time.Since(began).Nanoseconds(), FailureDomain: "milano-a", Rack: "rack-1", Service: "verbale",
+		UptimeNanos: time.Since(startedAt).Nanoseconds(), FailureDomain: "milano-a", Rack: "rack-1", Service: "verbale",
 		Address: "127.0.0.1:1", Ready: true,
 		Capacity:  &wire.Resources{MilliCpu: 32_000, MemoryBytes: 125 << 30, Accelerators: 2},
 		Used:      &wire.Resources{MilliCpu: 12_345, MemoryBytes: 40 << 30, Accelerators: 1},
 		Load:      &wire.Load{SlotsUsed: 3, Slots: 8, ConnectionsUsed: 3, Connections: 64, LatencyNanos: 12_345_678},
 		Documents: []*wire.DocumentVersion{{Name: "config", Version: 1}},
 	}
-	for number := range tasks {
+	for taskIndex := range tasks {
 		report.Tasks = append(report.Tasks, &wire.TaskReport{
-			Task: fmt.Sprintf("8f0b8b4e-6f0e-4c55-9a3e-%06d%06d", index, number), Attempt: 1, Phase: wire.TaskPhase_TASK_RUNNING,
+			Task: fmt.Sprintf("8f0b8b4e-6f0e-4c55-9a3e-%06d%06d", index, taskIndex), Attempt: 1, Phase: wire.TaskPhase_TASK_RUNNING,
 		})
 	}
 	return report
 }
 
-// TestReportsAtSize lets guards report to one entry process, each over its own
-// connection, and measures what the entry spends.
+// TestReportsAtSize simulates guards that report to one entry process, each over its own connection, and
+// measures the CPU time, memory and traffic of the entry.
 func TestReportsAtSize(t *testing.T) {
-	const span = 8 * time.Second
-	for _, tasks := range []int{0, 9} {
-		for _, guards := range []int{11, 110, 550} {
-			t.Run(fmt.Sprintf("%d guards of %d tasks", guards, tasks), func(t *testing.T) {
-				made := newDeployment(t, 1, 1, 0, readConfig(t))
-				var bytes, calls atomic.Int64
+	const measureTime = 8 * time.Second
+	for _, taskCount := range []int{0, 9} {
+		for _, guardCount := range []int{11, 110, 550} {
+			t.Run(fmt.Sprintf("%d guards of %d tasks", guardCount, taskCount), func(t *testing.T) {
+				d := newDeployment(t, 1, 1, 0, readConfig(t))
+				var byteCount, completed atomic.Int64
 				dialer := &net.Dialer{}
-				began := time.Now()
-				ctx, cancel := context.WithTimeout(context.Background(), span+2*time.Second)
+				startedAt := time.Now()
+				ctx, cancel := context.WithTimeout(context.Background(), measureTime+2*time.Second)
 				defer cancel()
-				var running sync.WaitGroup
-				for index := range guards {
-					running.Go(func() {
+				var wg sync.WaitGroup
+				for index := range guardCount {
+					wg.Go(func() {
 						pool := rpc.NewPoolWithDialFunc(func(ctx context.Context, address string) (net.Conn, error) {
-							raw, err := dialer.DialContext(ctx, "tcp", address)
-							return countingConn{Conn: raw, byteCount: &bytes}, err
+							conn, err := dialer.DialContext(ctx, "tcp", address)
+							return countingConn{Conn: conn, byteCount: &byteCount}, err
 						})
 						defer func() { _ = pool.Close() }()
-						client := wire.NewDRPCEntryClient(pool.Conn(made.layout.Entry(1, standin.EntryRPCPort)))
-						time.Sleep(time.Duration(index) * time.Second / time.Duration(guards))
+						client := wire.NewDRPCEntryClient(pool.Conn(d.layout.Entry(1, standin.EntryRPCPort)))
+						time.Sleep(time.Duration(index) * time.Second / time.Duration(guardCount))
 						for ctx.Err() == nil {
-							if _, err := client.Report(ctx, newReport(index, tasks, began)); err == nil {
-								calls.Add(1)
+							if _, err := client.Report(ctx, newReport(index, taskCount, startedAt)); err == nil {
+								completed.Add(1)
 							}
 							time.Sleep(time.Second)
 						}
 					})
 				}
 				time.Sleep(2 * time.Second)
-				bytesBefore, callsBefore, cpuBefore := bytes.Load(), calls.Load(), cpuTime(t, made.entries[0])
-				time.Sleep(span)
-				cpu := cpuTime(t, made.entries[0]) - cpuBefore
-				sent, made2 := bytes.Load()-bytesBefore, calls.Load()-callsBefore
-				t.Logf("reports %.0f/s of %d bytes (message %d); entry: %.2f%% of a core, %.1f KB/s, resident %.0f MiB; a guard: %.2f KB/s for one entry",
-					float64(made2)/span.Seconds(), sent/max(1, made2), proto.Size(newReport(1, tasks, began)),
-					100*cpu.Seconds()/span.Seconds(), float64(sent)/span.Seconds()/1000, peakResidentMiB(made.entries[0]),
-					float64(sent)/span.Seconds()/1000/float64(guards))
-				running.Wait()
+				bytesBefore, callsBefore, cpuBefore := byteCount.Load(), completed.Load(), cpuTime(t, d.entries[0])
+				time.Sleep(measureTime)
+				cpuUsed := cpuTime(t, d.entries[0]) - cpuBefore
+				byteTotal, callCount := byteCount.Load()-bytesBefore, completed.Load()-callsBefore
+				t.Logf("%.0f reports/s of %d bytes with framing and responses (message: %d bytes); entry: %.2f%% of a core, %.1f KB/s, peak resident memory %.0f MiB; each guard: %.2f KB/s per entry",
+					float64(callCount)/measureTime.Seconds(), byteTotal/max(1, callCount), proto.Size(newReport(1, taskCount, startedAt)),
+					100*cpuUsed.Seconds()/measureTime.Seconds(), float64(byteTotal)/measureTime.Seconds()/1000, peakResidentMiB(d.entries[0]),
+					float64(byteTotal)/measureTime.Seconds()/1000/float64(guardCount))
+				wg.Wait()
 			})
 		}
 	}
--- a/measure/fleet_test.go
+++ b/measure/fleet_test.go
@@ -1,8 +1,7 @@
 //go:build measure
 
-// Package measure_test measures a deployment of separate processes on the
-// loopback network: `go test -tags measure -v ./measure`. It is not part of
-// CI; its figures go into docs/MEASUREMENTS.md.
+// Package measure_test measures a deployment of separate processes on the loopback network:
+// `go test -tags measure -v ./measure`. It is not part of CI; its figures go into docs/MEASUREMENTS.md.
 package measure_test
 
 import (
@@ -26,9 +25,10 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
+// waitTimeout bounds how long waitFor waits for a condition.
 const waitTimeout = 30 * time.Second
 
-// deployment is a deployment of separate processes.
+// deployment runs entries, guards and the stand-in for everything around them as separate processes.
 type deployment struct {
 	t           *testing.T
 	binary      string
@@ -39,102 +39,108 @@
 	httpClient  *http.Client
 }
 
-func newDeployment(t *testing.T, workers, entries int, workTime time.Duration, config string) *deployment {
+// newDeployment builds the program, starts all processes and waits until the config is in force in each of
+// them.
+func newDeployment(t *testing.T, workerCount, entryCount int, workTime time.Duration, config string) *deployment {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "ambertiller")
 	if out, err := exec.Command("go", "build", "-o", binary, "../cmd/ambertiller").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	network := fmt.Sprintf("127.%d", 200+os.Getpid()%50)
-	made := &deployment{t: t, binary: binary, layout: standin.Layout{Network: network}, workerCount: workers}
-	made.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
-	made.startProcess("standin", "--network", network, "--workers", strconv.Itoa(workers), "--entries", strconv.Itoa(entries), "--work-time", workTime.String())
-	for index := 1; index <= entries; index++ {
-		made.entries = append(made.entries, made.startEntry(index))
+	d := &deployment{t: t, binary: binary, layout: standin.Layout{Network: network}, workerCount: workerCount}
+	d.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
+	d.startProcess("standin", "--network", network, "--workers", strconv.Itoa(workerCount), "--entries", strconv.Itoa(entryCount), "--work-time", workTime.String())
+	for index := 1; index <= entryCount; index++ {
+		d.entries = append(d.entries, d.startEntry(index))
 	}
-	for index := 1; index <= workers; index++ {
-		made.guards = append(made.guards, made.startGuard(index))
+	for index := 1; index <= workerCount; index++ {
+		d.guards = append(d.guards, d.startGuard(index))
 	}
-	made.publishConfig(config, workers+entries)
-	return made
+	d.publishConfig(config, workerCount+entryCount)
+	return d
 }
 
-func (made *deployment) startEntry(index int) *exec.Cmd {
-	return made.startProcess("entry", "--name", standin.EntryName(index), "--failure-domain", "milano-a",
-		"--http", made.layout.Entry(index, standin.EntryHTTPPort), "--rpc", made.layout.Entry(index, standin.EntryRPCPort),
-		"--platform", "http://"+made.layout.Platform(), "--log-level", "warn")
+func (d *deployment) startEntry(index int) *exec.Cmd {
+	return d.startProcess("entry", "--name", standin.EntryName(index), "--failure-domain", "milano-a",
+		"--http", d.layout.Entry(index, standin.EntryHTTPPort), "--rpc", d.layout.Entry(index, standin.EntryRPCPort),
+		"--platform", "http://"+d.layout.Platform(), "--log-level", "warn")
 }
 
-func (made *deployment) startGuard(index int) *exec.Cmd {
-	return made.startProcess("guard", "--name", standin.WorkerName(index), "--failure-domain", "milano-a", "--service", "verbale",
-		"--rpc", made.layout.Worker(index, standin.GuardPort), "--admin", made.layout.Worker(index, standin.GuardAdminPort),
-		"--platform", "http://"+made.layout.Platform(), "--worker", "http://"+made.layout.Worker(index, standin.WorkerPort),
-		"--backend", "http://"+made.layout.Worker(index, standin.BackendPort), "--log-level", "warn")
+func (d *deployment) startGuard(index int) *exec.Cmd {
+	return d.startProcess("guard", "--name", standin.WorkerName(index), "--failure-domain", "milano-a", "--service", "verbale",
+		"--rpc", d.layout.Worker(index, standin.GuardPort), "--admin", d.layout.Worker(index, standin.GuardAdminPort),
+		"--platform", "http://"+d.layout.Platform(), "--worker", "http://"+d.layout.Worker(index, standin.WorkerPort),
+		"--backend", "http://"+d.layout.Worker(index, standin.BackendPort), "--log-level", "warn")
 }
 
-func (made *deployment) startProcess(arguments ...string) *exec.Cmd {
-	made.t.Helper()
-	started := exec.Command(made.binary, arguments...)
-	started.Stderr = os.Stderr
+// startProcess starts the program with arguments, and kills it when the test ends. Its log goes to stderr
+// unless AMBERTILLER_MEASURE_QUIET is set.
+func (d *deployment) startProcess(args ...string) *exec.Cmd {
+	d.t.Helper()
+	process := exec.Command(d.binary, args...)
+	process.Stderr = os.Stderr
 	if os.Getenv("AMBERTILLER_MEASURE_QUIET") != "" {
-		started.Stderr = nil
+		process.Stderr = nil
 	}
-	if err := started.Start(); err != nil {
-		made.t.Fatal(err)
+	if err := process.Start(); err != nil {
+		d.t.Fatal(err)
 	}
-	made.t.Cleanup(func() {
-		_ = started.Process.Kill()
-		_ = started.Wait()
+	d.t.Cleanup(func() {
+		_ = process.Process.Kill()
+		_ = process.Wait()
 	})
-	return started
+	return process
 }
 
-func (made *deployment) entryURL(entry int, path string) string {
-	return "http://" + made.layout.Entry(entry, standin.EntryHTTPPort) + path
+func (d *deployment) entryURL(entry int, path string) string {
+	return "http://" + d.layout.Entry(entry, standin.EntryHTTPPort) + path
 }
 
-func (made *deployment) publishConfig(config string, instances int) {
-	made.t.Helper()
+// publishConfig publishes a config and waits until processCount processes have it in force.
+func (d *deployment) publishConfig(config string, processCount int) {
+	d.t.Helper()
 	body, err := json.Marshal(api.PublishRequest{Content: config})
 	if err != nil {
-		made.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	made.waitFor("publish", func() bool {
-		request, err := http.NewRequest(http.MethodPut, made.entryURL(1, "/v1/documents/config"), bytes.NewReader(body))
+	d.waitFor("the config to be published", func() bool {
+		request, err := http.NewRequest(http.MethodPut, d.entryURL(1, "/v1/documents/config"), bytes.NewReader(body))
 		if err != nil {
 			return false
 		}
-		response, err := made.httpClient.Do(request)
+		response, err := d.httpClient.Do(request)
 		if err != nil {
 			return false
 		}
 		_ = response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	})
-	made.waitFor("in force", func() bool {
-		response, err := made.httpClient.Get(made.entryURL(1, "/v1/in-force"))
+	d.waitFor("the config to be in force in all processes", func() bool {
+		response, err := d.httpClient.Get(d.entryURL(1, "/v1/in-force"))
 		if err != nil {
 			return false
 		}
 		defer func() { _ = response.Body.Close() }()
-		var listed []api.DocumentInForce
-		return json.NewDecoder(response.Body).Decode(&listed) == nil && len(listed) == instances
+		var inForce []api.DocumentInForce
+		return json.NewDecoder(response.Body).Decode(&inForce) == nil && len(inForce) == processCount
 	})
 }
 
-func (made *deployment) waitFor(what string, holds func() bool) {
-	made.t.Helper()
+// waitFor polls condition until it holds, and fails the test after waitTimeout.
+func (d *deployment) waitFor(description string, condition func() bool) {
+	d.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
-			made.t.Fatalf("waited in vain: %s", what)
+			d.t.Fatalf("timed out waiting for %s", description)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// post sends one request and reads its answer; the result is its status.
-func (made *deployment) post(url, body string, headers map[string]string) (int, error) {
+// post sends a request, reads the whole response and returns its status.
+func (d *deployment) post(url, body string, headers map[string]string) (int, error) {
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -142,7 +148,7 @@
 	for name, value := range headers {
 		request.Header.Set(name, value)
 	}
-	response, err := made.httpClient.Do(request)
+	response, err := d.httpClient.Do(request)
 	if err != nil {
 		return 0, err
 	}
@@ -151,54 +157,58 @@
 	return response.StatusCode, err
 }
 
-// loadResult is the latencies of a run, and its pace.
+// loadResult holds the latencies of the answered requests of a load run, its duration and the number of
+// failures.
 type loadResult struct {
 	latencies []time.Duration
 	elapsed   time.Duration
 	failed    int64
 }
 
-func (taken loadResult) quantile(part float64) time.Duration {
-	if len(taken.latencies) == 0 {
+// quantile returns the q-quantile of the latencies, or 0 if there are none.
+func (result loadResult) quantile(q float64) time.Duration {
+	if len(result.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(taken.latencies)
-	return taken.latencies[int(part*float64(len(taken.latencies)-1))]
+	slices.Sort(result.latencies)
+	return result.latencies[int(q*float64(len(result.latencies)-1))]
 }
 
-func (taken loadResult) throughput() float64 {
-	return float64(len(taken.latencies)) / taken.elapsed.Seconds()
+// throughput returns the number of requests with a latency per second.
+func (result loadResult) throughput() float64 {
+	return float64(len(result.latencies)) / result.elapsed.Seconds()
 }
 
-// runClosedLoad sends requests from a number of callers, each after its answer.
-func (made *deployment) runClosedLoad(url string, callers int, span time.Duration) loadResult {
+// runClosedLoad sends requests from a number of concurrent callers, each of which waits for a response before
+// it sends its next request.
+func (d *deployment) runClosedLoad(url string, callers int, duration time.Duration) loadResult {
 	var mu sync.Mutex
-	var taken loadResult
+	var result loadResult
 	var failed atomic.Int64
-	began := time.Now()
-	var running sync.WaitGroup
+	startedAt := time.Now()
+	var wg sync.WaitGroup
 	for range callers {
-		running.Go(func() {
-			var own []time.Duration
-			for time.Since(began) < span {
+		wg.Go(func() {
+			var latencies []time.Duration
+			for time.Since(startedAt) < duration {
 				sent := time.Now()
-				if status, err := made.post(url, "la seduta", nil); err != nil || status != http.StatusOK {
+				if status, err := d.post(url, "la seduta", nil); err != nil || status != http.StatusOK {
 					failed.Add(1)
 					continue
 				}
-				own = append(own, time.Since(sent))
+				latencies = append(latencies, time.Since(sent))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			taken.latencies = append(taken.latencies, own...)
+			result.latencies = append(result.latencies, latencies...)
 		})
 	}
-	running.Wait()
-	taken.elapsed, taken.failed = time.Since(began), failed.Load()
-	return taken
+	wg.Wait()
+	result.elapsed, result.failed = time.Since(startedAt), failed.Load()
+	return result
 }
 
-// peakResidentMiB returns the resident memory of a process.
+// peakResidentMiB returns the peak resident memory of a process, or 0 if it is not known.
 func peakResidentMiB(process *exec.Cmd) float64 {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.Process.Pid))
 	if err != nil {
@@ -218,11 +228,12 @@
 	return sorted[len(sorted)/2]
 }
 
-func readConfig(t *testing.T, replace ...string) string {
+// readConfig returns the example config after replacements, which are pairs of old and new strings.
+func readConfig(t *testing.T, replacements ...string) string {
 	t.Helper()
 	content, err := os.ReadFile("../examples/verbalia/config.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return strings.NewReplacer(replace...).Replace(string(content))
+	return strings.NewReplacer(replacements...).Replace(string(content))
 }
--- a/measure/kill_test.go
+++ b/measure/kill_test.go
@@ -16,108 +16,112 @@
 	"ambertiller.example/ambertiller/standin"
 )
 
-// outcomeCounts counts how the requests of a run ended.
+// outcomeCounts counts the requests of a load run by their outcome.
 type outcomeCounts struct {
 	mu               sync.Mutex
 	sent             int
 	succeeded        int
-	notRun           int
-	unknown          int
-	connectionErrors int
-	wrongResponses   int
+	notRun           int // refused, and guaranteed not to have run
+	unknown          int // any other response
+	connectionErrors int // no response
+	wrongResponses   int // status 200, but not the expected body
 	latencies        []time.Duration
-	outcomesByKey    map[string]api.Outcome // of requests that must not be repeated
+	outcomesByKey    map[string]api.Outcome // outcomes of requests that must not be repeated; empty if they succeeded
 }
 
-func (counted *outcomeCounts) record(key, want string, status int, body []byte, err error, took time.Duration) {
-	counted.mu.Lock()
-	defer counted.mu.Unlock()
-	counted.sent++
+// record records the result of a request whose response should have been want. An empty key denotes a request
+// that may be repeated.
+func (c *outcomeCounts) record(key, want string, status int, body []byte, err error, elapsed time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sent++
 	outcome := api.OutcomeUnknown
 	var problem api.Problem
 	switch {
 	case err != nil:
-		counted.connectionErrors++
+		c.connectionErrors++
 	case status == http.StatusOK && string(body) == want:
-		counted.succeeded++
-		counted.latencies = append(counted.latencies, took)
+		c.succeeded++
+		c.latencies = append(c.latencies, elapsed)
 		outcome = ""
 	case status == http.StatusOK:
-		counted.wrongResponses++
+		c.wrongResponses++
 	case json.Unmarshal(body, &problem) == nil && problem.Outcome == api.OutcomeNotRun:
-		counted.notRun++
+		c.notRun++
 		outcome = api.OutcomeNotRun
 	default:
-		counted.unknown++
+		c.unknown++
 	}
 	if key != "" {
-		counted.outcomesByKey[key] = outcome
+		c.outcomesByKey[key] = outcome
 	}
 }
 
-// TestKills puts an open load of repeatable and non-repeatable requests on 3
-// entries and 12 guards, and kills and replaces one process after the other
-// with SIGKILL, and takes the log away for 20 s.
+// TestKills sends repeatable and non-repeatable requests at a fixed rate to 3 entries and 12 guards.
+// Meanwhile, it kills one process after another with SIGKILL and replaces it, and makes the log unavailable
+// for 20 s. It checks that no non-repeatable request runs twice, or runs although its caller was told that it
+// did not, and that no response belongs to another request.
 func TestKills(t *testing.T) {
-	const workers, entries, perSecond, span = 12, 3, 200, 90 * time.Second
-	made := newDeployment(t, workers, entries, 2*time.Millisecond, readConfig(t))
+	const workerCount, entryCount, rate, duration = 12, 3, 200, 90 * time.Second
+	d := newDeployment(t, workerCount, entryCount, 2*time.Millisecond, readConfig(t))
 	time.Sleep(3 * time.Second)
-	calm := made.runMixedLoad(entries, perSecond, 15*time.Second, "calm")
-	t.Logf("calm: %s", calm.summary())
+	baseline := d.runMixedLoad(entryCount, rate, 15*time.Second, "calm")
+	t.Logf("without kills: %s", baseline.summary())
 	done := make(chan *outcomeCounts, 1)
-	go func() { done <- made.runMixedLoad(entries, perSecond, span, "kill") }()
-	began := time.Now()
-	for round := 0; time.Since(began) < span-25*time.Second; round++ {
+	go func() { done <- d.runMixedLoad(entryCount, rate, duration, "kill") }()
+	startedAt := time.Now()
+	for round := 0; time.Since(startedAt) < duration-25*time.Second; round++ {
 		time.Sleep(2 * time.Second)
-		made.replaceGuard(round%workers + 1)
+		d.replaceGuard(round%workerCount + 1)
 		time.Sleep(2 * time.Second)
-		made.replaceEntry(round%entries + 1)
+		d.replaceEntry(round%entryCount + 1)
 		if round == 3 {
-			made.setLogState("down")
+			d.setLogState("down")
 			time.Sleep(20 * time.Second)
-			made.setLogState("up")
+			d.setLogState("up")
 		}
 	}
-	counted := <-done
-	doubled, wrongNotRun := made.countViolations(counted)
-	t.Logf("kills: %s", counted.summary())
-	t.Logf("doubled runs %d, wrong not run %d, answers to another request %d", doubled, wrongNotRun, counted.wrongResponses)
-	if doubled+wrongNotRun+counted.wrongResponses > 0 {
-		t.Error("a promise was broken")
+	counts := <-done
+	repeatedRuns, wrongNotRun := d.countViolations(counts)
+	t.Logf("with kills: %s", counts.summary())
+	t.Logf("%d requests run more than once, %d run although reported as not run, %d answered with a wrong response", repeatedRuns, wrongNotRun, counts.wrongResponses)
+	if repeatedRuns+wrongNotRun+counts.wrongResponses > 0 {
+		t.Error("a guarantee for requests was violated")
 	}
 }
 
-func (counted *outcomeCounts) summary() string {
-	taken := loadResult{latencies: counted.latencies}
-	return fmt.Sprintf("%d sent, %d whole, %d not run, %d unknown, %d connections broken; p50 %s, p99 %s",
-		counted.sent, counted.succeeded, counted.notRun, counted.unknown, counted.connectionErrors, taken.quantile(0.5), taken.quantile(0.99))
+// summary returns the counts and the latencies of the requests that succeeded, as a line of text.
+func (c *outcomeCounts) summary() string {
+	result := loadResult{latencies: c.latencies}
+	return fmt.Sprintf("%d sent, %d succeeded, %d not run, %d unknown, %d failed connections; p50 %s, p99 %s",
+		c.sent, c.succeeded, c.notRun, c.unknown, c.connectionErrors, result.quantile(0.5), result.quantile(0.99))
 }
 
-// runMixedLoad sends requests at a fixed pace, every tenth of them one that must not
-// be repeated.
-func (made *deployment) runMixedLoad(entries, perSecond int, span time.Duration, name string) *outcomeCounts {
-	counted := &outcomeCounts{outcomesByKey: map[string]api.Outcome{}}
-	var calls sync.WaitGroup
-	began := time.Now()
-	for number := 0; time.Since(began) < span; number++ {
-		time.Sleep(time.Until(began.Add(time.Duration(number) * time.Second / time.Duration(perSecond))))
-		calls.Go(func() {
-			text := fmt.Sprintf("%s-%d", name, number)
+// runMixedLoad sends requests at a fixed rate per second. One in ten must not be repeated.
+func (d *deployment) runMixedLoad(entryCount, rate int, duration time.Duration, name string) *outcomeCounts {
+	counts := &outcomeCounts{outcomesByKey: map[string]api.Outcome{}}
+	var wg sync.WaitGroup
+	startedAt := time.Now()
+	for index := 0; time.Since(startedAt) < duration; index++ {
+		time.Sleep(time.Until(startedAt.Add(time.Duration(index) * time.Second / time.Duration(rate))))
+		wg.Go(func() {
+			requestBody := fmt.Sprintf("%s-%d", name, index)
 			headers, key := map[string]string{}, ""
-			if number%10 == 0 {
-				key = text
+			if index%10 == 0 {
+				key = requestBody
 				headers = map[string]string{api.HeaderRepeatable: "false", api.HeaderIdempotencyKey: key, standin.HeaderCount: key}
 			}
 			sent := time.Now()
-			status, body, err := made.exchange(made.entryURL(number%entries+1, "/v1/services/verbale/snippets"), text, headers)
-			counted.record(key, "corrected: "+text+"\n", status, body, err, time.Since(sent))
+			status, body, err := d.exchange(d.entryURL(index%entryCount+1, "/v1/services/verbale/snippets"), requestBody, headers)
+			counts.record(key, "corrected: "+requestBody+"\n", status, body, err, time.Since(sent))
 		})
 	}
-	calls.Wait()
-	return counted
+	wg.Wait()
+	return counts
 }
 
-func (made *deployment) exchange(url, body string, headers map[string]string) (int, []byte, error) {
+// exchange sends a request and returns the status and the body of its response.
+func (d *deployment) exchange(url, body string, headers map[string]string) (int, []byte, error) {
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return 0, nil, err
@@ -125,61 +129,67 @@
 	for name, value := range headers {
 		request.Header.Set(name, value)
 	}
-	response, err := made.httpClient.Do(request)
+	response, err := d.httpClient.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
-	return response.StatusCode, answer, err
+	responseBody, err := io.ReadAll(response.Body)
+	return response.StatusCode, responseBody, err
 }
 
-// countViolations compares what callers were told with how often each key ran.
-func (made *deployment) countViolations(counted *outcomeCounts) (doubled, wrongNotRun int) {
-	for key, outcome := range counted.outcomesByKey {
-		runs := made.runCount(key)
+// countViolations compares the outcomes that callers were told with how often each non-repeatable request
+// ran. It returns how many ran more than once, and how many ran although they were reported as not run.
+func (d *deployment) countViolations(counts *outcomeCounts) (repeatedRuns, wrongNotRun int) {
+	for key, outcome := range counts.outcomesByKey {
+		runs := d.runCount(key)
 		if runs > 1 {
-			doubled++
+			repeatedRuns++
 		}
 		if outcome == api.OutcomeNotRun && runs > 0 {
 			wrongNotRun++
 		}
 	}
-	return doubled, wrongNotRun
+	return repeatedRuns, wrongNotRun
 }
 
-func (made *deployment) runCount(key string) (runs int) {
-	response, err := made.httpClient.Get("http://" + made.layout.Platform() + "/control/counts/" + key)
+// runCount returns how often the request with a key has run, as counted by the stand-in for the backend
+// servers.
+func (d *deployment) runCount(key string) (runs int) {
+	response, err := d.httpClient.Get("http://" + d.layout.Platform() + "/control/counts/" + key)
 	if err != nil {
-		made.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := json.NewDecoder(response.Body).Decode(&runs); err != nil {
-		made.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	return runs
 }
 
-func (made *deployment) setLogState(state string) {
-	request, err := http.NewRequest(http.MethodPut, "http://"+made.layout.Platform()+"/control/log/"+state, nil)
+// setLogState makes the log service available ("up") or unavailable ("down").
+func (d *deployment) setLogState(state string) {
+	request, err := http.NewRequest(http.MethodPut, "http://"+d.layout.Platform()+"/control/log/"+state, nil)
 	if err != nil {
-		made.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	response, err := made.httpClient.Do(request)
+	response, err := d.httpClient.Do(request)
 	if err != nil {
-		made.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	_ = response.Body.Close()
 }
 
-func (made *deployment) replaceGuard(index int) {
-	_ = made.guards[index-1].Process.Kill()
-	_ = made.guards[index-1].Wait()
-	made.guards[index-1] = made.startGuard(index)
+// replaceGuard kills a guard and starts another one in its place.
+func (d *deployment) replaceGuard(index int) {
+	_ = d.guards[index-1].Process.Kill()
+	_ = d.guards[index-1].Wait()
+	d.guards[index-1] = d.startGuard(index)
 }
 
-func (made *deployment) replaceEntry(index int) {
-	_ = made.entries[index-1].Process.Kill()
-	_ = made.entries[index-1].Wait()
-	made.entries[index-1] = made.startEntry(index)
+// replaceEntry kills an entry and starts another one in its place.
+func (d *deployment) replaceEntry(index int) {
+	_ = d.entries[index-1].Process.Kill()
+	_ = d.entries[index-1].Wait()
+	d.entries[index-1] = d.startEntry(index)
 }
