--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -66,7 +66,7 @@
 		return errors.New("kernel: service has no name")
 	}
 	if _, isRegistered := kern.services[service.Name]; isRegistered {
-		return errors.Errorf("kernel: service %q is already registered", service.Name)
+		return errors.Errorf("kernel: service %q is already registered; rename one of the two", service.Name)
 	}
 	kern.services[service.Name] = service
 	kern.registered = append(kern.registered, service.Name)
@@ -79,7 +79,7 @@
 	defer kern.mu.Unlock()
 	service, isRegistered := kern.services[name]
 	if !isRegistered {
-		return nil, errors.Errorf("kernel: service %q is not registered", name)
+		return nil, errors.Errorf("kernel: service %q is not registered; register it before it is looked up", name)
 	}
 	return service.Provides, nil
 }
@@ -153,7 +153,7 @@
 			return errors.Errorf("kernel: %s needs %q, which is not registered", dependent, name)
 		}
 		if visiting[name] {
-			return errors.Errorf("kernel: circular dependency between %s and %s", dependent, name)
+			return errors.Errorf("kernel: circular dependency between %s and %s; remove one dependency", dependent, name)
 		}
 		visiting[name] = true
 		for _, need := range service.Needs {
