--- a/report/plot.go
+++ b/report/plot.go
@@ -87,7 +87,7 @@
 // timelinePlot shows how many jobs were in time, by the time of their acceptance.
 func (r *Report) timelinePlot() barPlot {
 	p := barPlot{
-		title: "Jobs by time of acceptance", unit: "jobs", barWidth: timelineBarWidth, stacked: true,
+		title: "Jobs by when they were handed in", unit: "jobs", barWidth: timelineBarWidth, stacked: true,
 		series: []series{{name: "in time"}, {name: "late or failed"}},
 	}
 	for index, slice := range r.Timeline {
@@ -124,7 +124,7 @@
 // fillPlot compares the durations of fill tasks with their estimates.
 func (r *Report) fillPlot() barPlot {
 	p := barPlot{
-		title: "Fill tasks by image, from first placement to end", unit: "seconds", barWidth: barWidth,
+		title: "Filling tasks by image, from the first place to the end", unit: "seconds", barWidth: barWidth,
 		series: []series{{name: "estimate"}, {name: "slowest tenth"}, {name: "mean"}},
 	}
 	for _, fill := range r.FillImages {
@@ -145,8 +145,8 @@
 		}
 	}
 	p := barPlot{
-		title: "Time spent by jobs that were not in time", unit: "seconds", barWidth: barWidth,
-		series: []series{{name: "on the critical path"}},
+		title: "Where the time of jobs went that were not in time", unit: "seconds", barWidth: barWidth,
+		series: []series{{name: "on the chain that decided"}},
 	}
 	sorted := sortedDurations(times)
 	for index, t := range sorted[:min(len(sorted), maxSharesShown)] {
