--- a/job/crash_test.go
+++ b/job/crash_test.go
@@ -20,10 +20,10 @@
 		changesOwner bool          // another owner takes over the shard before the end
 	}
 	tests := map[string]struct {
-		ends    []end
-		lasting bool
-		crashes int
-		want    job.State
+		ends        []end
+		longRunning bool
+		crashes     int
+		want        job.State
 	}{
 		"once":        {[]end{{attempt: 1}}, false, 1, job.State_STATE_RUNNING},
 		"twice":       {[]end{{attempt: 1}, {attempt: 2}}, false, 2, job.State_STATE_RUNNING},
@@ -53,11 +53,11 @@
 		"beside a suspect, survived the start later": {
 			[]end{{attempt: 1, reason: job.EndCrashedBesideSuspect}, {attempt: 2, reason: job.EndInterrupted, survived: true},
 				{attempt: 3}, {attempt: 4}}, false, 2, job.State_STATE_RUNNING},
-		"lasting task": {[]end{{attempt: 1}, {attempt: 2}, {attempt: 3}}, true, 3, job.State_STATE_FAILED},
+		"long-running task": {[]end{{attempt: 1}, {attempt: 2}, {attempt: 3}}, true, 3, job.State_STATE_FAILED},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			change := func(submission *job.Submission) { submission.Steps[0].Lasting = test.lasting }
+			change := func(submission *job.Submission) { submission.Steps[0].Lasting = test.longRunning }
 			j := newJob(change)
 			for _, ended := range test.ends {
 				task := j.Tasks()[0]
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -70,22 +70,22 @@
 		reason  job.EndReason
 	}
 	tests := map[string]struct {
-		lasting   bool
-		starts    int
-		ends      []end
-		wantState job.State
-		wantTask  job.TaskState
+		longRunning bool
+		starts      int
+		ends        []end
+		wantState   job.State
+		wantTask    job.TaskState
 	}{
-		"failed once":                      {false, 1, []end{{1, job.EndFailed}}, job.State_STATE_RUNNING, job.TaskState_TASK_WAITING},
-		"failed in all attempts":           {false, 2, []end{{1, job.EndFailed}, {2, job.EndFailed}}, job.State_STATE_FAILED, job.TaskState_TASK_FAILED},
-		"interruptions don't count":        {false, 3, []end{{1, job.EndInterrupted}, {2, job.EndInterrupted}, {3, job.EndInterrupted}}, job.State_STATE_RUNNING, job.TaskState_TASK_WAITING},
-		"lasting task restarts":            {true, 1, []end{{1, job.EndDone}}, job.State_STATE_RUNNING, job.TaskState_TASK_WAITING},
-		"lasting task fails without limit": {true, 4, []end{{1, job.EndFailed}, {2, job.EndFailed}, {3, job.EndFailed}, {4, job.EndFailed}}, job.State_STATE_RUNNING, job.TaskState_TASK_WAITING},
+		"failed once":                           {false, 1, []end{{1, job.EndFailed}}, job.State_STATE_RUNNING, job.TaskState_TASK_WAITING},
+		"failed in all attempts":                {false, 2, []end{{1, job.EndFailed}, {2, job.EndFailed}}, job.State_STATE_FAILED, job.TaskState_TASK_FAILED},
+		"interruptions don't count":             {false, 3, []end{{1, job.EndInterrupted}, {2, job.EndInterrupted}, {3, job.EndInterrupted}}, job.State_STATE_RUNNING, job.TaskState_TASK_WAITING},
+		"long-running task restarts":            {true, 1, []end{{1, job.EndDone}}, job.State_STATE_RUNNING, job.TaskState_TASK_WAITING},
+		"long-running task fails without limit": {true, 4, []end{{1, job.EndFailed}, {2, job.EndFailed}, {3, job.EndFailed}, {4, job.EndFailed}}, job.State_STATE_RUNNING, job.TaskState_TASK_WAITING},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			j := newJob(func(submission *job.Submission) {
-				submission.Steps = []*job.StepSpec{{Count: 1, EstimateMs: 1000, Lasting: test.lasting}}
+				submission.Steps = []*job.StepSpec{{Count: 1, EstimateMs: 1000, Lasting: test.longRunning}}
 			})
 			task := j.Tasks()[0]
 			for index := range test.starts {
--- a/status/decoder.go
+++ b/status/decoder.go
@@ -16,7 +16,7 @@
 // Status returns the worker's status. The next call of Apply may modify it.
 func (decoder *Decoder) Status() *wire.WorkerStatus { return decoder.status }
 
-// Tolerance returns how many more processors, in thousandths, tasks of a filling image may use before the
+// Tolerance returns how many more processors, in thousandths, tasks of a fill image may use before the
 // worker's serving tasks miss their targets. A negative value says how much those would suffer, and is only
 // meant to be compared with others.
 func (decoder *Decoder) Tolerance(image string) int64 {
