--- a/agent/ends.go
+++ b/agent/ends.go
@@ -19,7 +19,7 @@
 const endNumbersPerMs = 1 << 20
 
 // initialEndNumberOffset returns the offset that an agent adds to the end numbers of the first incarnation
-// that it manages. Each incarnation numbers its ends from 1, but the numbers that owners are told restart
+// that it manages. Each incarnation numbers its ends from 1, but the numbers reported to owners restart
 // neither with an incarnation nor with an agent process, since the first fencing token is the time at which
 // the process started. A late confirmation of an end of an earlier incarnation, or one that was meant for an
 // earlier agent process, therefore matches none of the present ends. It may also come from an owner of an
@@ -113,7 +113,7 @@
 		slog.String("known", known.runEnd.GetTask()))
 }
 
-// endReason converts the way in which a run ended to the reason that owners are told.
+// endReason converts the way in which a run ended to the reason that is reported to owners.
 func endReason(how platform.EndReason) wire.EndReason {
 	reasons := map[platform.EndReason]wire.EndReason{
 		platform.EndDone:    wire.EndReason_END_DONE,
--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -17,7 +17,7 @@
 	otherTask = otherJob + ".0.0.0"
 )
 
-// TestPendingEndLimitsLease lets an owner go silent before it is told that its run is done, while another
+// TestPendingEndLimitsLease lets an owner go silent before it learns that its run is done, while another
 // owner has a run on the same worker. Once its grant is over, the silent owner considers the run lost and
 // starts the task elsewhere. The end must not count from then on, whoever confirms later that it is in the
 // store. For the whole sequence of events see owner.TestPartitionedTaskCompletesOnce.
--- a/agent/incarnation.go
+++ b/agent/incarnation.go
@@ -37,7 +37,8 @@
 	agent.log(event.HeartbeatRefused, slog.String("worker", id), slog.Any("error", err))
 }
 
-// HandleLeave handles the notice that the worker with the given ID has left. It implements platform.HeartbeatReceiver.
+// HandleLeave handles the notice that the worker with the given ID has left. It implements
+// platform.HeartbeatReceiver.
 func (agent *Agent) HandleLeave(id string) {
 	agent.eventLoop.Post(func(now time.Time) {
 		agent.log(event.WorkerLeft, slog.String("worker", id))
@@ -110,7 +111,7 @@
 	// incarnation is the last of them.
 	incarnation incarnation.ID
 	// token is higher than all tokens that they were sent. lastEndNumber is the highest number of their ends
-	// that owners were told.
+	// that was reported to owners.
 	token         int64
 	lastEndNumber int64
 }
@@ -139,7 +140,8 @@
 	agent.metrics.lostIncarnations.Add(agent.ctx, 1, telemetry.WithAttribute("how", string(cause)))
 	agent.reportEndedRuns(state, cause)
 	for _, end := range state.pendingEnds {
-		// No worker waits for the confirmation of this end any more, but a later owner may have to be told of it.
+		// No worker waits for the confirmation of this end any more, but it may have to be reported to a later
+		// owner.
 		end.runEnd.Number = 0
 		agent.keepLostEnd(end.runEnd)
 	}
--- a/agent/lease.go
+++ b/agent/lease.go
@@ -41,8 +41,8 @@
 // leaseLimit returns the time up to which the worker's lease may be renewed: no longer than the grant of any
 // owner with runs on the worker.
 //
-// Until the end of a run is in the store, the run limits the lease as if it still ran. Its owner may not have
-// been told of the end: when its grant is over, it considers the run lost and starts the task elsewhere, and
+// Until the end of a run is in the store, the run limits the lease as if it still ran. Its owner may not know
+// of the end: when its grant is over, it considers the run lost and starts the task elsewhere, and
 // from then on the end must not count. The platform ignores an end only if the lease has expired since.
 func (agent *Agent) leaseLimit(now time.Time) time.Time {
 	until := now.Add(leaseDuration)
--- a/agent/lease_test.go
+++ b/agent/lease_test.go
@@ -10,7 +10,7 @@
 
 // TestUnresponsiveWorkerRunsAreLost checks that failed polls do not renew the lease of a worker, and that its
 // runs are reported as lost once the lease has expired. It guards against a fault by which every failed poll
-// of a dead worker extended the assumed lease, so that its runs were never given up.
+// of a dead worker extended the assumed lease, so that its runs were never reported as lost.
 func TestUnresponsiveWorkerRunsAreLost(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachReadyOwner(1)
--- a/agent/liveness.go
+++ b/agent/liveness.go
@@ -66,7 +66,7 @@
 }
 
 // crashSuspects returns the runs that may have caused a crash of the worker, which are the new ones, with the
-// reason that the owner of each is told. If one of them was a suspect before, the others are most likely
+// reason that is reported to the owner of each. If one of them was a suspect before, the others are most likely
 // innocent and get a reason of their own. Runs that were given up while the worker did not answer are
 // included.
 func (state *workerState) crashSuspects() map[*runState]wire.EndReason {
@@ -109,7 +109,7 @@
 	}
 }
 
-// reportCrashedRun tells the run's owner that the worker crashed, and that the run may have caused it.
+// reportCrashedRun reports to the run's owner that the worker crashed, and that the run may have caused it.
 func (agent *Agent) reportCrashedRun(state *workerState, run *runState, reason wire.EndReason) {
 	end := state.newLostEnd(run)
 	end.Reason = reason
@@ -117,7 +117,7 @@
 	agent.queueEnd(end, run.shard)
 }
 
-// reportLostRun tells the run's owner that the run is over without an end listed by the worker.
+// reportLostRun reports to the run's owner that the run is over without an end listed by the worker.
 func (agent *Agent) reportLostRun(state *workerState, run *runState) {
 	agent.logLostRun(event.RunLost, state, run)
 	agent.queueEnd(state.newLostEnd(run), run.shard)
--- a/agent/order.go
+++ b/agent/order.go
@@ -45,8 +45,8 @@
 }
 
 // checkStart returns START_STARTED if the order may be sent to the worker, or else why it is refused. The
-// order must arrive on the connection that holds the shard: an order on an older one may have been given up
-// by its owner together with that connection.
+// order must arrive on the connection that holds the shard: its owner may have abandoned an order on an older
+// one together with that connection.
 func (agent *Agent) checkStart(s *session, order *wire.StartOrder, now time.Time) wire.StartOutcome {
 	state := agent.worker
 	claim, claimed := agent.claims[order.GetShard()]
@@ -150,7 +150,7 @@
 	})
 }
 
-// refusalOutcome returns the outcome that owners are told when the worker refuses a start.
+// refusalOutcome returns the outcome that is reported to owners when the worker refuses a start.
 func refusalOutcome(reason platform.WorkerRefusal) wire.StartOutcome {
 	switch reason {
 	case platform.RefusedNoRoom:
@@ -165,7 +165,7 @@
 	return wire.StartOutcome_START_WORKER_FAILED
 }
 
-// failStart drops a run that has not started, and tells its owner why.
+// failStart drops a run that has not started, and reports the reason to its owner.
 func (agent *Agent) failStart(state *workerState, run *runState, outcome wire.StartOutcome, err error) {
 	agent.logRun(event.OrderRefused, run, slog.String("outcome", outcome.String()), slog.Any("error", err))
 	delete(state.runs, run.task)
--- a/agent/order_test.go
+++ b/agent/order_test.go
@@ -16,7 +16,7 @@
 	h.worker.End(testTask, "done")
 	h.waitFor(func() bool { return owner.firstEnd() != nil })
 	if _, storedEnd := h.worker.Polls(); storedEnd != 0 {
-		t.Errorf("the worker was told to forget end %d before it was stored", storedEnd)
+		t.Errorf("the worker was ordered to forget end %d before it was stored", storedEnd)
 	}
 	owner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: owner.firstEnd().GetNumber()}}})
 	h.waitFor(func() bool { _, storedEnd := h.worker.Polls(); return storedEnd == 1 })
--- a/agent/reconcile.go
+++ b/agent/reconcile.go
@@ -10,7 +10,7 @@
 )
 
 // reconcileRuns compares the runs that the worker lists with those that the agent knows of: it adopts unknown
-// runs, settles starts without an answer, and gives up runs that are no longer listed.
+// runs, settles starts without an answer, and reports runs that are no longer listed as lost.
 func (agent *Agent) reconcileRuns(state *workerState, request pollRequest, answer platform.PollResult, now time.Time) {
 	listed := map[string]bool{}
 	for _, run := range answer.Running {
@@ -84,8 +84,8 @@
 	}
 }
 
-// settleStart tells the owner the outcome of a start without an answer, once it is known whether the run has
-// started.
+// settleStart reports the outcome of a start without an answer to the owner, once it is known whether the run
+// has started.
 func (agent *Agent) settleStart(state *workerState, run *runState, started bool) {
 	agent.logRun(event.OrderSettled, run, slog.Bool("runs", started))
 	outcome := wire.StartOutcome_START_WORKER_FAILED
--- a/agent/register.go
+++ b/agent/register.go
@@ -27,7 +27,7 @@
 	minRegisterDelay = 250 * time.Millisecond
 	maxRegisterDelay = 4 * time.Second
 	// maxEndedToRegister limits the ended incarnations of one machine that are written to the store. The runs
-	// of earlier ones have long been given up.
+	// of earlier ones have long been released.
 	maxEndedToRegister = 8
 )
 
@@ -36,7 +36,7 @@
 // ctx ends.
 //
 // It makes one append at a time, and waits for one that is queued in the store. A whole fleet may register at
-// once: appends that were given up while queued would make the queue longer for all agents.
+// once: appends that were abandoned while queued would make the queue longer for all agents.
 func (agent *Agent) Register(ctx context.Context, store *platform.Store, address string) {
 	var stored *job.AgentRecord // the last record that the store has accepted
 	delays := newRegisterBackoff()
--- a/agent/replaced_connection_test.go
+++ b/agent/replaced_connection_test.go
@@ -8,11 +8,11 @@
 )
 
 // The tests of this file guard against a task that runs twice because an order arrives late on a connection
-// that its owner has replaced. The owner gives up a connection on which the agent does not answer, opens another
-// one and claims its shards there. The agent truthfully reports that it does not have the run, whose order is
-// delayed on the old connection, and the owner starts the task elsewhere. The old connection may work again
-// within the 5 s for which an agent keeps a silent one. Unless the agent has closed it, the order is then
-// carried out too, since it has the present epoch of the shard.
+// that its owner has replaced. The owner abandons a connection on which the agent does not answer, opens
+// another one and claims its shards there. The agent truthfully reports that it does not have the run, whose
+// order is delayed on the old connection, and the owner starts the task elsewhere. The old connection may work
+// again within the 5 s for which an agent keeps a silent one. Unless the agent has closed it, the order is
+// then carried out too, since it has the present epoch of the shard.
 //
 // In one case, the agent accepted the order 0.4 ms before the owner found, on the newer connection, that the
 // run was not listed. On a single core, the older connection was always read first.
@@ -26,7 +26,7 @@
 	})
 }
 
-// waitWorkerReady sends a heartbeat of the worker and waits until the owner is told that the worker is ready.
+// waitWorkerReady sends a heartbeat of the worker and waits until the worker is reported ready to the owner.
 func (h *harness) waitWorkerReady(owner *ownerStream) {
 	h.sendHeartbeat()
 	h.waitFor(func() bool {
--- a/agent/restart_test.go
+++ b/agent/restart_test.go
@@ -81,7 +81,7 @@
 	return owner
 }
 
-// waitReadyAs waits until an incarnation has been polled and the owner is told that it is ready. The status
+// waitReadyAs waits until an incarnation has been polled and is reported ready to the owner. The status
 // has no start time in builds that don't distinguish incarnations.
 func (h *harness) waitReadyAs(owner *ownerStream, worker *wireworker.Worker) {
 	h.t.Helper()
@@ -133,7 +133,7 @@
 }
 
 // finishRuns lets the given number of runs start and end one after another. The owner confirms each end, and
-// finishRuns returns when the worker has been told to forget them.
+// finishRuns returns when the worker has been ordered to forget them.
 func (h *harness) finishRuns(owner *ownerStream, count int) {
 	h.t.Helper()
 	for number := range count {
@@ -145,9 +145,9 @@
 	h.waitFor(func() bool { _, seen := h.worker.Polls(); return seen == int64(count) })
 }
 
-// TestEndsAfterRestartAreReported checks that the owner is told each end after a restart, when the worker
-// numbers its ends from 1 again, and that the worker is told to forget none before the owner has confirmed
-// it.
+// TestEndsAfterRestartAreReported checks that each end after a restart is reported to the owner, when the
+// worker numbers its ends from 1 again, and that the worker is not ordered to forget any before the owner has
+// confirmed it.
 func TestEndsAfterRestartAreReported(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -161,7 +161,7 @@
 	}
 	h.advance(4 * time.Second)
 	if _, seen := h.worker.Polls(); seen != 0 {
-		t.Errorf("the worker was told to forget its ends up to %d, of which none was confirmed", seen)
+		t.Errorf("the worker was ordered to forget its ends up to %d, of which none was confirmed", seen)
 	}
 	for number := 3; number < 6; number++ {
 		ends := owner.endsOf(numberedTask(number))
@@ -195,7 +195,7 @@
 			owner.confirmEnd(end)
 			h.advance(2 * time.Second)
 			if _, seen := h.worker.Polls(); seen != 0 {
-				t.Errorf("the worker was told to forget its ends up to %d", seen)
+				t.Errorf("the worker was ordered to forget its ends up to %d", seen)
 			}
 		})
 	}
@@ -223,13 +223,14 @@
 		h.worker.End(numberedTask(number), "done")
 	}
 	h.waitFor(func() bool { return len(nextOwner.endsOf(numberedTask(7))) > 0 })
-	nextOwner.confirmEnd(owner.endsOf(numberedTask(3))[0]) // Fourth end of the earlier agent, first one of its incarnation.
+	// This is the fourth end of the earlier agent, and the first one of its incarnation.
+	nextOwner.confirmEnd(owner.endsOf(numberedTask(3))[0])
 	for number := 3; number < 6; number++ {
 		nextOwner.confirmEnd(nextOwner.endsOf(numberedTask(number))[0])
 	}
 	h.advance(2 * time.Second)
 	if _, seen := h.worker.Polls(); seen != 3 {
-		t.Errorf("the worker was told to forget its ends up to %d", seen)
+		t.Errorf("the worker was ordered to forget its ends up to %d", seen)
 	}
 	for number := 6; number < 8; number++ {
 		nextOwner.confirmEnd(nextOwner.endsOf(numberedTask(number))[0])
@@ -351,7 +352,7 @@
 }
 
 // TestLateStartReachesRestartedWorker checks a start without an answer that the restarted worker carries out,
-// since it has seen no fencing token. While it runs, its owner must not be told that it has not started, and
+// since it has seen no fencing token. While it runs, it must not be reported to its owner as not started, and
 // once it has ended, not that it is lost: the owner would start the task beside the run, or after its end.
 func TestLateStartReachesRestartedWorker(t *testing.T) {
 	tests := map[string]struct {
@@ -391,7 +392,7 @@
 }
 
 // TestLateStartAfterReplacement checks that a restarted worker refuses the orders to its previous incarnation
-// once owners have been told that that one is over.
+// once that one has been reported as over to the owners.
 func TestLateStartAfterReplacement(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -402,7 +403,7 @@
 	})
 	h.worker.ExecuteDelayedStarts()
 	if h.isRunning() {
-		t.Error("the start was carried out after its owner was told that the run is over")
+		t.Error("the start was carried out after the run was reported to its owner as over")
 	}
 }
 
@@ -418,8 +419,8 @@
 }
 
 // TestRestartDetectedByAnswer checks a restart that the agent notices by an answer of the worker, before it
-// has sent a heartbeat. From then on, no call is made for the previous incarnation, and owners are told that
-// the worker is not ready.
+// has sent a heartbeat. From then on, no call is made for the previous incarnation, and the worker is reported
+// to owners as not ready.
 func TestRestartDetectedByAnswer(t *testing.T) {
 	h := newDatedHarness(t)
 	owner := h.attachOwnerTo(h.worker)
@@ -427,7 +428,7 @@
 	h.restartWorker(300 * time.Millisecond)
 	h.advance(time.Second)
 	if _, seen := h.worker.Polls(); seen != 0 {
-		t.Errorf("the worker was told to forget its ends up to %d", seen)
+		t.Errorf("the worker was ordered to forget its ends up to %d", seen)
 	}
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
 	if last.GetStatus().GetReady() {
@@ -478,7 +479,7 @@
 	h.restartWorker(300 * time.Millisecond)
 	h.advance(time.Second)
 	if _, seen := h.worker.Polls(); seen != 0 {
-		t.Errorf("the worker was told to forget its ends up to %d", seen)
+		t.Errorf("the worker was ordered to forget its ends up to %d", seen)
 	}
 }
 
@@ -589,7 +590,7 @@
 // TestCarriedOverOrderDelaysRegistration checks that an incarnation is not registered as ended if the
 // restarted worker has carried out one of its orders, since the end of that run has yet to reach its owner.
 // Owners read from the store that an incarnation is over, and release its runs. Without this rule, six tasks
-// were started again some milliseconds before their owners were told that they had ended as done.
+// were started again some milliseconds before their owners learned that they had ended as done.
 func TestCarriedOverOrderDelaysRegistration(t *testing.T) {
 	for name, carriedOut := range map[string]bool{"carried out by the restarted worker": true, "not carried out": false} {
 		t.Run(name, func(t *testing.T) {
--- a/agent/successor.go
+++ b/agent/successor.go
@@ -25,7 +25,7 @@
 // answer may still be carried out there. It is therefore probed again with a token above all those that the
 // previous incarnation was sent. From then on it refuses such starts; the runs that it has started until then
 // are stopped, and reported with their own ends. Only then is the previous incarnation certainly over: owners
-// that were told so earlier would start such a task while it still runs.
+// that learned of it earlier would start such a task while it still runs.
 type successor struct {
 	heartbeat platform.Heartbeat
 	client    *platform.Worker
@@ -141,8 +141,8 @@
 		agent.stopStaleRuns(next, answer.Running)
 		return
 	}
-	// If the store said that the previous incarnation is over, an owner might release its run before it is told
-	// of the end.
+	// If the store said that the previous incarnation is over, an owner might release its run before it
+	// receives the end.
 	current.orderCarriedOver = len(answer.Ended) > 0
 	for _, end := range answer.Ended {
 		// The restarted worker has carried out this start and will list its end: the run is not lost.
--- a/agent/suspended.go
+++ b/agent/suspended.go
@@ -7,7 +7,7 @@
 	"ambertiller.example/ambertiller/event"
 )
 
-// handleSuspension adjusts what owners express on this process's clock, which stood still while the machine
+// handleSuspension adjusts what owners express on this process's clock, which was stopped while the machine
 // was suspended: it moves the start of the clock, the grants and the date of the known evacuations back by
 // that time. Meanwhile owners considered their runs over when the last grant ended. If that grant is over by
 // now, a start order that was in transit is refused, and runs that still go on are stopped.
--- a/agent/worker.go
+++ b/agent/worker.go
@@ -33,7 +33,7 @@
 	// which all ends are in the store, and the worker may forget them.
 	lastListedEnd int64
 	storedEnd     int64
-	// endNumberOffset is added to the worker's end numbers to get those that owners are told; see
+	// endNumberOffset is added to the worker's end numbers to get those that are reported to owners; see
 	// [initialEndNumberOffset].
 	endNumberOffset int64
 	// storedAhead holds the numbers above storedEnd of ends that are in the store.
