--- a/owner/agents.go
+++ b/owner/agents.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// markIncarnationsEnded notes that incarnations of the worker have ended, and releases their runs.
+// markIncarnationsEnded records that incarnations of the worker have ended, and releases their runs.
 func (owner *Owner) markIncarnationsEnded(view *agentView, ended []incarnation.ID, now time.Time) {
 	for _, worker := range ended {
 		view.endedIncarnations[worker] = true
--- a/owner/candidacy.go
+++ b/owner/candidacy.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// renewSeat applies for a seat, renews it or gives it up, as the candidacy decides. It returns the
+// renewSeat applies for a seat, renews it or releases it, as the candidacy decides. It returns the
 // latest generation of the group of seats that the store returned, or 0 once the entry has left it.
 func (owner *Owner) renewSeat(ctx context.Context, seat *candidacy.Candidacy, generation int64) (int64, error) {
 	if seat.WantsSeat() {
--- a/owner/candidate.go
+++ b/owner/candidate.go
@@ -47,8 +47,8 @@
 // agentViews returns an iterator over all known agents.
 func (owner *Owner) agentViews() iter.Seq[*agentView] { return maps.Values(owner.agents) }
 
-// candidates returns the workers among the agents given that can take tasks now: connected and
-// heard from recently, ready, not draining, and not avoided after a refusal or a failure.
+// candidates returns the workers among the agents given that can take tasks now: connected,
+// with a recent message, ready, not draining, and not avoided after a refusal or a failure.
 func (owner *Owner) candidates(views iter.Seq[*agentView], now time.Time) []*candidate {
 	var workers []*candidate
 	for view := range views {
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -115,7 +115,7 @@
 	owner.log(event.AgentAttached, slog.String("agent", view.address))
 }
 
-// handleDisconnected notes that a connection has ended, unless a newer one has replaced it.
+// handleDisconnected records that a connection has ended, unless a newer one has replaced it.
 func (owner *Owner) handleDisconnected(view *agentView, conn *agentConn, err error) {
 	if view.conn != conn {
 		return
--- a/owner/fleet_test.go
+++ b/owner/fleet_test.go
@@ -76,7 +76,7 @@
 	// task on all incarnations.
 	startedAt   map[string]time.Time
 	startCounts map[string]int
-	// acknowledged holds the tasks of which the worker was told to forget a run as done.
+	// acknowledged holds the tasks of which the worker was ordered to forget a run as done.
 	acknowledged   map[string]bool
 	acknowledgedMu sync.Mutex
 }
@@ -154,7 +154,7 @@
 	machine.sequence, machine.lastHeartbeatAt, machine.downAt = 0, time.Time{}, time.Time{}
 }
 
-// recordAcknowledged records the tasks of which the worker is told to forget a run as done.
+// recordAcknowledged records the tasks of which the worker is ordered to forget a run as done.
 func (machine *machine) recordAcknowledged(change wireworker.Change) {
 	if change.Kind == wireworker.Acknowledged && change.Reason == "done" {
 		// The caller may or may not hold machine.mu, so the field has a lock of its own.
--- a/owner/incarnation_test.go
+++ b/owner/incarnation_test.go
@@ -20,19 +20,19 @@
 )
 
 // idleWorkerStartedAt returns the status of a ready worker without runs that started at a time in ms.
-func idleWorkerStartedAt(born int64) *wire.WorkerStatus {
+func idleWorkerStartedAt(startedMs int64) *wire.WorkerStatus {
 	status := idleWorkerStatus()
-	status.Born = born
+	status.Born = startedMs
 	return status
 }
 
 // restoreRun loads the job with a run on an incarnation of a worker, as an earlier owner stored it, and
 // returns the job. Without a start time, the record has the worker's ID alone.
-func (h *harness) restoreRun(born ...int64) *job.Job {
+func (h *harness) restoreRun(startedMs ...int64) *job.Job {
 	h.t.Helper()
 	j := h.submit()
 	h.owner.applyProgress(h.shard, newRecord(h.t, jobID, &job.Progress{
-		Id: jobID, State: job.State_STATE_RUNNING, Workers: []string{workerID}, Agents: []string{agentAddress}, Born: born,
+		Id: jobID, State: job.State_STATE_RUNNING, Workers: []string{workerID}, Agents: []string{agentAddress}, Born: startedMs,
 		Tasks: []*job.TaskProgress{{Attempt: 1, State: job.TaskState_TASK_STARTED, Worker: 1}},
 	}), h.clock.Now())
 	h.owner.adoptRuns(h.shard, h.clock.Now())
@@ -52,14 +52,14 @@
 // must an ended worker ID without a start time, as written by earlier versions that could not tell
 // incarnations apart.
 func TestEndOfEarlierIncarnation(t *testing.T) {
-	endedRecord := func(born int64) *job.AgentRecord {
-		return &job.AgentRecord{Name: "side-1", Address: agentAddress, Over: []*job.Incarnation{{Id: workerID, Born: born}}}
+	endedRecord := func(startedMs int64) *job.AgentRecord {
+		return &job.AgentRecord{Name: "side-1", Address: agentAddress, Over: []*job.Incarnation{{Id: workerID, Born: startedMs}}}
 	}
 	endedByID := &job.AgentRecord{Name: "side-1", Address: agentAddress, Ended: []string{workerID}}
 	tests := map[string]struct {
-		born   []int64 // start time of the incarnation that has the run
-		ended  *job.AgentRecord
-		active bool
+		startedMs []int64 // start time of the incarnation that has the run
+		ended     *job.AgentRecord
+		active    bool
 	}{
 		"previous incarnation ended":                {[]int64{secondStartedMs}, endedRecord(firstStartedMs), true},
 		"own incarnation ended":                     {[]int64{secondStartedMs}, endedRecord(secondStartedMs), false},
@@ -77,7 +77,7 @@
 				if before {
 					read()
 				}
-				j := h.restoreRun(test.born...)
+				j := h.restoreRun(test.startedMs...)
 				if !before {
 					read()
 				}
@@ -94,10 +94,10 @@
 // is not listed.
 func TestRunOnAnotherIncarnation(t *testing.T) {
 	tests := map[string]struct {
-		born   []int64
-		status int64
-		runs   []*wire.RunStatus
-		active bool
+		startedMs []int64
+		status    int64
+		runs      []*wire.RunStatus
+		active    bool
 	}{
 		"next incarnation does not list it":               {[]int64{firstStartedMs}, secondStartedMs, nil, false},
 		"next incarnation lists it":                       {[]int64{firstStartedMs}, secondStartedMs, firstRunListed(), true},
@@ -109,7 +109,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
-			j := h.restoreRun(test.born...)
+			j := h.restoreRun(test.startedMs...)
 			h.attach()
 			for range 2 {
 				h.receive(&wire.AgentMessage{Status: idleWorkerStartedAt(test.status), Complete: true, Runs: test.runs})
--- a/owner/membership.go
+++ b/owner/membership.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// join joins the group of owners, or renews the membership. The generation is the one that this entry heard
-// of last.
+// join joins the group of owners, or renews the membership. The generation is that of the last assignment
+// that this entry received.
 func (owner *Owner) join(ctx context.Context, generation int64) (platform.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -7,8 +7,8 @@
 // has it:
 //
 //   - a start is in the store before the start order is sent to an agent;
-//   - the end of a run is in the store before the worker is told to forget it, and before a client is told
-//     that the job has completed.
+//   - the end of a run is in the store before the worker is ordered to forget it, and before a client is
+//     informed that the job has completed.
 //
 // # Unresponsive agents
 //
--- a/owner/partition_test.go
+++ b/owner/partition_test.go
@@ -18,7 +18,7 @@
 //     starts the task on another worker.
 //  4. The worker's lease is extended all the same: only the grants of owners with runs there limit it, and this run
 //     has ended. So the end does not become void.
-//  5. The network recovers. The agent reports the end, and the worker is told to forget the run as done.
+//  5. The network recovers. The agent reports the end, and the worker is ordered to forget the run as done.
 func TestPartitionedTaskCompletesOnce(t *testing.T) {
 	const tasks = 8
 	f := newFleet(t, 2)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// acknowledgedDone reports whether the worker was told to forget a run of the task as done.
+// acknowledgedDone reports whether the worker was ordered to forget a run of the task as done.
 func (machine *machine) acknowledgedDone(task string) bool {
 	machine.acknowledgedMu.Lock()
 	defer machine.acknowledgedMu.Unlock()
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// hasHandled reports whether the agent has handled the message with a sequence number. The number 0 stands
-// for a message that was not sent on this connection.
+// hasHandled reports whether the agent has handled the message with a sequence number. The number 0
+// denotes a message that was not sent on this connection.
 func (view *agentView) hasHandled(sequence int64) bool {
 	return sequence > 0 && sequence <= view.handledSequence
 }
