--- a/entry/claims.go
+++ b/entry/claims.go
@@ -43,7 +43,7 @@
 	return problem
 }
 
-// releaseClaim gives up the claim of a request that did not run. It does nothing
+// releaseClaim releases the claim of a request that did not run. It does nothing
 // without a claim.
 func (entry *Entry) releaseClaim(ctx context.Context, heldClaim *claim.Claim) {
 	if heldClaim != nil {
--- a/entry/suspicion.go
+++ b/entry/suspicion.go
@@ -127,7 +127,7 @@
 	return rec
 }
 
-// updateSuspicions appends the records of checkSilence and logs the accepted ones.
+// updateSuspicions appends the records of checkTimeouts and logs the accepted ones.
 func (entry *Entry) updateSuspicions(ctx context.Context) {
 	now := entry.now()
 	if !entry.isLogFresh(now) {
