--- a/candidacy/candidacy.go
+++ b/candidacy/candidacy.go
@@ -244,7 +244,7 @@
 	}
 }
 
-// updateWithdrawal makes a weak entry give up its seats once it has been redundant for long enough.
+// updateWithdrawal makes a weak entry withdraw from its seats once it has been redundant for long enough.
 func (candidacy *Candidacy) updateWithdrawal(holders []Entry, now time.Time) {
 	if !candidacy.isRedundant(holders) {
 		candidacy.withdrawAt = time.Time{}
--- a/candidacy/candidacy_test.go
+++ b/candidacy/candidacy_test.go
@@ -302,7 +302,7 @@
 }
 
 // redrawDown draws anew which entries are down, each with a probability in percent. An entry that comes up
-// again is a new process that knows nothing of before.
+// again is a new process without any earlier state.
 func (fleet *fleet) redrawDown(t *rapid.T, percent int) {
 	for index := range fleet.down {
 		isDown := rapid.IntRange(0, 99).Draw(t, "luck") < percent
