--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -6,7 +6,7 @@
 // of a worker apart.
 //
 // A worker that doesn't report its start time has to use a new ID for every incarnation. The same holds for
-// data written by earlier builds, which stored the worker ID alone. An ID without a start time may stand for
+// data written by earlier builds, which stored the worker ID alone. An ID without a start time may denote
 // any incarnation of the worker.
 //
 // # Usage
