--- a/loop/loop.go
+++ b/loop/loop.go
@@ -12,7 +12,7 @@
 //
 // # Suspension
 //
-// The monotonic clock stands still while the machine is suspended, so an age that is computed from the time
+// The monotonic clock stops while the machine is suspended, so an age that is computed from the time
 // passed to a function omits the suspension. [Loop.WatchSuspension] sets a handler that runs after each
 // suspension, before any other function. The handler adds the suspended time to the ages of what was recorded
 // before.
