--- a/operator/model_test.go
+++ b/operator/model_test.go
@@ -20,7 +20,7 @@
 	modelDeadline = 3
 	// modelStartTime is the number of steps that a start takes.
 	modelStartTime = 1
-	// maxModelAge stands for itself and all higher ages.
+	// maxModelAge represents itself and all higher ages.
 	maxModelAge = int8(modelDeadline + 1)
 	// never is the age of an event that has not happened.
 	never = int8(-1)
@@ -72,7 +72,7 @@
 	return int8(min(modelNow.Sub(at)/modelStep, time.Duration(maxModelAge)))
 }
 
-// toState returns the EvacuationState that the model stands for.
+// toState returns the EvacuationState that the model represents.
 func (known modelEvacuationState) toState() *operator.EvacuationState {
 	state := &operator.EvacuationState{}
 	if known.age != never {
