--- a/standin/wireworker/serve.go
+++ b/standin/wireworker/serve.go
@@ -142,7 +142,7 @@
 	if waits {
 		select {
 		case <-changed:
-		case <-worker.clocks.After(time.Duration(body.WaitMs) * time.Millisecond):
+		case <-worker.clock.After(time.Duration(body.WaitMs) * time.Millisecond):
 		case <-request.Context().Done():
 			return
 		}
--- a/standin/wireworker/wireworker.go
+++ b/standin/wireworker/wireworker.go
@@ -61,7 +61,7 @@
 // Worker is the stand-in. It is an http.Handler.
 type Worker struct {
 	incarnation string
-	clocks      clockwork.Clock
+	clock       clockwork.Clock
 
 	// startTime is when this life began, in milliseconds since 1970; 0 for a worker that doesn't say it.
 	startTime int64
@@ -90,7 +90,7 @@
 // New returns a worker that runs nothing.
 func New(incarnation string, clocks clockwork.Clock) *Worker {
 	return &Worker{
-		incarnation: incarnation, clocks: clocks, startedAt: clocks.Now(),
+		incarnation: incarnation, clock: clocks, startedAt: clocks.Now(),
 		running: map[string]*run{}, highestAttempts: map[string]int32{}, changed: make(chan struct{}), onChange: func(Change) {},
 	}
 }
@@ -111,7 +111,7 @@
 // Restart ends this life and returns the next one under the same id. Of what this one knew it has
 // nothing; orders that were late may still be carried out there.
 func (worker *Worker) Restart() *Worker {
-	next := NewWithStartTime(worker.incarnation, worker.clocks)
+	next := NewWithStartTime(worker.incarnation, worker.clock)
 	next.startTime = max(next.startTime, worker.startTime+1)
 	worker.Stop()
 	worker.mu.Lock()
@@ -273,7 +273,7 @@
 const initialClockMs = 1000
 
 func (worker *Worker) clockMs() int64 {
-	return worker.clocks.Now().Sub(worker.startedAt).Milliseconds() + initialClockMs
+	return worker.clock.Now().Sub(worker.startedAt).Milliseconds() + initialClockMs
 }
 
 func (worker *Worker) expireLease() {
