--- a/job/job.go
+++ b/job/job.go
@@ -65,8 +65,8 @@
 // IsScheduled reports whether the rounds of the job start at times set by a schedule.
 func (job *Job) IsScheduled() bool { return job.submission.GetRounds() > 0 }
 
-// IsLasting reports whether the job has tasks that run until the job is cancelled.
-func (job *Job) IsLasting() bool {
+// IsLongRunning reports whether the job has tasks that run until the job is cancelled.
+func (job *Job) IsLongRunning() bool {
 	return slices.ContainsFunc(job.submission.GetSteps(), (*StepSpec).GetLasting)
 }
 
--- a/job/outcome.go
+++ b/job/outcome.go
@@ -24,8 +24,8 @@
 	// failureBackoff keeps a task that fails immediately from being restarted in a tight loop. It is short
 	// compared to the objectives of jobs, which are seconds.
 	failureBackoff = 50 * time.Millisecond
-	// lastingBackoff is the same for lasting tasks, whose number of attempts is not limited.
-	lastingBackoff = 200 * time.Millisecond
+	// longRunningBackoff is the same for lasting tasks, whose number of attempts is not limited.
+	longRunningBackoff = 200 * time.Millisecond
 )
 
 // IsCrash reports whether the worker crashed under the run.
@@ -147,7 +147,7 @@
 	}
 	if task.Spec().GetLasting() {
 		job.Requeue(task, now)
-		task.retryAt = now.Add(lastingBackoff)
+		task.retryAt = now.Add(longRunningBackoff)
 		return true
 	}
 	members := []*Task{task}
@@ -186,7 +186,7 @@
 		task.retryAt = now.Add(failureBackoff)
 	}
 	if task.Spec().GetLasting() {
-		task.retryAt = now.Add(lastingBackoff)
+		task.retryAt = now.Add(longRunningBackoff)
 		return
 	}
 	if job.failureCount(task) < max(1, int(job.submission.GetAttempts())) {
--- a/job/slack.go
+++ b/job/slack.go
@@ -107,7 +107,7 @@
 // SlackRatio returns the share of its initial slack that the job has left: 1 when it has just been submitted,
 // 0 once it would miss its objective even if it ran without delay from now on.
 func (job *Job) SlackRatio(now time.Time) float64 {
-	if job.IsLasting() {
+	if job.IsLongRunning() {
 		// A lasting job is useful for as long as it runs. It doesn't finish, so it can't be late.
 		return 1
 	}
--- a/owner/place.go
+++ b/owner/place.go
@@ -111,8 +111,8 @@
 	if byPriority := int(a.Submission().GetPriority()) - int(b.Submission().GetPriority()); byPriority != 0 {
 		return byPriority
 	}
-	if a.IsLasting() != b.IsLasting() {
-		if a.IsLasting() {
+	if a.IsLongRunning() != b.IsLongRunning() {
+		if a.IsLongRunning() {
 			return -1
 		}
 		return 1
--- a/owner/records.go
+++ b/owner/records.go
@@ -38,7 +38,7 @@
 	if s.loaded {
 		owner.log(event.JobTaken, slog.String("job", j.ID()), slog.String("queue", submission.GetQueue()),
 			slog.Int("tasks", len(j.Tasks())), slog.Duration("age", now.Sub(time.UnixMilli(submission.GetSubmittedMs()))),
-			slog.Time("objective", j.Objective()), slog.Duration("allowed", j.TargetDuration()), slog.Bool("lasting", j.IsLasting()),
+			slog.Time("objective", j.Objective()), slog.Duration("allowed", j.TargetDuration()), slog.Bool("lasting", j.IsLongRunning()),
 			slog.Int64("core_ms", j.CoreMs()))
 	}
 }
