--- a/standin/wireworker/wireworker.go
+++ b/standin/wireworker/wireworker.go
@@ -96,7 +96,7 @@
 // New returns a worker without runs that does not report its start time.
 func New(incarnation string, clock clockwork.Clock) *Worker {
 	return &Worker{
-		incarnation: incarnation, clock: clocks, startedAt: clocks.Now(),
+		incarnation: incarnation, clock: clock, startedAt: clock.Now(),
 		running: map[string]*run{}, highestAttempts: map[string]int32{}, changed: make(chan struct{}), onChange: func(Change) {},
 	}
 }
