--- a/event/event.go
+++ b/event/event.go
@@ -74,7 +74,7 @@
 	if !l.out.Enabled(ctx, entry.Level) {
 		return
 	}
-	// The code and the attributes share one slice, to allocate only once.
+	// Performance: the code and the attributes share one slice, to allocate only once.
 	attrs := make([]slog.Attr, 0, len(attributes)+1)
 	attrs = append(attrs, slog.Int("event", int(code)))
 	attrs = append(attrs, attributes...)
