--- a/agent/updates.go
+++ b/agent/updates.go
@@ -46,8 +46,8 @@
 			continue
 		}
 		if status == nil {
-			// The status is built once for all owners, since computing its tolerances goes over all pairs of
-			// images.
+			// Performance: the status is built once for all owners, since computing its tolerances goes over
+			// all pairs of images.
 			status = agent.workerStatus(now)
 		}
 		message := agent.nextMessage(s, status, now)
