--- a/owner/place.go
+++ b/owner/place.go
@@ -214,8 +214,8 @@
 // placeStepTask places a task, unless another task of its step could not be placed in this pass: all
 // tasks of a step have the same requirements. unplaced holds the obstacles of such steps.
 //
-// This saves most of the work, since a job may have dozens of waiting tasks in a step, and there is a
-// placement pass whenever any worker has more free resources.
+// Performance: this saves most of the work, since a job may have dozens of waiting tasks in a step, and
+// there is a placement pass whenever any worker has more free resources.
 func (owner *Owner) placeStepTask(task *job.Task, unplaced map[stepKey]string, set candidateSet, now time.Time) {
 	key := stepKey{round: task.Round(), step: task.Step(), suspect: task.IsSuspect()}
 	if obstacle, found := unplaced[key]; found {
