--- a/admission/admission.go
+++ b/admission/admission.go
@@ -72,8 +72,8 @@
 // Shortage returns the first resource of which less is available than requested, or
 // the empty reason if the request fits. A negative request yields Invalid.
 //
-// It returns no amounts, because owners call it for each combination of worker and
-// pending task and formatting them would be too expensive.
+// Performance: it returns no amounts, because owners call it for each combination of
+// worker and pending task and formatting them would be too expensive.
 func (available Resources) Shortage(requested Resources) Reason {
 	switch {
 	case requested.MilliCPU < 0 || requested.MemoryBytes < 0 || requested.Accelerators < 0:
