--- a/interference/tolerance.go
+++ b/interference/tolerance.go
@@ -27,8 +27,8 @@
 // SpareHeadroom returns the headroom that the serving tasks have to spare if the fill tasks run at full pace,
 // at the lowest level expected within placementHorizon.
 //
-// It is separate from Tolerance for efficiency: a worker reports the tolerances for all images that it knows
-// whenever its free resources change.
+// Performance: it is separate from Tolerance because a worker reports the tolerances for all images that it
+// knows whenever its free resources change.
 func (model *Model) SpareHeadroom(servings []ServingTask, fills []FillTask) SpareHeadroom {
 	headroom := SpareHeadroom{model: model}
 	for _, serving := range servings {
