--- a/job/outcome.go
+++ b/job/outcome.go
@@ -24,7 +24,7 @@
 	// failureBackoff keeps a task that fails immediately from being restarted in a tight loop. It is short
 	// compared to the objectives of jobs, which are seconds.
 	failureBackoff = 50 * time.Millisecond
-	// longRunningBackoff is the same for lasting tasks, whose number of attempts is not limited.
+	// longRunningBackoff is the same for long-running tasks, whose number of attempts is not limited.
 	longRunningBackoff = 200 * time.Millisecond
 )
 
--- a/job/slack.go
+++ b/job/slack.go
@@ -108,7 +108,7 @@
 // 0 once it would miss its objective even if it ran without delay from now on.
 func (job *Job) SlackRatio(now time.Time) float64 {
 	if job.IsLongRunning() {
-		// A lasting job is useful for as long as it runs. It doesn't finish, so it can't be late.
+		// A long-running job is useful for as long as it runs. It doesn't finish, so it can't be late.
 		return 1
 	}
 	remaining := job.SlackTime(now)
