--- a/state/state.go
+++ b/state/state.go
@@ -85,7 +85,7 @@
 	ReasonInvalid Reason = "invalid"
 )
 
-// Outcome tells whether one record was accepted, and if not, why.
+// Outcome says whether one record was accepted, and if not, why.
 type Outcome struct {
 	recordID string
 	reason   Reason
--- a/state/task.go
+++ b/state/task.go
@@ -213,9 +213,9 @@
 	if len(release.GetCheckpoint()) > MaxCheckpointBytes {
 		return ReasonInvalid
 	}
-	// While one entry waits for a lease to expire, another may hear from the
-	// guard again, end the suspicion and renew the lease. The suspicion that
-	// the first entry waited under is then over and the lease is still valid.
+	// While one entry waits for a lease to expire, another may receive a report
+	// of the guard again, end the suspicion and renew the lease. The suspicion
+	// that the first entry waited under is then over and the lease is still valid.
 	if release.GetReason() == record.ReleaseReason_RELEASE_LOST && !s.isActiveSuspicion(task, release.GetSuspicion()) {
 		return ReasonStale
 	}
