--- a/instances/instances.go
+++ b/instances/instances.go
@@ -1,7 +1,7 @@
 // Package instances reads the platform's list of live and leaving instances.
 //
 // The list lags behind: it can still contain an instance that has ended, and it can
-// lack one that is running. It tells the addresses of instances and which of them
+// lack one that is running. It has the addresses of instances and says which of them
 // are leaving. It never proves that a task has stopped.
 //
 // # Usage
