--- a/changelog/append.go
+++ b/changelog/append.go
@@ -105,8 +105,8 @@
 	return ordered, nil
 }
 
-// abandon gives up waiting for a proposal because its context has ended. The
-// error tells whether the records may still take effect.
+// abandon stops waiting for a proposal because its context has ended. The
+// error says whether the records may still take effect.
 func (j *Journal) abandon(p *proposal) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/changelog/history_test.go
+++ b/changelog/history_test.go
@@ -85,7 +85,7 @@
 )
 
 // transition returns the states that are possible after a proposal with the given
-// result. isValid tells whether the proposal was valid in the state before.
+// result. isValid says whether the proposal was valid in the state before.
 func transition(outcome result, isValid bool, before, after any) []any {
 	switch {
 	case outcome == accepted && isValid:
