--- a/agent/lease_test.go
+++ b/agent/lease_test.go
@@ -18,14 +18,14 @@
 	h.worker.InjectFaults(func(string) wireworker.Fault { return wireworker.FaultReset })
 	h.advance(time.Second)
 	if owner.firstEnd() != nil {
-		t.Fatal("the run was given up before the lease expired")
+		t.Fatal("the run was reported as lost before the lease expired")
 	}
 	h.waitFor(func() bool {
 		owner.send(&wire.OwnerMessage{}) // Keeps the connection.
 		return owner.firstEnd() != nil
 	})
 	if h.isRunning() {
-		t.Error("the run was given up while it still ran")
+		t.Error("the run was reported as lost while it still ran")
 	}
 	if got := owner.firstEnd().GetReason(); got != wire.EndReason_END_LOST {
 		t.Errorf("end reason %v, want END_LOST", got)
