--- a/owner/registration_test.go
+++ b/owner/registration_test.go
@@ -103,8 +103,8 @@
 
 // TestRegistrationDoesNotOverloadStore: if all agents of a fleet register at the same time, their retries
 // must not keep the store busy. With 4 ms for an append to a partition, the last of 800 agents waits 3.2 s.
-// If each agent gave up after 1.5 s and tried again while its first append was still queued in the store,
-// the queue would never empty, and each record would wake all readers.
+// If each agent abandoned its append after 1.5 s and tried again while the first one was still queued in the
+// store, the queue would never empty, and each record would wake all readers.
 func TestRegistrationDoesNotOverloadStore(t *testing.T) {
 	tests := map[string]struct {
 		agents int
