--- a/agent/lease_test.go
+++ b/agent/lease_test.go
@@ -10,7 +10,7 @@
 
 // TestUnresponsiveWorkerRunsAreLost checks that failed polls do not renew the lease of a worker, and that its
 // runs are reported as lost once the lease has expired. It guards against a fault by which every failed poll
-// of a dead worker extended the assumed lease, so that its runs were never given up.
+// of a dead worker extended the assumed lease, so that its runs were never reported as lost.
 func TestUnresponsiveWorkerRunsAreLost(t *testing.T) {
 	h := newHarness(t)
 	owner := h.attachReadyOwner(1)
@@ -18,14 +18,14 @@
 	h.worker.InjectFaults(func(string) wireworker.Fault { return wireworker.FaultReset })
 	h.advance(time.Second)
 	if owner.firstEnd() != nil {
-		t.Fatal("the run was given up before the lease expired")
+		t.Fatal("the run was reported as lost before the lease expired")
 	}
 	h.waitFor(func() bool {
 		owner.send(&wire.OwnerMessage{}) // Keeps the connection.
 		return owner.firstEnd() != nil
 	})
 	if h.isRunning() {
-		t.Error("the run was given up while it still ran")
+		t.Error("the run was reported as lost while it still ran")
 	}
 	if got := owner.firstEnd().GetReason(); got != wire.EndReason_END_LOST {
 		t.Errorf("end reason %v, want END_LOST", got)
