--- a/job/crash.go
+++ b/job/crash.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// maxCrashes is the number of runs in a row under which the worker crashes just after the start that makes
-// the task fail permanently. Each crash costs everything that the worker runs, and the worker itself for
-// seconds.
+// maxCrashes is the number of consecutive runs under which the worker may crash just after the start: at that
+// number of crashes, the task fails permanently. Each crash costs everything that the worker runs, and the
+// worker itself for seconds.
 //
 // The limit must spare tasks that are not the cause. They are lost often, since every run on a crashed worker
 // is lost with it: where one task crashed its workers, other tasks were lost up to six times. A limit of 2
--- a/job/doc.go
+++ b/job/doc.go
@@ -3,8 +3,8 @@
 //
 // A job has a Submission, which never changes, and tasks. A task is identified by its round, its step and its
 // index within the step. It waits until the steps that its step depends on are done, and is then started.
-// Each start has a higher attempt number than the one before. When a run ends, the task is done, has failed
-// permanently, or waits to be started again.
+// Each start begins a new run of the task, with a higher attempt number than the run before. When a run ends,
+// the task is done, has failed permanently, or waits to be started again.
 //
 // # Usage
 //
--- a/job/slack.go
+++ b/job/slack.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// TargetDuration returns the time within which the job, or one round of it, should end.
+// TargetDuration returns the time within which the job, or one round of it, should end: the length of its
+// critical path times the extension factor of the submission, plus the submission's target latency.
 func (job *Job) TargetDuration() time.Duration {
 	criticalPath := time.Duration(job.CriticalPathMs()) * time.Millisecond
 	extended := time.Duration(float64(criticalPath) * job.submission.GetExtension())
