--- a/candidacy/candidacy.go
+++ b/candidacy/candidacy.go
@@ -36,7 +36,7 @@
 )
 
 const (
-	// minStrongCores is the number of processor cores from which on a machine counts as strong.
+	// minStrongCores is the least number of processor cores with which a machine counts as strong.
 	minStrongCores = 0.4
 	// coresPerAgent is the processor time that the owners of all shards need in total for each agent at peak
 	// load.
