--- a/placement/placement.go
+++ b/placement/placement.go
@@ -179,6 +179,8 @@
 	return fallback
 }
 
+// decideWith makes the decision by one policy. If the policy fails for a worker, it returns a decision with
+// PolicyError set and no usable result.
 func (set *WorkerSet) decideWith(runner *policy.Runner, active document.Policy, task *Task) *Decision {
 	decision := &Decision{policy: active.String(), rejected: map[Constraint]int{}, workerCount: len(set.workers)}
 	inputs := &policy.Inputs{Task: taskInput(task)}
@@ -198,6 +200,7 @@
 	return decision
 }
 
+// consider updates the workers with the highest and the second highest score.
 func (decision *Decision) consider(worker string, score float64) {
 	switch {
 	case decision.worker == "" || score > decision.score:
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -17,13 +17,13 @@
 // newPolicies returns the policies with source in force, or the built-in policy if source is empty.
 func newPolicies(t testing.TB, source string) placement.Policies {
 	t.Helper()
-	shelf := document.NewActiveSet()
+	documents := document.NewActiveSet()
 	if source != "" {
-		if _, err := shelf.Activate(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
+		if _, err := documents.Activate(document.Copy{Name: config.PolicyDocumentName(policy.Placement), Version: 1, Content: []byte(source)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return placement.Policies{InForce: shelf.PlacementPolicy(), BuiltIn: shelf.BuiltInPolicy()}
+	return placement.Policies{InForce: documents.PlacementPolicy(), BuiltIn: documents.BuiltInPolicy()}
 }
 
 // newWorker returns a worker with 32 processors, of which freeMilliCPU thousandths are free.
