--- a/interference/interference.go
+++ b/interference/interference.go
@@ -8,7 +8,7 @@
 //
 // # Model
 //
-// A serving task is modelled as a queue with utilisation u, whose tail latency is proportional to 1/(1-u).
+// A serving task is modeled as a queue with utilization u, whose tail latency is proportional to 1/(1-u).
 // The headroom of the task is its target divided by its tail latency. It is proportional to 1-u, 1 at the
 // target and greater than 1 below the target. Load and interference add up in u, so the headroom is a linear
 // combination:
--- a/interference/miss_test.go
+++ b/interference/miss_test.go
@@ -11,7 +11,7 @@
 
 const (
 	// lightFillCount is the number of fill tasks in TestMissEndsWithinLimit, and lightUtilisation how much
-	// each core adds to the utilisation of the queue, which is too little for the model to suspect any of the
+	// each core adds to the utilization of the queue, which is too little for the model to suspect any of the
 	// tasks.
 	lightFillCount   = 12
 	lightUtilisation = 0.012
--- a/interference/simulation_test.go
+++ b/interference/simulation_test.go
@@ -22,13 +22,13 @@
 	meanLoad   = 0.43
 	loadSwing  = 0.21
 	loadPeriod = 14 * time.Second
-	// queueStep is the fraction by which a queue approaches its new utilisation in a tick.
+	// queueStep is the fraction by which a queue approaches its new utilization in a tick.
 	queueStep = 0.2
 	// maxPaceRaise is the most by which a pace is raised from one reading to the next.
 	maxPaceRaise = 0.3
 )
 
-// queue simulates a serving task whose tail latency depends on its utilisation like that of a queue.
+// queue simulates a serving task whose tail latency depends on its utilization like that of a queue.
 type queue struct {
 	image       string
 	phase       float64 // of the load, in radians
@@ -36,7 +36,7 @@
 	tailsMs     []float64 // one for each tick
 }
 
-// advance simulates a tick in which load and fill tasks together demand a utilisation.
+// advance simulates a tick in which load and fill tasks together demand a utilization.
 func (queue *queue) advance(demanded float64) {
 	// A queue takes a while to build up and to drain.
 	queue.utilisation += (min(demanded, 0.985) - queue.utilisation) * queueStep
@@ -75,7 +75,7 @@
 	totals   totals
 }
 
-// addedUtilisation is how much each core of a fill image adds to the utilisation of a queue. Other pairs add
+// addedUtilisation is how much each core of a fill image adds to the utilization of a queue. Other pairs add
 // nothing.
 var addedUtilisation = map[interference.Pair]float64{
 	{Serving: "counter", Fill: "loud"}: 0.15,
@@ -108,7 +108,7 @@
 	}
 }
 
-// demandedUtilisation returns the utilisation of a queue that results from its load and from the fill tasks.
+// demandedUtilisation returns the utilization of a queue that results from its load and from the fill tasks.
 func (worker *simulation) demandedUtilisation(queue *queue) float64 {
 	seconds := (time.Duration(worker.ticks) * tick).Seconds()
 	demanded := meanLoad + loadSwing*math.Sin(2*math.Pi*seconds/loadPeriod.Seconds()+queue.phase)
