--- a/agent/agent.go
+++ b/agent/agent.go
@@ -23,10 +23,10 @@
 // incarnation is therefore considered over only once the new one has answered, refuses every token that the
 // previous one was sent, and runs nothing that was ordered from the previous one; see [successor].
 //
-// # Eviction, pre-emption and draining
+// # Eviction, preemption and draining
 //
 // Fill runs are slowed while they interfere with serving runs, and evicted where they would have to be slowed
-// too much. Less urgent runs are pre-empted for a task that its owner finds no room for. A run is pre-empted
+// too much. Less urgent runs are preempted for a task that its owner finds no room for. A run is preempted
 // only if it resumes elsewhere from a checkpoint, and evicted only if it does so or has made limited
 // progress. Runs that would not end before a draining worker leaves are stopped in time, whether they have a
 // checkpoint or not: they would be lost with the worker.
--- a/agent/claims.go
+++ b/agent/claims.go
@@ -22,8 +22,8 @@
 //
 // An epoch belongs to one process. If two of its connections claim a shard with the same epoch, the newer
 // connection gets it, in whatever order their messages are read, and the older one is closed: its owner has
-// abandoned it, and decides by what it receives on the newer one. Orders that are still in transit on the older
-// one must have no effect any more.
+// abandoned it, and decides by what it receives on the newer one. Orders that are still in transit on the
+// older one must have no effect any more.
 func (agent *Agent) handleClaims(s *session, message *wire.OwnerMessage) {
 	for _, shard := range message.GetShards() {
 		c, found := agent.claims[shard.GetShard()]
--- a/agent/liveness.go
+++ b/agent/liveness.go
@@ -66,9 +66,9 @@
 }
 
 // crashSuspects returns the runs that may have caused a crash of the worker, which are the new ones, with the
-// reason that is reported to the owner of each. If one of them was a suspect before, the others are most likely
-// innocent and get a reason of their own. Runs that were given up while the worker did not answer are
-// included.
+// reason that is reported to the owner of each. If one of them was a suspect before, the others are most
+// likely not the cause and get a reason of their own. Runs that were given up while the worker did not answer
+// are included.
 func (state *workerState) crashSuspects() map[*runState]wire.EndReason {
 	runs := state.newRuns()
 	hasKnownSuspect := slices.ContainsFunc(runs, func(run *runState) bool { return run.isSuspect })
--- a/agent/successor.go
+++ b/agent/successor.go
@@ -16,9 +16,9 @@
 // previous incarnation: a stop takes up to half a second.
 const probeRetryInterval = 100 * time.Millisecond
 
-// successor is an incarnation that has sent a heartbeat while the agent manages another one. It has either
-// replaced that one or sent the heartbeat before it ended itself: a delayed heartbeat may arrive after one of
-// the next incarnation. Only the worker itself can tell which of the two it is, so that the agent probes it.
+// successor is an incarnation that has sent a heartbeat while the agent manages another one. Either it is the
+// later of the two and has replaced the managed one, or it is the earlier one, has ended long since, and its
+// heartbeat was delayed. Only the worker itself can tell which is the case, so the agent probes it.
 //
 // A successor with another worker ID is called by that ID, and refuses calls that were meant for the previous
 // incarnation. A successor with the same ID does not: it knows no fencing token, so that a start without an
--- a/agent/updates.go
+++ b/agent/updates.go
@@ -76,7 +76,7 @@
 	}
 	since := now.Sub(s.lastSentAt)
 	if s.handledSequence > s.acknowledgedSequence && since >= statusInterval {
-		return true // Only an acknowledgement shows the owner that the connection works.
+		return true // Only an acknowledgment shows the owner that the connection works.
 	}
 	if !agent.ownsShard(s) {
 		return since >= idleSendInterval
--- a/agent/worker.go
+++ b/agent/worker.go
@@ -61,14 +61,16 @@
 	demand          *wire.Demand
 	checkpoint      string
 	progressPercent int32
-	reading         int64
-	phase           runPhase
-	pacePercent     int32     // pace that the worker was last sent, for a fill run
-	paceUnknown     bool      // an earlier agent may have sent another pace
-	paceRaisedAt    time.Time // when the pace was last raised
-	slowedSince     time.Time // when the pace fell below slowedPercent, zero while it is not below
-	confirmedAt     time.Time // when the worker answered the start or first listed the run
-	startSentAt     time.Time // when the start was first sent, or the run adopted
+	// reading is what the worker last reported of the run: the tail latency of a serving run, in
+	// milliseconds, or the CPU usage of any other run, in thousandths of a core.
+	reading      int64
+	phase        runPhase
+	pacePercent  int32     // pace that the worker was last sent, for a fill run
+	paceUnknown  bool      // an earlier agent may have sent another pace
+	paceRaisedAt time.Time // when the pace was last raised
+	slowedSince  time.Time // when the pace fell below slowedPercent, zero while it is not below
+	confirmedAt  time.Time // when the worker answered the start or first listed the run
+	startSentAt  time.Time // when the start was first sent, or the run adopted
 	// sessionID is the session on which the start was ordered, 0 for an adopted run.
 	sessionID int64
 	// fromScratch is set for a run that started without a checkpoint. workDone is then the time, at full
@@ -82,17 +84,17 @@
 	adopted           bool
 	isSuspect         bool
 	targetMissedSince time.Time // when a serving run began to miss its target, zero while it meets it
-	missedPolls       int
+	missedPolls       int       // polls in a row whose answers did not list the run
 }
 
 // runPhase is the phase that a run on the worker is in.
 type runPhase int
 
 const (
-	phaseStarting runPhase = iota
-	phaseUnsettled
+	phaseStarting  runPhase = iota // the answer to the start is still to come
+	phaseUnsettled                 // the start got no answer, so that the run may or may not have begun
 	phaseRunning
-	phaseStopping
+	phaseStopping // a stop was sent
 )
 
 // maxRunWithoutAgent is the longest time, on this process's clock, for which a worker runs on without its
