--- a/owner/advice.go
+++ b/owner/advice.go
@@ -16,7 +16,7 @@
 	// maxAdviceWorkers bounds the workers named in one request: each worker adds to the
 	// response time, and a step needs only a few.
 	maxAdviceWorkers = 30
-	// adviceTimeoutMargin is added to the response time that the service announces.
+	// adviceTimeoutMargin is added to the response time of the service that the job's submission states.
 	adviceTimeoutMargin = 2 * time.Second
 	// ticketExpiryMargin is the validity that a ticket must have left when a start is
 	// decided, so that it is still valid when the start order arrives.
@@ -143,7 +143,8 @@
 	return ids
 }
 
-// expectedDuration returns the announced response time of a request about so many workers.
+// expectedDuration returns the response time, as the job's submission states it, of a request about so
+// many workers.
 func (step *stepAdvice) expectedDuration(workers int) time.Duration {
 	return time.Duration(step.timing.GetDecideMs()+step.timing.GetEachMs()*int64(workers)) * time.Millisecond
 }
--- a/owner/agents.go
+++ b/owner/agents.go
@@ -97,8 +97,8 @@
 }
 
 // followAgentPartition follows the records of agents in one partition until ctx ends. After each read that
-// returned records it pauses for agentBatchDelay: many agents register at the same time, and if every reader
-// made a read for every record, the number of reads would be the product of both.
+// returned records it pauses for agentBatchDelay: many agents register at the same time, and if every entry
+// made one read for each record, the number of reads would be entries × agents.
 func (owner *Owner) followAgentPartition(ctx context.Context, part int) {
 	nextOffset := int64(-1)
 	for ctx.Err() == nil {
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -22,7 +22,7 @@
 	minReconnectDelay = 200 * time.Millisecond
 	maxReconnectDelay = 2 * time.Second
 	// ackTimeout is how long an agent may take to acknowledge a message, beyond the half second after which
-	// it sends an acknowledgement at the latest. A connection may stop delivering data in either direction
+	// it sends an acknowledgment at the latest. A connection may stop delivering data in either direction
 	// while the kernel of the peer still acknowledges packets, so only an answer of the agent proves that it
 	// works. A machine that temporarily runs five times slower still answers within 1 s.
 	ackTimeout = 1500 * time.Millisecond
@@ -147,7 +147,7 @@
 }
 
 // recordHandled records up to which sequence number the agent has handled this owner's messages, and extends
-// or clears the deadline for its next acknowledgement.
+// or clears the deadline for its next acknowledgment.
 func (view *agentView) recordHandled(handled int64, now time.Time) {
 	switch {
 	case handled >= view.sentSequence:
--- a/owner/connection_test.go
+++ b/owner/connection_test.go
@@ -9,7 +9,7 @@
 
 // TestUnresponsiveAgentIsReconnected: a connection on which the agent acknowledges nothing is closed,
 // whether the agent sends nothing or sends messages without receiving any. A connection with
-// acknowledgements stays open.
+// acknowledgments stays open.
 func TestUnresponsiveAgentIsReconnected(t *testing.T) {
 	tests := map[string]struct {
 		receives, sends bool
--- a/owner/flush.go
+++ b/owner/flush.go
@@ -113,7 +113,7 @@
 	}
 	owner.fencedEpochs[s.number] = s.epoch
 	if !refused.IsFenced() {
-		// The epoch is still valid, so its next sequence number was refused: another process has written
+		// The epoch is still valid, so the store refused the sequence number: another process has written
 		// under the same epoch. Only a new epoch helps.
 		owner.leaveBeforeJoin.Store(true)
 	}
--- a/owner/incarnation_test.go
+++ b/owner/incarnation_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// TestOrdersNameIncarnation: start orders, acknowledgements of ends and stored starts name the incarnation
+// TestOrdersNameIncarnation: start orders, acknowledgments of ends and stored starts name the incarnation
 // that they are about.
 func TestOrdersNameIncarnation(t *testing.T) {
 	h := newHarness(t)
--- a/owner/learned.go
+++ b/owner/learned.go
@@ -15,8 +15,9 @@
 )
 
 // learnedTable aggregates the interference estimates of all agents and those that earlier owners
-// stored: for each pair of images, the mean weight over all readings. It is updated incrementally
-// as agents report new estimates. Its version increases whenever a published mean changes.
+// stored: for each pair of images, the mean weight over all readings (see package interference).
+// It is updated incrementally as agents report new estimates. Its version increases whenever a
+// published mean changes.
 type learnedTable struct {
 	pairs map[interference.Pair]*learnedPair
 	// byAgent holds the last estimates of each agent, as they are included in pairs.
--- a/owner/learned_store_test.go
+++ b/owner/learned_store_test.go
@@ -7,8 +7,8 @@
 	"ambertiller.example/ambertiller/job"
 )
 
-// addInterferenceShard has the owner own job.InterferenceShard, whose owner combines the interference estimates
-// of all agents.
+// addInterferenceShard has the owner own job.InterferenceShard, whose owner combines the interference
+// estimates of all agents.
 func (h *harness) addInterferenceShard(ctx context.Context, epoch int64) *shard {
 	s := newShard(ctx, job.InterferenceShard, epoch, h.clock.Now())
 	s.loaded = true
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -10,6 +10,9 @@
 //   - the end of a run is in the store before the worker is ordered to forget it, and before a client is
 //     informed that the job has completed.
 //
+// A run is one attempt to execute a task on a worker. Each worker has an agent on its machine, which receives
+// the orders of all owners and forwards them to the worker; see package agent.
+//
 // # Unresponsive agents
 //
 // Each message of an owner grants its runs time, on the agent's clock: an agent stops a run before its grant
@@ -47,7 +50,7 @@
 const (
 	// tickInterval is how often due work is done if no event arrives.
 	tickInterval = 100 * time.Millisecond
-	// maxClockDrift bounds by how much two clocks diverge over a grant, as a share of its duration.
+	// maxClockDrift is the most by which two clocks diverge over a grant, as a share of its duration.
 	maxClockDrift = 2 * lease.MaxClockDriftRate
 	// grantMargin is how long after the expiry of a grant its runs are released: a stop takes up to half a
 	// second.
@@ -56,8 +59,8 @@
 	grantInterval = 500 * time.Millisecond
 	// storeOutageTolerance is how long an owner keeps granting time after the store last confirmed that it
 	// owns its shards. Together with the grant's duration it is how long an outage of the store may last
-	// without stopping runs, 11 s. It is also how long a new owner waits before it releases a run on a
-	// machine that is gone.
+	// without stopping runs, 11 s, and about how long a new owner waits before it releases a run on a machine
+	// that is gone.
 	storeOutageTolerance = 6 * time.Second
 )
 
--- a/owner/partition_test.go
+++ b/owner/partition_test.go
@@ -11,13 +11,13 @@
 // TestPartitionedTaskCompletesOnce partitions an owner from an agent while runs end there. It guards against
 // tasks that are started again, and so done twice, after a run of them has been acknowledged as done:
 //
-//  1. The network between an agent and the owner of some of its runs fails for more than 5.8 s. Owners of other
-//     shards still reach the agent, or its worker has no other runs.
+//  1. The network between an agent and the owner of some of its runs fails for more than 5.8 s. Owners of
+//     other shards still reach the agent, or its worker has no other runs.
 //  2. A run ends as done. Its agent knows, its owner does not.
-//  3. The owner releases the run 5.8 s after the agent's last message, when the last grant must have expired, and
-//     starts the task on another worker.
-//  4. The worker's lease is extended all the same: only the grants of owners with runs there limit it, and this run
-//     has ended. So the end does not become void.
+//  3. The owner releases the run 5.8 s after the agent's last message, when the last grant must have
+//     expired, and starts the task on another worker.
+//  4. The worker's lease is extended all the same: only the grants of owners with runs there limit it, and
+//     this run has ended. So the end does not become void.
 //  5. The network recovers. The agent reports the end, and the worker is ordered to forget the run as done.
 func TestPartitionedTaskCompletesOnce(t *testing.T) {
 	const tasks = 8
@@ -57,9 +57,9 @@
 func (f *fleet) firstBusyMachine() *machine {
 	for _, machine := range f.machines {
 		machine.mu.Lock()
-		atWork := len(machine.startedAt) > 0
+		isBusy := len(machine.startedAt) > 0
 		machine.mu.Unlock()
-		if atWork {
+		if isBusy {
 			return machine
 		}
 	}
--- a/owner/peer.go
+++ b/owner/peer.go
@@ -111,7 +111,7 @@
 }
 
 // Relay implements wire.DRPCPeerServer: it appends a record on behalf of an entry whose own appends the store
-// does not take.
+// does not accept.
 func (owner *Owner) Relay(ctx context.Context, request *wire.RelayRequest) (*wire.RelayReply, error) {
 	appendRequest := platform.Append{
 		Topic: job.TopicJobs, Partition: int(request.GetShard()),
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -105,6 +105,7 @@
 func (owner *Owner) handleUnlistedRun(view *agentView, run *trackedRun, worker incarnation.ID, now time.Time) {
 	status := view.status()
 	if !status.GetReady() && !status.GetAccounted() {
+		// The agent may not know all runs of its worker yet.
 		return
 	}
 	if !worker.IsZero() && worker.WorkerID() != run.place.Incarnation.WorkerID() {
--- a/owner/refusal_test.go
+++ b/owner/refusal_test.go
@@ -69,8 +69,8 @@
 	return f.history[len(f.history)-1][number] >= taskMilliCPU
 }
 
-// TestRefusedTaskIsPlacedElsewhere: a long-running task may be refused because other owners have taken the free
-// resources since the worker's last status. It guards against repeating that on workers with barely
+// TestRefusedTaskIsPlacedElsewhere: a long-running task may be refused because other owners have taken the
+// free resources since the worker's last status. It guards against repeating that on workers with barely
 // enough resources while another worker has twice as much.
 func TestRefusedTaskIsPlacedElsewhere(t *testing.T) {
 	tests := map[string]int64{"a serving task": 50, "another task": 0}
--- a/owner/shard_test.go
+++ b/owner/shard_test.go
@@ -52,7 +52,7 @@
 		acknowledged += len(message.GetSeen())
 	}
 	if acknowledged != 1 || h.shard.visibleState(j) != job.State_STATE_COMPLETED {
-		t.Errorf("%d acknowledgements, shown as %v", acknowledged, h.shard.visibleState(j))
+		t.Errorf("%d acknowledgments, shown as %v", acknowledged, h.shard.visibleState(j))
 	}
 }
 
