--- a/job/crash_test.go
+++ b/job/crash_test.go
@@ -79,7 +79,7 @@
 				t.Errorf("Crashes() = %d", got)
 			}
 			if j.State() != test.want {
-				t.Errorf("state %v", j.State())
+				t.Errorf("job state %v", j.State())
 			}
 		})
 	}
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -59,7 +59,7 @@
 	}
 	runTask(j, j.Tasks()[2], job.EndDone, testNow)
 	if j.State() != job.State_STATE_COMPLETED {
-		t.Errorf("state %v", j.State())
+		t.Errorf("job state %v, want STATE_COMPLETED", j.State())
 	}
 }
 
@@ -157,11 +157,11 @@
 	j.StartRun(j.Tasks()[0], testPlace, testNow)
 	j.Requeue(j.Tasks()[0], testNow)
 	if j.State() != job.State_STATE_QUEUED {
-		t.Fatalf("state %v", j.State())
+		t.Fatalf("job state %v, want STATE_QUEUED", j.State())
 	}
 	j.StartRun(j.Tasks()[0], testPlace, testNow)
 	if !j.MarkRunning(testNow) || j.State() != job.State_STATE_RUNNING {
-		t.Errorf("state %v", j.State())
+		t.Errorf("job state %v, want STATE_RUNNING once a run has started", j.State())
 	}
 }
 
