--- a/agent/crash_test.go
+++ b/agent/crash_test.go
@@ -105,7 +105,7 @@
 	h.replaceWorker()
 	h.advance(time.Second)
 	if end := owner.firstEnd(); end.GetReason() != wire.EndReason_END_LOST {
-		t.Errorf("the run was reported as %v", end.GetReason())
+		t.Errorf("the run was reported as %v, want END_LOST", end.GetReason())
 	}
 	if owner.lastMatching(func(message *wire.AgentMessage) bool {
 		return len(message.GetEnds()) > 0 && message.GetEnds()[0].GetReason() == wire.EndReason_END_CRASHED
@@ -144,7 +144,7 @@
 			}
 			h.waitFor(func() bool { return owner.lastMatching(matches) != nil })
 			if got := owner.lastMatching(matches).GetResults()[0].GetOutcome(); got != test.want {
-				t.Errorf("the start was answered %v", got)
+				t.Errorf("start outcome %v", got)
 			}
 		})
 	}
--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -52,7 +52,7 @@
 	nextOwner := h.attachOwner(2)
 	h.waitFor(func() bool { return nextOwner.firstEnd() != nil })
 	nextOwner.send(&wire.OwnerMessage{Seen: []*wire.EndSeen{{Worker: workerID, Number: nextOwner.firstEnd().GetNumber()}}})
-	h.waitFor(func() bool { _, seen := h.worker.Polls(); return seen >= 1 })
+	h.waitFor(func() bool { _, storedEnd := h.worker.Polls(); return storedEnd >= 1 })
 	select {
 	case change := <-confirmed:
 		if change.Task == testTask {
--- a/agent/restart_test.go
+++ b/agent/restart_test.go
@@ -142,7 +142,7 @@
 		h.waitFor(func() bool { return len(owner.endsOf(numberedTask(number))) > 0 })
 		owner.confirmEnd(owner.endsOf(numberedTask(number))[0])
 	}
-	h.waitFor(func() bool { _, seen := h.worker.Polls(); return seen == int64(count) })
+	h.waitFor(func() bool { _, storedEnd := h.worker.Polls(); return storedEnd == int64(count) })
 }
 
 // TestEndsAfterRestartAreReported checks that each end after a restart is reported to the owner, when the
@@ -160,13 +160,13 @@
 		h.worker.End(numberedTask(number), "done")
 	}
 	h.advance(4 * time.Second)
-	if _, seen := h.worker.Polls(); seen != 0 {
-		t.Errorf("the worker was ordered to forget its ends up to %d, of which none was confirmed", seen)
+	if _, storedEnd := h.worker.Polls(); storedEnd != 0 {
+		t.Errorf("the worker was ordered to forget its ends up to %d, of which none was confirmed", storedEnd)
 	}
 	for number := 3; number < 6; number++ {
 		ends := owner.endsOf(numberedTask(number))
 		if len(ends) != 1 || ends[0].GetReason() != wire.EndReason_END_DONE {
-			t.Errorf("the end of %s was reported as %v", numberedTask(number), ends)
+			t.Errorf("ends of %s: %v, want one END_DONE", numberedTask(number), ends)
 		}
 	}
 }
@@ -194,8 +194,8 @@
 			}
 			owner.confirmEnd(end)
 			h.advance(2 * time.Second)
-			if _, seen := h.worker.Polls(); seen != 0 {
-				t.Errorf("the worker was ordered to forget its ends up to %d", seen)
+			if _, storedEnd := h.worker.Polls(); storedEnd != 0 {
+				t.Errorf("the worker was ordered to forget its ends up to %d, want none", storedEnd)
 			}
 		})
 	}
@@ -229,13 +229,13 @@
 		nextOwner.confirmEnd(nextOwner.endsOf(numberedTask(number))[0])
 	}
 	h.advance(2 * time.Second)
-	if _, seen := h.worker.Polls(); seen != 3 {
-		t.Errorf("the worker was ordered to forget its ends up to %d", seen)
+	if _, storedEnd := h.worker.Polls(); storedEnd != 3 {
+		t.Errorf("the worker was ordered to forget its ends up to %d, want 3", storedEnd)
 	}
 	for number := 6; number < 8; number++ {
 		nextOwner.confirmEnd(nextOwner.endsOf(numberedTask(number))[0])
 	}
-	h.waitFor(func() bool { _, seen := h.worker.Polls(); return seen == 5 })
+	h.waitFor(func() bool { _, storedEnd := h.worker.Polls(); return storedEnd == 5 })
 }
 
 // TestWorkerRestartsAfterLeaving checks that a worker may restart under the same ID after it has left.
@@ -305,7 +305,7 @@
 	h.waitReadyAs(owner, h.worker)
 	h.startRun(owner, newStartOrderFor(h.worker, numberedTask(1)))
 	if got := h.orderStart(owner, newStartOrderFor(first, testTask)); got != wire.StartOutcome_START_WRONG_WORKER {
-		t.Errorf("the start was answered %v", got)
+		t.Errorf("start outcome %v, want START_WRONG_WORKER", got)
 	}
 	owner.send(&wire.OwnerMessage{Stops: []*wire.StopOrder{{Shard: testShard, Epoch: 1, Task: numberedTask(1), Attempt: 1, Worker: workerID, Born: first.StartTime()}}})
 	owner.send(&wire.OwnerMessage{Preempts: []*wire.PreemptOrder{{
@@ -427,8 +427,8 @@
 	h.finishRuns(owner, 3)
 	h.restartWorker(300 * time.Millisecond)
 	h.advance(time.Second)
-	if _, seen := h.worker.Polls(); seen != 0 {
-		t.Errorf("the worker was ordered to forget its ends up to %d", seen)
+	if _, storedEnd := h.worker.Polls(); storedEnd != 0 {
+		t.Errorf("the worker was ordered to forget its ends up to %d, want none", storedEnd)
 	}
 	last := owner.lastMatching(func(message *wire.AgentMessage) bool { return message.GetStatus() != nil })
 	if last.GetStatus().GetReady() {
@@ -478,8 +478,8 @@
 	h.finishRuns(owner, 2)
 	h.restartWorker(300 * time.Millisecond)
 	h.advance(time.Second)
-	if _, seen := h.worker.Polls(); seen != 0 {
-		t.Errorf("the worker was ordered to forget its ends up to %d", seen)
+	if _, storedEnd := h.worker.Polls(); storedEnd != 0 {
+		t.Errorf("the worker was ordered to forget its ends up to %d, want none", storedEnd)
 	}
 }
 
@@ -500,10 +500,10 @@
 				return wireworker.FaultNone
 			})
 			if got := h.orderStart(owner, newStartOrderFor(h.worker, testTask)); got != wire.StartOutcome_START_WORKER_FAILED {
-				t.Fatalf("the start was answered %v", got)
+				t.Fatalf("start outcome %v, want START_WORKER_FAILED", got)
 			}
 			h.restartWorker(300 * time.Millisecond)
-			h.waitFor(func() bool { looks, _ := h.worker.Polls(); return looks > 0 })
+			h.waitFor(func() bool { polls, _ := h.worker.Polls(); return polls > 0 })
 			h.worker.RaiseFencingToken(ahead)
 			h.advance(500 * time.Millisecond)
 			for i := range 3 {
--- a/agent/session_test.go
+++ b/agent/session_test.go
@@ -13,6 +13,6 @@
 	earlier := h.attachReadyOwner(1)
 	h.attachOwner(2)
 	if got := h.orderStart(earlier, newStartOrder(1)); got != wire.StartOutcome_START_STALE {
-		t.Errorf("the start was answered %v", got)
+		t.Errorf("start outcome %v, want START_STALE", got)
 	}
 }
