--- a/gateway/append.go
+++ b/gateway/append.go
@@ -51,8 +51,8 @@
 
 // appendRecord appends a record of a job to the store. Appending is idempotent, because every attempt sends
 // the same record, so once an attempt may have taken effect, attempts go on until one succeeds or ctx ends.
-// While the circuit breaker is open nothing is sent: the record is refused at once, and is certain not to be
-// in the store.
+// While the circuit breaker is open, only probes are sent. Any other record is refused at once, and is certain
+// not to be in the store.
 func (gateway *Gateway) appendRecord(ctx context.Context, id, key string, value []byte) appendResult {
 	shard := job.ShardOf(id, gateway.options.Shards)
 	request := platform.Append{Topic: job.TopicJobs, Partition: shard, Records: []platform.Record{{Key: key, Value: value}}}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,5 +1,6 @@
 // Package gateway serves the HTTP API of queues. It appends submitted jobs and cancellations to the
-// platform's store, and asks the owners of shards for the states of jobs.
+// platform's store, and asks the owners of shards for the states of jobs. A gateway and an owner (see package
+// owner) run in one process, which is called an entry. The peers of an entry are the other entries.
 //
 // # Responses
 //
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -52,8 +52,8 @@
 }
 
 // notifyOwner sends the owner of a shard a record that is in the store. This only saves time, because an
-// owner that is not notified reads the record from the store. It may outlast the client's request, which has
-// been answered by then, so ctx must not end with that request.
+// owner that is not notified reads the record from the store. The client's response does not wait for it, so
+// ctx must not end with the client's request.
 func (directory *ownerDirectory) notifyOwner(ctx context.Context, request *wire.TakenRequest) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
