--- a/operator/evacuations.go
+++ b/operator/evacuations.go
@@ -1,12 +1,13 @@
-// Package operator follows the topic that operators write to. It holds the configuration and the failure
-// domains that are evacuated.
+// Package operator follows the topic that operators write to. The topic holds the configuration and the
+// failure domains that are evacuated.
 //
 // # Evacuations
 //
 // No task may be started in an evacuated failure domain. A process that starts tasks has to know which
 // domains are evacuated and how old that information is, since a process that is cut off from the store
 // misses new evacuations. EvacuationState holds both, and permits a start only if the information is recent
-// enough. A process can forward it to other processes: PeerUptime converts its time to their clocks.
+// enough. A process can forward its information to other processes: PeerUptime converts the time of the
+// information to their clocks.
 //
 // # Usage
 //
--- a/operator/reader.go
+++ b/operator/reader.go
@@ -57,8 +57,8 @@
 func (reader *Reader) Restart() { reader.nextOffset = offsetUnknown }
 
 // Read waits for new records for less than a second. If there are none, it returns the known evacuations
-// with the time at which it confirmed them. After an error that says that history is gone, the next read
-// starts with the newest records.
+// with the time at which it confirmed them. If it fails because the store has removed the records that are to
+// be read next, the next call reads the newest record of each key.
 func (reader *Reader) Read(ctx context.Context) (Update, error) {
 	startedAt := reader.clock.Now()
 	isRestart := reader.nextOffset == offsetUnknown
--- a/operator/reader_test.go
+++ b/operator/reader_test.go
@@ -91,7 +91,7 @@
 // mustRead repeats a read until it succeeds, as the callers of Read do.
 func mustRead(t *testing.T, reader *operator.Reader) operator.Update {
 	t.Helper()
-	const tries = 3 // One read finds that history is gone. The next one starts with the newest records.
+	const tries = 3 // One read fails because records were removed. The next one reads the newest records.
 	for range tries {
 		if update, err := reader.Read(context.Background()); err == nil {
 			return update
