--- a/entry/peers.go
+++ b/entry/peers.go
@@ -9,7 +9,7 @@
 )
 
 // Documents returns the documents that are newer than the versions in the request.
-// Entries call it to synchronise with each other. It implements the DRPC service of
+// Entries call it to synchronize with each other. It implements the DRPC service of
 // entries.
 func (entry *Entry) Documents(ctx context.Context, request *wire.DocumentsRequest) (*wire.DocumentsReply, error) {
 	have := wire.DecodeVersions(request.GetHave())
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			usage := usageByTeam{test.team: test.used}
 			if exceeded := usage.exceedsQuota(settings, &record.TaskSpec{Team: test.team, Resources: test.requested}); exceeded != test.exceeded {
-				t.Errorf("exceedsQuota: got %t", exceeded)
+				t.Errorf("exceedsQuota returned %t", exceeded)
 			}
 		})
 	}
