--- a/guard/guard.go
+++ b/guard/guard.go
@@ -108,7 +108,7 @@
 	ready         bool                 // the attempts on the worker have been adopted
 	entries       []instances.Instance // as last read from the instance list
 	metrics       *metrics
-	streamsCtx    context.Context // is cancelled on shutdown, which ends all Follow streams
+	streamsCtx    context.Context // done on shutdown, which ends all Follow streams
 	cancelStreams context.CancelFunc
 }
 
@@ -172,7 +172,7 @@
 // uptime returns how long this incarnation has been running at the time now.
 func (guard *Guard) uptime(now time.Time) time.Duration { return now.Sub(guard.startedAt) }
 
-// Run polls the worker, reports to the entries and renews leases until ctx is cancelled.
+// Run polls the worker, reports to the entries and renews leases until ctx is done.
 func (guard *Guard) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { guard.pollLoop(ctx) })
@@ -190,7 +190,7 @@
 	guard.cancelStreams()
 }
 
-// WaitIdle waits until no request or stream is in progress, or until ctx is cancelled.
+// WaitIdle waits until no request or stream is in progress, or until ctx is done.
 func (guard *Guard) WaitIdle(ctx context.Context) error {
 	select {
 	case <-guard.gate.Idle():
--- a/guard/report.go
+++ b/guard/report.go
@@ -14,7 +14,7 @@
 	"ambertiller.example/ambertiller/worker"
 )
 
-// pollLoop polls the worker once per workerPollInterval until ctx is cancelled.
+// pollLoop polls the worker once per workerPollInterval until ctx is done.
 func (guard *Guard) pollLoop(ctx context.Context) {
 	ticker := guard.options.Clock.NewTicker(workerPollInterval)
 	defer ticker.Stop()
@@ -86,7 +86,7 @@
 }
 
 // reportLoop reports to all entries once per reportInterval, and immediately after a call of
-// triggerReport, until ctx is cancelled.
+// triggerReport, until ctx is done.
 func (guard *Guard) reportLoop(ctx context.Context) {
 	ticker := guard.options.Clock.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -101,7 +101,7 @@
 	}
 }
 
-// refreshLoop reads the instance list once per instancesInterval until ctx is cancelled.
+// refreshLoop reads the instance list once per instancesInterval until ctx is done.
 func (guard *Guard) refreshLoop(ctx context.Context) {
 	ticker := guard.options.Clock.NewTicker(instancesInterval)
 	defer ticker.Stop()
