--- a/state/worker.go
+++ b/state/worker.go
@@ -8,7 +8,9 @@
 func (s *State) IsDraining(worker string) bool { return s.workers[worker].GetDraining() }
 
 // ActiveSuspicion returns the number of the suspicion that the worker is under, or
-// zero if it is under none. No entry renews leases on a suspected worker.
+// zero if it is under none. A worker is suspected to have failed when its guard has
+// stopped reporting. Its suspicions are numbered from 1. No entry renews leases on a
+// suspected worker.
 func (s *State) ActiveSuspicion(worker string) uint64 {
 	if !s.workers[worker].GetSuspected() {
 		return 0
