--- a/route/queue.go
+++ b/route/queue.go
@@ -29,8 +29,8 @@
 }
 
 // PickOrWait picks a server like Pick, but waits if all servers are full. It
-// returns a ShedError immediately if the queue is full, or if the expected wait
-// would leave too little time before the deadline, and when ctx ends.
+// returns a ShedError at once if the queue is full or if the expected wait would
+// leave too little time before the deadline, and later if ctx ends during the wait.
 func (t *Table) PickOrWait(ctx context.Context, name string, tried []string, options WaitOptions) (*PickResult, error) {
 	for {
 		waiter, result, err := t.pickOrEnqueue(name, tried, options)
@@ -108,9 +108,9 @@
 	// After returns a channel that receives after the given duration, like
 	// time.After.
 	After func(wait time.Duration) <-chan time.Time
-	// Requeued marks a request that was picked a server which then refused it as
-	// full. It goes to the front of the queue, and neither MaxQueued nor the
-	// deadline check applies to it.
+	// Requeued marks a request for which a server was picked that then refused it
+	// because it was full. The request goes to the front of the queue, and neither
+	// MaxQueued nor the deadline check applies to it.
 	Requeued bool
 
 	// woken is set once the request has been woken from the queue.
--- a/route/route.go
+++ b/route/route.go
@@ -2,7 +2,7 @@
 //
 // A Table holds the backend servers of each service with the estimated load of
 // each: the load that its guard reported last, and the requests that this entry
-// has sent since. Pick chooses the server with the lowest utilisation. It adds a
+// has sent since. Pick chooses the server with the lowest utilization. It adds a
 // constant penalty to servers in another failure domain, so that servers in the
 // entry's own domain are preferred until they are busier by more than that.
 // Servers that fail repeatedly are ejected for some time, but never more than a
@@ -40,7 +40,7 @@
 var ErrNoneReady = errors.New("no backend server of the service is known to be ready")
 
 const (
-	// crossDomainPenalty is added to the utilisation of a server in another
+	// crossDomainPenalty is added to the utilization of a server in another
 	// failure domain, as a share of its slots, when servers are compared.
 	crossDomainPenalty = 0.25
 	// failuresToEject is the number of consecutive failures that eject a server.
