--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -42,7 +42,7 @@
 				test.change(&offer)
 			}
 			if err := holder.Check(offer, uptime); !errors.Is(err, test.want) {
-				t.Errorf("unexpected result of Check: %v", err)
+				t.Errorf("Check returned the wrong result: %v", err)
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			if got := lease.Remaining(time.Minute, now.Add(-test.age), now); got != test.want {
-				t.Errorf("got wrong remaining time %s", got)
+				t.Errorf("Remaining returned the wrong time: %s", got)
 			}
 		})
 	}
