--- a/claim/claim.go
+++ b/claim/claim.go
@@ -5,7 +5,7 @@
 // first claim in the log wins. A claim is released if the request is known not to
 // have run, and finished otherwise. An end that is not in the log yet is appended in
 // the background until the log accepts it. Each acquisition has a holder name of its
-// own, so a claim that reaches the log after its request was abandoned is recognised
+// own, so a claim that reaches the log after its request was abandoned is recognized
 // and released.
 //
 // # Usage
@@ -74,7 +74,8 @@
 // Error implements error.
 func (e *TakenError) Error() string { return "the key is claimed" }
 
-// UnsettledError is returned if the log did not accept or reject the claim in time.
+// UnsettledError is returned if the claim could not be appended, or if the log did not
+// accept or reject it in time.
 type UnsettledError struct {
 	cause error
 }
