--- a/membership/membership.go
+++ b/membership/membership.go
@@ -130,7 +130,7 @@
 }
 
 // AddReport records a guard's report. It returns nil if the report comes from an
-// incarnation that has been replaced.
+// incarnation that has been replaced, unless the later one has timed out.
 func (view *View) AddReport(report *wire.ReportRequest, now time.Time) *Guard {
 	view.mu.Lock()
 	defer view.mu.Unlock()
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -34,7 +34,7 @@
 			view := membership.NewView(guardTimeout)
 			view.AddReport(newReport(test.first), startTime)
 			if accepted := view.AddReport(newReport(test.second), startTime.Add(test.after)) != nil; accepted != test.accepted {
-				t.Errorf("got report accepted: %t", accepted)
+				t.Errorf("report accepted: %t", accepted)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 		}
 	}
 	if membership.Owner("x", nil) != "" {
-		t.Error("owner without any names")
+		t.Error("Owner returned a name although there are none")
 	}
 }
 
