--- a/status/decoder.go
+++ b/status/decoder.go
@@ -18,7 +18,7 @@
 
 // Tolerance returns how many more processors, in thousandths, tasks of a fill image may use before the
 // worker's serving tasks miss their targets. A negative value says how much those would suffer, and is only
-// meant to be compared with others.
+// meant to be compared with others. All images that the status does not list have the same tolerance.
 func (decoder *Decoder) Tolerance(image string) int64 {
 	if tolerance, found := decoder.tolerances[image]; found {
 		return tolerance
--- a/status/doc.go
+++ b/status/doc.go
@@ -6,8 +6,10 @@
 // full status again. A full status is also sent when a field changes that wire.StatusChange lacks, such as
 // the incarnation of the worker.
 //
-// Small changes of a tolerance are not sent, so a decoded tolerance may differ from the actual one by a
-// tenth, or by 1/640 of the worker's processors if that is more.
+// A tolerance is how many more processors the tasks of a fill image may use on the worker; see
+// [Decoder.Tolerance], and package interference for fill and serving tasks. Small changes of a tolerance are
+// not sent, so a decoded tolerance may differ from the actual one by a tenth, or by 1/640 of the worker's
+// processors if that is more.
 //
 // # Usage
 //
--- a/status/encoder.go
+++ b/status/encoder.go
@@ -11,9 +11,9 @@
 
 const (
 	// A tolerance is sent again if it differs from the value sent before by more than relativeToleranceStep
-	// of that value, but by at least minToleranceStep of the worker's processors. Tolerances change with each
-	// reading of a tail latency, 2.5 times a second. Placement depends on the small ones, so
-	// the step is relative to the value.
+	// of that value, and by more than minToleranceStep of the worker's processors. Tolerances change with each
+	// reading of a tail latency, 2.5 times a second. Placement depends on the small tolerances, so the step is
+	// relative to the value.
 	relativeToleranceStep = 0.1
 	minToleranceStep      = 1.0 / 640
 )
