--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon assembles the services of each role in a kernel. A process such as `ambertiller entry` or
-// `ambertiller guard` runs one role; the demo runs several in one process.
+// Package daemon assembles the services of each role in a kernel, which starts and stops them in the order of
+// their dependencies (see package kernel). A process such as `ambertiller entry` or `ambertiller guard` runs
+// one role; the demo runs several in one process.
 //
 // # Usage
 //
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -50,12 +50,13 @@
 	// entry takes over sooner, but fewer joins may fail in a row. Entries join every 350 ms.
 	defaultMemberTimeout = 1500 * time.Millisecond
 	// maxGrant is the longest time that runs continue without a message from an owner. Work on a lost
-	// machine moves only after this time. Another owner has to take over well within it, which takes up to
-	// 2.5 s.
+	// machine moves only after this time. Another owner takes up to 2.5 s to take over, which must be well
+	// below this time.
 	maxGrant = 5 * time.Second
 )
 
-// Gateway is the process on an entry's machine. It answers clients and may own shards.
+// Gateway is the process on an entry's machine. It answers clients and may own shards. It is not an entry in
+// the sense of package entry, whose process is Entry.
 type Gateway struct {
 	Daemon
 }
