--- a/report/report.go
+++ b/report/report.go
@@ -1,6 +1,6 @@
 // Package report summarizes the logs of all processes of a deployment over a period of time: which jobs were
 // late and what took their time, which serving tasks missed their tail latency targets and which fill tasks
-// ran beside them, and how much of each worker was used.
+// ran beside them, and how much of each worker was used. Package interference explains serving and fill tasks.
 //
 // # Critical path
 //
