--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -31,7 +31,7 @@
 	cause     string
 }
 
-// regressionSeeds holds the seeds that have revealed a violation, and its cause.
+// regressionSeeds holds the seeds that have revealed a violation, each with the cause of the violation.
 var regressionSeeds = map[uint64]regression{
 	11:  {1, "an end that the owner had not been told of still counted after the owner's grant had expired"},
 	21:  {1, "as seed 11"},
