--- a/entry/suspicion.go
+++ b/entry/suspicion.go
@@ -17,8 +17,10 @@
 // The times restart with the process. An entry may therefore wait longer than
 // needed for leases to expire, but never less.
 type suspicionTracker struct {
-	mu      sync.Mutex
-	active  map[string]activeSuspicion
+	mu     sync.Mutex
+	active map[string]activeSuspicion
+	// missing has the time at which this entry first found that it had no report of
+	// the guard of a worker that holds tasks.
 	missing map[string]time.Time
 	// ended has the time at which this entry saw that the newest suspicion of a
 	// worker had ended, because some entry had received a report of its guard.
