--- a/report/history.go
+++ b/report/history.go
@@ -56,8 +56,8 @@
 	milliCPU  int64
 	estimate  time.Duration
 	placedAt  time.Time
-	waitTime  time.Duration
-	obstacle  string
+	waitTime  time.Duration // how long its task was ready before it was placed
+	obstacle  string        // what prevented an earlier placement
 	storeTime time.Duration // how long the store took to accept the start
 	endedAt   time.Time     // zero if the run has not ended
 	outcome   runOutcome
--- a/report/jobgroup.go
+++ b/report/jobgroup.go
@@ -100,12 +100,12 @@
 		return []JobGroup{summarizeJobs(name, sizeOther, jobs, jobs)}
 	}
 	tenth := (len(jobs) + tenths - 1) / tenths
-	third := min(tenth+2*tenth, len(jobs))
+	largeEnd := min(tenth+2*tenth, len(jobs))
 	var groups []JobGroup
 	for _, part := range []struct {
 		size string
 		jobs []*jobHistory
-	}{{sizeLargest, jobs[:tenth]}, {sizeLarge, jobs[tenth:third]}, {sizeOther, jobs[third:]}} {
+	}{{sizeLargest, jobs[:tenth]}, {sizeLarge, jobs[tenth:largeEnd]}, {sizeOther, jobs[largeEnd:]}} {
 		if len(part.jobs) > 0 {
 			groups = append(groups, summarizeJobs(name, part.size, part.jobs, jobs))
 		}
