--- a/candidacy/candidacy.go
+++ b/candidacy/candidacy.go
@@ -150,9 +150,9 @@
 	return max(int(minStrongCores*float64(candidacy.options.Shards)/(coresPerAgent*float64(candidacy.agentCount))), 1)
 }
 
-// areSufficient reports whether the entries can run the work of all shards. A weak entry can run that of one
+// canRunAllShards reports whether the entries can run the work of all shards. A weak entry can run that of one
 // shard.
-func (candidacy *Candidacy) areSufficient(entries []Entry) bool {
+func (candidacy *Candidacy) canRunAllShards(entries []Entry) bool {
 	shards := 0
 	for _, entry := range entries {
 		if entry.Strong {
@@ -177,7 +177,7 @@
 // entry requests a seat and is needed as a candidate.
 func (candidacy *Candidacy) ObserveOwners(owners []Entry, now time.Time) {
 	candidacy.ownersObservedAt = now
-	if candidacy.areSufficient(owners) {
+	if candidacy.canRunAllShards(owners) {
 		candidacy.shortageSince = time.Time{}
 		return
 	}
@@ -234,7 +234,7 @@
 	})
 	// If a strong entry can run only one shard, all seat holders are candidates: an owner and a spare for
 	// each shard.
-	candidacy.isSelected = candidacy.shardsPerStrong() == 1 || !candidacy.areSufficient(before) || candidacy.options.Self.Strong && len(before) < minStrongCandidates
+	candidacy.isSelected = candidacy.shardsPerStrong() == 1 || !candidacy.canRunAllShards(before) || candidacy.options.Self.Strong && len(before) < minStrongCandidates
 	switch {
 	case candidacy.options.Self.Strong:
 	case !candidacy.wantsSeat:
@@ -264,10 +264,10 @@
 // for a seat.
 func (candidacy *Candidacy) isRedundant(holders []Entry) bool {
 	if candidacy.heldSeats == 0 {
-		return candidacy.areSufficient(holders)
+		return candidacy.canRunAllShards(holders)
 	}
 	strong := slices.DeleteFunc(slices.Clone(holders), func(holder Entry) bool { return !holder.Strong })
-	return candidacy.areSufficient(strong) || len(strong) > 0 && len(holders) >= SeatCount(candidacy.options.Shards)
+	return candidacy.canRunAllShards(strong) || len(strong) > 0 && len(holders) >= SeatCount(candidacy.options.Shards)
 }
 
 // WantsSeat reports whether the entry should request or keep seats at the store.
--- a/entry/run.go
+++ b/entry/run.go
@@ -173,7 +173,7 @@
 		slog.String("service", call.service),
 		slog.String("worker", pick.Worker()),
 		slog.Int("status", result.status),
-		slog.Float64("fullness", pick.Utilisation()),
+		slog.Float64("fullness", pick.Utilization()),
 		slog.Int("considered", pick.ServerCount()),
 		slog.Int("rejected_full", pick.FullCount()),
 		slog.Int("rejected_unready", pick.UnreadyCount()),
--- a/interference/miss_test.go
+++ b/interference/miss_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// lightFillCount is the number of fill tasks in TestMissEndsWithinLimit, and lightUtilisation how much
+	// lightFillCount is the number of fill tasks in TestMissEndsWithinLimit, and lightUtilization how much
 	// each core adds to the utilization of the queue, which is too little for the model to suspect any of the
 	// tasks.
 	lightFillCount   = 12
-	lightUtilisation = 0.012
+	lightUtilization = 0.012
 	// maxMissTime is how long the target may be missed without interruption: the limit of 4 s that is passed
 	// to the model, less the time that an order to the worker takes.
 	maxMissTime = 3700 * time.Millisecond
@@ -40,7 +40,7 @@
 		for ticks := 1; ticks <= 600; ticks++ {
 			demanded := 0.5 + 0.02*random.Float64()
 			for _, fill := range fills {
-				demanded += lightUtilisation * fill.Cores * paces[fill.Task]
+				demanded += lightUtilization * fill.Cores * paces[fill.Task]
 			}
 			queue.advance(demanded)
 			missed += tick
--- a/interference/simulation_test.go
+++ b/interference/simulation_test.go
@@ -32,15 +32,15 @@
 type queue struct {
 	image       string
 	phase       float64 // of the load, in radians
-	utilisation float64
+	utilization float64
 	tailsMs     []float64 // one for each tick
 }
 
 // advance simulates a tick in which load and fill tasks together demand a utilization.
 func (queue *queue) advance(demanded float64) {
 	// A queue takes a while to build up and to drain.
-	queue.utilisation += (min(demanded, 0.985) - queue.utilisation) * queueStep
-	queue.tailsMs = append(queue.tailsMs, baseTailMs/(1-queue.utilisation))
+	queue.utilization += (min(demanded, 0.985) - queue.utilization) * queueStep
+	queue.tailsMs = append(queue.tailsMs, baseTailMs/(1-queue.utilization))
 }
 
 // drawReading returns the tail latency that a reading shows, with an error of up to 3% and rounded to whole
@@ -75,9 +75,9 @@
 	totals   totals
 }
 
-// addedUtilisation is how much each core of a fill image adds to the utilization of a queue. Other pairs add
+// addedUtilization is how much each core of a fill image adds to the utilization of a queue. Other pairs add
 // nothing.
-var addedUtilisation = map[interference.Pair]float64{
+var addedUtilization = map[interference.Pair]float64{
 	{Serving: "counter", Fill: "loud"}: 0.15,
 	{Serving: "tank", Fill: "heavy"}:   0.11,
 }
@@ -100,7 +100,7 @@
 	worker.endFills()
 	worker.startFills()
 	for _, queue := range worker.queues {
-		queue.advance(worker.demandedUtilisation(queue))
+		queue.advance(worker.demandedUtilization(queue))
 	}
 	if worker.ticks%readingTicks == 0 {
 		worker.observe()
@@ -108,12 +108,12 @@
 	}
 }
 
-// demandedUtilisation returns the utilization of a queue that results from its load and from the fill tasks.
-func (worker *simulation) demandedUtilisation(queue *queue) float64 {
+// demandedUtilization returns the utilization of a queue that results from its load and from the fill tasks.
+func (worker *simulation) demandedUtilization(queue *queue) float64 {
 	seconds := (time.Duration(worker.ticks) * tick).Seconds()
 	demanded := meanLoad + loadSwing*math.Sin(2*math.Pi*seconds/loadPeriod.Seconds()+queue.phase)
 	for _, fill := range worker.fills {
-		demanded += addedUtilisation[interference.Pair{Serving: queue.image, Fill: fill.Image}] * fill.Cores * worker.paces[fill.Task]
+		demanded += addedUtilization[interference.Pair{Serving: queue.image, Fill: fill.Image}] * fill.Cores * worker.paces[fill.Task]
 	}
 	return demanded
 }
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -146,9 +146,9 @@
 	return now.Add(interval + ackTimeout)
 }
 
-// recordHandled records up to which sequence number the agent has handled this owner's messages, and extends
+// recordAcknowledged records up to which sequence number the agent has handled this owner's messages, and extends
 // or clears the deadline for its next acknowledgment.
-func (view *agentView) recordHandled(handled int64, now time.Time) {
+func (view *agentView) recordAcknowledged(handled int64, now time.Time) {
 	switch {
 	case handled >= view.sentSequence:
 		view.ackDeadline = time.Time{}
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -27,7 +27,7 @@
 	view.keepsLearned = view.keepsLearned || message.GetKeepsLearned()
 	view.lastMessageAt = now
 	view.agentUptime = time.Duration(message.GetUptimeNanos())
-	view.recordHandled(message.GetHandled(), now)
+	view.recordAcknowledged(message.GetHandled(), now)
 	before := view.incarnation()
 	if view.statusDecoder.Apply(message) {
 		owner.placementChanges.addWorker(view)
--- a/route/route.go
+++ b/route/route.go
@@ -92,7 +92,7 @@
 	worker       string
 	address      string
 	service      string
-	utilisation  float64
+	utilization  float64
 	serverCount  int
 	fullCount    int
 	unreadyCount int
@@ -105,9 +105,9 @@
 // Address returns the address of the worker's guard.
 func (result *PickResult) Address() string { return result.address }
 
-// Utilisation returns the estimated share of the server's slots in use, from 0 to 1,
+// Utilization returns the estimated share of the server's slots in use, from 0 to 1,
 // without the picked request.
-func (result *PickResult) Utilisation() float64 { return result.utilisation }
+func (result *PickResult) Utilization() float64 { return result.utilization }
 
 // ServerCount returns the number of servers of the service.
 func (result *PickResult) ServerCount() int { return result.serverCount }
@@ -214,9 +214,9 @@
 	return int(math.Ceil(float64(srv.otherInFlight)*remaining)) + srv.inFlight
 }
 
-// utilisation returns the estimated share of slots in use. It is 1 for a server
+// utilization returns the estimated share of slots in use. It is 1 for a server
 // without slots.
-func (srv *server) utilisation(now time.Time) float64 {
+func (srv *server) utilization(now time.Time) float64 {
 	if srv.slots == 0 {
 		return 1
 	}
@@ -252,7 +252,7 @@
 			result.fullCount++
 			continue
 		}
-		cost := srv.utilisation(now)
+		cost := srv.utilization(now)
 		if srv.domain != t.domain {
 			cost += crossDomainPenalty
 		}
@@ -266,7 +266,7 @@
 		}
 		return nil, ErrNoneReady
 	}
-	result.utilisation = result.server.utilisation(now)
+	result.utilization = result.server.utilization(now)
 	result.worker, result.address = result.server.name, result.server.address
 	result.server.inFlight++
 	return result, nil
--- a/state/property_test.go
+++ b/state/property_test.go
@@ -57,7 +57,7 @@
 				other = restoreFromSnapshot(t, other)
 			}
 			rec := drawRecord(t, number)
-			before := summarise(st)
+			before := summarize(st)
 			batch := newBatch(fmt.Sprint("batch-", number), rec)
 			if _, err := st.Apply(st.NextOffset(), batch); err != nil {
 				t.Fatal(err)
@@ -89,7 +89,7 @@
 	phase            state.Phase
 }
 
-func summarise(st *state.State) map[string]taskSummary {
+func summarize(st *state.State) map[string]taskSummary {
 	summaries := map[string]taskSummary{}
 	for _, task := range st.Tasks() {
 		summaries[task.ID()] = taskSummary{task.Version(), task.Attempt(), task.Phase()}
